--- a/packages/decisions/src/eviction/eviction-policy.ts
+++ b/packages/decisions/src/eviction/eviction-policy.ts
@@ -17,7 +17,7 @@
 /** Chooses victims. A policy learns from uses; it is shared by all engines of one owner. */
 export abstract class EvictionPolicy {
   /** Tells of one request for the adapter, served or waiting. */
-  abstract used (adapter: string, team: string, tokens: number, now: number): void
+  abstract recordUse (adapter: string, team: string, tokens: number, now: number): void
 
   /**
    * @param slots - the adapters of one engine
--- a/packages/decisions/src/eviction/stall-eviction-policy.ts
+++ b/packages/decisions/src/eviction/stall-eviction-policy.ts
@@ -12,13 +12,13 @@
   /** How much the burst counts, 0 to 1. */
   readonly burstWeight?: number
   /** Odds that a lasting popularity has ended, before the silence since its last use is weighed. */
-  readonly retiredOdds?: number
+  readonly inactiveOdds?: number
   /** How far ahead a use counts as soon, milliseconds. */
   readonly horizonMilliseconds?: number
   /** Adapters remembered at most. */
   readonly rememberedAdapters?: number
   /** Time after its load in which an adapter that requests wait for stays, milliseconds. */
-  readonly leastResidenceMilliseconds?: number
+  readonly minimumResidenceMilliseconds?: number
   /** Loads a second of the whole deployment. */
   readonly loadsPerSecond?: number
 }
@@ -31,26 +31,26 @@
   private readonly bursts: UseRates
   private readonly rates: UseRates
   private readonly burstWeight: number
-  private readonly retiredOdds: number
+  private readonly inactiveOdds: number
   private readonly horizon: number
-  private readonly leastResidence: number
+  private readonly minimumResidence: number
   private readonly loadMilliseconds: number
 
   constructor (options: StallEvictionOptions = {}) {
     super()
     this.horizon = options.horizonMilliseconds ?? 10_000
-    this.leastResidence = options.leastResidenceMilliseconds ?? 10_000
+    this.minimumResidence = options.minimumResidenceMilliseconds ?? 10_000
     this.loadMilliseconds = 1_000 / (options.loadsPerSecond ?? 4)
     this.burstWeight = options.burstWeight ?? 0.1
-    this.retiredOdds = options.retiredOdds ?? 0.06
+    this.inactiveOdds = options.inactiveOdds ?? 0.06
     const most = options.rememberedAdapters ?? 20_000
-    this.bursts = new UseRates({ halfLifeMilliseconds: options.burstHalfLifeMilliseconds ?? 5_000, most })
-    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 120_000, most })
+    this.bursts = new UseRates({ halfLifeMilliseconds: options.burstHalfLifeMilliseconds ?? 5_000, maximumAdapters: most })
+    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 120_000, maximumAdapters: most })
   }
 
-  used (adapter: string, _team: string, tokens: number, now: number): void {
-    this.bursts.used(adapter, tokens, now)
-    this.rates.used(adapter, tokens, now)
+  recordUse (adapter: string, _team: string, tokens: number, now: number): void {
+    this.bursts.recordUse(adapter, tokens, now)
+    this.rates.recordUse(adapter, tokens, now)
   }
 
   victim (slots: readonly SlotView[], incoming: string, now: number): string | undefined {
@@ -62,7 +62,7 @@
       // With a working set larger than all slots, evicting what requests wait for loads the same adapters for ever
       // and serves none: each load first serves its waiters for a while. Not for ever, since in an overload every
       // loaded adapter has waiters, and those of an absent one would never be served.
-      if (slot.waiting > 0 && now < slot.loadedAt + this.leastResidence) continue
+      if (slot.waiting > 0 && now < slot.loadedAt + this.minimumResidence) continue
       const stall = this.expectedStall(slot, now)
       if (stall >= least) continue
       least = stall
@@ -83,7 +83,7 @@
    * steadily but seldom leaves for what came once (a short one).
    */
   private rate (adapter: string, now: number): number {
-    const lasting = this.rates.rate(adapter, now) * this.rates.alive(adapter, this.retiredOdds, now)
+    const lasting = this.rates.rate(adapter, now) * this.rates.alive(adapter, this.inactiveOdds, now)
     return this.burstWeight * this.bursts.rate(adapter, now) + (1 - this.burstWeight) * lasting
   }
 
--- a/packages/decisions/src/eviction/use-rates.ts
+++ b/packages/decisions/src/eviction/use-rates.ts
@@ -9,14 +9,14 @@
 }
 
 /** Keeps the exponential finite. */
-const MOST_MISSED = 500
+const MAXIMUM_MISSED_USES = 500
 
 /** Bounds and memory of {@link UseRates}. */
 export interface UseRatesOptions {
   /** Time after which a use counts half, milliseconds. */
   readonly halfLifeMilliseconds?: number
   /** Adapters remembered at most. */
-  readonly most?: number
+  readonly maximumAdapters?: number
 }
 
 /** Decayed counts of uses; each use costs the same time whatever the number of adapters. */
@@ -26,11 +26,11 @@
 
   constructor (options: UseRatesOptions = {}) {
     this.halfLife = options.halfLifeMilliseconds ?? 30_000
-    this.records = new LRUCache({ max: options.most ?? 20_000 })
+    this.records = new LRUCache({ max: options.maximumAdapters ?? 20_000 })
   }
 
   /** Counts one use. */
-  used (adapter: string, tokens: number, now: number): void {
+  recordUse (adapter: string, tokens: number, now: number): void {
     const record = this.records.get(adapter)
     if (record === undefined) {
       this.records.set(adapter, { decayedUses: 1, decayedTokens: tokens, updatedAt: now })
@@ -62,7 +62,7 @@
     const record = this.records.peek(adapter)
     if (record === undefined) return 0
     const missed = record.decayedUses * Math.LN2 / this.halfLife * Math.max(0, now - record.updatedAt)
-    return 1 / (1 + retired * Math.exp(Math.min(MOST_MISSED, missed)))
+    return 1 / (1 + retired * Math.exp(Math.min(MAXIMUM_MISSED_USES, missed)))
   }
 
   /** @returns expected tokens in a millisecond */
--- a/packages/decisions/src/fairness/reserved-places.ts
+++ b/packages/decisions/src/fairness/reserved-places.ts
@@ -1,6 +1,6 @@
 /** How the operators' weighting sets the places of a batch that are kept from a team that floods. */
 
-const MOST_RESERVED_SHARE = 0.25
+const MAXIMUM_RESERVED_SHARE = 0.25
 
 /**
  * Kept places stay empty while one team floods: others get their first token at once, and steps are less full.
@@ -10,6 +10,6 @@
  * @returns a quarter of the places up to a weight of 0.5, then fewer, and none at 1
  */
 export function reservedPlacesFor (batchEfficiencyWeight: number, batchCapacity: number): number {
-  const share = MOST_RESERVED_SHARE * Math.min(1, 2 * (1 - batchEfficiencyWeight))
+  const share = MAXIMUM_RESERVED_SHARE * Math.min(1, 2 * (1 - batchEfficiencyWeight))
   return Math.round(share * batchCapacity)
 }
--- a/packages/decisions/src/fairness/service-ledger.ts
+++ b/packages/decisions/src/fairness/service-accounting.ts
@@ -1,7 +1,7 @@
 /** What service each team has had: virtual time for fairness, and a decayed sum that says who is over its share. */
 
-/** Memory of {@link ServiceLedger}. */
-export interface ServiceLedgerOptions {
+/** Memory of {@link ServiceAccounting}. */
+export interface ServiceAccountingOptions {
   /** Service of the whole deployment after which earlier service counts 1/e, tokens. */
   readonly memoryTokens?: number
 }
@@ -16,16 +16,16 @@
   waiting: number
 }
 
-const LARGEST_SCALE = 1e100
-const CHARGES_FOR_EACH_COUNT = 100
+const MAXIMUM_SCALE = 1e100
+const CHARGES_PER_COUNT = 100
 /** A team with less than this of the recent service counts as idle. */
-const LEAST_ACTIVE_SHARE = 1e-3
+const MINIMUM_ACTIVE_SHARE = 1e-3
 
 /**
  * Accounts of teams, shared by all queues of one instance; service by other instances of the data centre comes in
  * through `charge`. One ledger for several queues keeps a team from having a full share on each engine that it uses.
  */
-export class ServiceLedger {
+export class ServiceAccounting {
   private readonly accounts = new Map<string, TeamAccount>()
   private readonly backlogged = new Set<string>()
   private readonly memoryTokens: number
@@ -37,7 +37,7 @@
   private activeWeight = 0
   private chargesUntilCount = 0
 
-  constructor (options: ServiceLedgerOptions = {}) {
+  constructor (options: ServiceAccountingOptions = {}) {
     this.memoryTokens = options.memoryTokens ?? 300_000
   }
 
@@ -53,7 +53,7 @@
     const account = this.account(team)
     if (account.waiting === 0) {
       // A team that idled would come back with a low virtual time and be served alone until it caught up.
-      account.virtualTime = Math.max(account.virtualTime, this.floor())
+      account.virtualTime = Math.max(account.virtualTime, this.minimumVirtualTime())
       this.backlogged.add(team)
     }
     account.waiting += 1
@@ -72,7 +72,7 @@
     account.virtualTime += tokens / account.weight
     this.lastVirtualTime = Math.max(this.lastVirtualTime, account.virtualTime)
     this.chargesUntilCount -= 1
-    if (tokens > 0) this.grow(tokens)
+    if (tokens > 0) this.growScale(tokens)
     account.recent = Math.max(0, account.recent + tokens * this.scale)
   }
 
@@ -106,7 +106,7 @@
    *
    * @returns the team's recent service over its weighted share of all teams' recent service; 1 is fair
    */
-  shareOfActive (team: string): number {
+  shareUsedAmongActive (team: string): number {
     if (this.chargesUntilCount <= 0) this.countActive()
     if (this.activeService <= 0) return 1
     const account = this.account(team)
@@ -115,25 +115,25 @@
 
   /** Goes through all teams, once for many charges. */
   private countActive (): void {
-    this.chargesUntilCount = CHARGES_FOR_EACH_COUNT
+    this.chargesUntilCount = CHARGES_PER_COUNT
     this.activeService = 0
     this.activeWeight = 0
     for (const account of this.accounts.values()) this.activeService += account.recent
     for (const account of this.accounts.values()) {
-      if (account.recent > this.activeService * LEAST_ACTIVE_SHARE) this.activeWeight += account.weight
+      if (account.recent > this.activeService * MINIMUM_ACTIVE_SHARE) this.activeWeight += account.weight
     }
   }
 
   /** @returns the least virtual time of the teams that wait, else that of the service last given */
-  private floor (): number {
+  private minimumVirtualTime (): number {
     let least = Infinity
     for (const team of this.backlogged) least = Math.min(least, this.account(team).virtualTime)
     return least === Infinity ? this.lastVirtualTime : least
   }
 
-  private grow (tokens: number): void {
+  private growScale (tokens: number): void {
     this.scale *= Math.exp(tokens / this.memoryTokens)
-    if (this.scale < LARGEST_SCALE) return
+    if (this.scale < MAXIMUM_SCALE) return
     for (const account of this.accounts.values()) account.recent /= this.scale
     this.scale = 1
     this.chargesUntilCount = 0
--- a/packages/decisions/src/fairness/virtual-time-fair-queue.ts
+++ b/packages/decisions/src/fairness/virtual-time-fair-queue.ts
@@ -1,26 +1,26 @@
 /** Weighted fair queueing by virtual time over tokens and loads. */
 import { FairQueue } from './fair-queue.js'
 import type { QueuedRequest } from './fair-queue.js'
-import { ServiceLedger } from './service-ledger.js'
+import { ServiceAccounting } from './service-accounting.js'
 
 /** How priorities age, and with whom accounts are shared. */
 export interface VirtualTimeFairQueueOptions {
   /** Accounts shared with the other queues of this instance; its own unless given. */
-  readonly ledger?: ServiceLedger
+  readonly accounting?: ServiceAccounting
   /** Within its team a request rises by one level of priority each time it has waited this long, milliseconds. */
   readonly agingMilliseconds?: number
   /** Between teams a level of priority goes before so much service of the others, tokens for a weight of 1. */
-  readonly headStartTokens?: number
+  readonly tokensPerPriorityLevel?: number
   /** Places of a batch kept from a team that floods. */
   readonly reservedPlaces?: number
   /** A team floods only while more of its requests than this wait. */
-  readonly floodQueue?: number
+  readonly floodQueueLength?: number
   /** A team floods when it had so many times its share of the service of late. */
-  readonly floodShare?: number
+  readonly floodShareFactor?: number
 }
 
 const DEFAULT_AGING_MILLISECONDS = 5_000
-const DEFAULT_HEAD_START_TOKENS = 4_000
+const DEFAULT_TOKENS_PER_PRIORITY_LEVEL = 4_000
 
 /**
  * Within a team the highest priority goes first, and age raises it. Between teams the least virtual time goes first, and
@@ -31,24 +31,24 @@
  * is eligible. None depends on the number of adapters.
  */
 export class VirtualTimeFairQueue<Item extends QueuedRequest> extends FairQueue<Item> {
-  private readonly ledger: ServiceLedger
+  private readonly accounting: ServiceAccounting
   private readonly agingMilliseconds: number
-  private readonly headStartTokens: number
+  private readonly tokensPerPriorityLevel: number
   private reservedPlaces: number
-  private readonly floodQueue: number
-  private readonly floodShare: number
+  private readonly floodQueueLength: number
+  private readonly floodShareFactor: number
   private readonly byTeam = new Map<string, Item[]>()
   private readonly byId = new Map<string, Item>()
   private readonly costByTeam = new Map<string, number>()
 
   constructor (options: VirtualTimeFairQueueOptions = {}) {
     super()
-    this.ledger = options.ledger ?? new ServiceLedger()
+    this.accounting = options.accounting ?? new ServiceAccounting()
     this.agingMilliseconds = options.agingMilliseconds ?? DEFAULT_AGING_MILLISECONDS
-    this.headStartTokens = options.headStartTokens ?? DEFAULT_HEAD_START_TOKENS
+    this.tokensPerPriorityLevel = options.tokensPerPriorityLevel ?? DEFAULT_TOKENS_PER_PRIORITY_LEVEL
     this.reservedPlaces = options.reservedPlaces ?? 0
-    this.floodQueue = options.floodQueue ?? 16
-    this.floodShare = options.floodShare ?? 2
+    this.floodQueueLength = options.floodQueueLength ?? 16
+    this.floodShareFactor = options.floodShareFactor ?? 2
   }
 
   /** Takes up another number of kept places, as when the operators' weighting has changed. */
@@ -60,10 +60,10 @@
     if (this.byId.has(item.requestId)) return
     const waiting = this.byTeam.get(item.team) ?? []
     this.byTeam.set(item.team, waiting)
-    waiting.splice(placeFor(item, waiting, this.agingMilliseconds), 0, item)
+    waiting.splice(insertionIndex(item, waiting, this.agingMilliseconds), 0, item)
     this.byId.set(item.requestId, item)
     this.costByTeam.set(item.team, (this.costByTeam.get(item.team) ?? 0) + item.cost)
-    this.ledger.arrived(item.team)
+    this.accounting.arrived(item.team)
   }
 
   remove (requestId: string): Item | undefined {
@@ -79,37 +79,37 @@
     for (const [team, waiting] of this.byTeam) {
       const item = waiting.find(eligible)
       if (item === undefined) continue
-      if (freePlaces <= this.reservedPlaces && this.floods(team, waiting.length)) continue
-      const time = this.ledger.virtualTime(team) - item.priority * this.headStartTokens
+      if (freePlaces <= this.reservedPlaces && this.isFlooding(team, waiting.length)) continue
+      const time = this.accounting.virtualTime(team) - item.priority * this.tokensPerPriorityLevel
       if (time >= bestTime) continue
       best = item
       bestTime = time
     }
     if (best === undefined) return undefined
     this.take(best)
-    this.ledger.charge(best.team, best.cost)
+    this.accounting.charge(best.team, best.cost)
     return best
   }
 
   charge (team: string, tokens: number): void {
-    this.ledger.charge(team, tokens)
+    this.accounting.charge(team, tokens)
   }
 
   setWeight (team: string, weight: number): void {
-    this.ledger.setWeight(team, weight)
+    this.accounting.setWeight(team, weight)
   }
 
   shareUsed (team: string): number {
-    return this.ledger.shareUsed(team)
+    return this.accounting.shareUsed(team)
   }
 
   worst (): Item | undefined {
     let worst: Item | undefined
     let worstShare = -Infinity
     for (const [team, waiting] of this.byTeam) {
-      const item = lowest(waiting)
+      const item = youngestOfLowestPriority(waiting)
       if (item === undefined) continue
-      const share = this.ledger.shareUsed(team)
+      const share = this.accounting.shareUsed(team)
       const worse = worst === undefined || item.priority < worst.priority ||
         (item.priority === worst.priority && share > worstShare)
       if (!worse) continue
@@ -122,10 +122,10 @@
   /** A team is served in its turn: what others have waiting counts only up to what they get while this team is served. */
   override tokensAhead (item: Item): number {
     const own = this.costByTeam.get(item.team) ?? 0
-    const turns = (own + item.cost) / this.ledger.weight(item.team)
+    const turns = (own + item.cost) / this.accounting.weight(item.team)
     let ahead = own
     for (const [team, cost] of this.costByTeam) {
-      if (team !== item.team) ahead += Math.min(cost, turns * this.ledger.weight(team))
+      if (team !== item.team) ahead += Math.min(cost, turns * this.accounting.weight(team))
     }
     return ahead
   }
@@ -143,13 +143,13 @@
    * their virtual time. With the last places kept from it, others find one at once. A popular team without a long queue
    * takes nobody's place.
    */
-  private floods (team: string, waiting: number): boolean {
-    return waiting > this.floodQueue && this.ledger.shareOfActive(team) > this.floodShare
+  private isFlooding (team: string, waiting: number): boolean {
+    return waiting > this.floodQueueLength && this.accounting.shareUsedAmongActive(team) > this.floodShareFactor
   }
 
   private take (item: Item): void {
     this.byId.delete(item.requestId)
-    this.ledger.left(item.team)
+    this.accounting.left(item.team)
     const waiting = this.byTeam.get(item.team) ?? []
     const index = waiting.indexOf(item)
     if (index >= 0) waiting.splice(index, 1)
@@ -164,7 +164,7 @@
  * Age and priority are one number: a level is worth `aging` milliseconds, so the order within a team never changes.
  * Without ageing, a steady stream of high priorities would keep the team's low ones waiting for ever.
  */
-function placeFor (item: QueuedRequest, waiting: readonly QueuedRequest[], aging: number): number {
+function insertionIndex (item: QueuedRequest, waiting: readonly QueuedRequest[], aging: number): number {
   const rank = item.enqueuedAt - item.priority * aging
   let low = 0
   let high = waiting.length
@@ -179,7 +179,7 @@
 }
 
 /** @returns the youngest of the lowest priority: it has waited least */
-function lowest<Item extends QueuedRequest> (waiting: readonly Item[]): Item | undefined {
+function youngestOfLowestPriority<Item extends QueuedRequest> (waiting: readonly Item[]): Item | undefined {
   let lowestItem: Item | undefined
   for (const item of waiting) {
     const worse = lowestItem === undefined || item.priority < lowestItem.priority ||
--- a/packages/decisions/src/limits/token-bucket-team-limiter.ts
+++ b/packages/decisions/src/limits/token-bucket-team-limiter.ts
@@ -12,7 +12,7 @@
 
 type LimitName = Extract<LimitDecision, { admitted: false }>['limit']
 
-const LEAST_RETRY_AFTER_SECONDS = 1
+const MINIMUM_RETRY_AFTER_SECONDS = 1
 
 /** Admits or refuses at once; a refused request takes nothing from any limit. */
 export class TokenBucketTeamLimiter extends TeamLimiter {
@@ -59,7 +59,7 @@
   finish (wasRunning: boolean, unusedTokens: number, now: number): void {
     if (wasRunning) this.running = Math.max(0, this.running - 1)
     else this.queued = Math.max(0, this.queued - 1)
-    this.tokens.giveBack(unusedTokens, now)
+    this.tokens.refund(unusedTokens, now)
   }
 
   /** @returns requests that wait and run */
@@ -78,5 +78,5 @@
 }
 
 function refuse (limit: LimitName, seconds: number): LimitDecision {
-  return { admitted: false, limit, retryAfterSeconds: Math.max(LEAST_RETRY_AFTER_SECONDS, Math.ceil(seconds)) }
+  return { admitted: false, limit, retryAfterSeconds: Math.max(MINIMUM_RETRY_AFTER_SECONDS, Math.ceil(seconds)) }
 }
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -33,7 +33,7 @@
   }
 
   /** Gives back what was taken and not used. */
-  giveBack (amount: number, now: number): void {
+  refund (amount: number, now: number): void {
     this.refill(now)
     this.level = Math.min(this.burst, this.level + amount)
   }
--- a/packages/decisions/src/loads/load-ahead.ts
+++ b/packages/decisions/src/loads/load-ahead.ts
@@ -3,7 +3,7 @@
 /** Suggests loads; it never takes a slot from another adapter. */
 export abstract class LoadAhead {
   /** Tells of one request for the adapter. */
-  abstract used (adapter: string, now: number): void
+  abstract recordUse (adapter: string, now: number): void
 
   /**
    * @param isHeld - whether the adapter is loaded or being loaded somewhere in the data centre
--- a/packages/decisions/src/loads/load-backoff.ts
+++ b/packages/decisions/src/loads/load-backoff.ts
@@ -6,7 +6,7 @@
   readonly longestMilliseconds?: number
 }
 
-const MOST_DOUBLINGS = 20
+const MAXIMUM_DOUBLINGS = 20
 
 /**
  * A load that fails holds the only full-speed place; tried again at once it would block all others.
@@ -19,6 +19,6 @@
 export function notBeforeAfterFailure (failures: number, now: number, options: LoadBackoffOptions = {}): number {
   const first = options.firstMilliseconds ?? 500
   const longest = options.longestMilliseconds ?? 30_000
-  const doublings = Math.min(MOST_DOUBLINGS, Math.max(0, failures - 1))
+  const doublings = Math.min(MAXIMUM_DOUBLINGS, Math.max(0, failures - 1))
   return now + Math.min(longest, first * 2 ** doublings)
 }
--- a/packages/decisions/src/loads/popularity-load-ahead.ts
+++ b/packages/decisions/src/loads/popularity-load-ahead.ts
@@ -8,7 +8,7 @@
   /** Adapters looked at, those used last first. */
   readonly candidates?: number
   /** Expected uses in a minute below which nothing is loaded ahead. */
-  readonly leastUsesPerMinute?: number
+  readonly minimumUsesPerMinute?: number
 }
 
 const MINUTE_MILLISECONDS = 60_000
@@ -17,22 +17,22 @@
 export class PopularityLoadAhead extends LoadAhead {
   private readonly rates: UseRates
   private readonly candidates: number
-  private readonly leastRate: number
+  private readonly minimumRate: number
 
   constructor (options: PopularityLoadAheadOptions = {}) {
     super()
     this.candidates = options.candidates ?? 256
-    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 30_000, most: this.candidates * 4 })
-    this.leastRate = (options.leastUsesPerMinute ?? 1) / MINUTE_MILLISECONDS
+    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 30_000, maximumAdapters: this.candidates * 4 })
+    this.minimumRate = (options.minimumUsesPerMinute ?? 1) / MINUTE_MILLISECONDS
   }
 
-  used (adapter: string, now: number): void {
-    this.rates.used(adapter, 0, now)
+  recordUse (adapter: string, now: number): void {
+    this.rates.recordUse(adapter, 0, now)
   }
 
   suggest (isHeld: (adapter: string) => boolean, now: number): string | undefined {
     let best: string | undefined
-    let bestRate = this.leastRate
+    let bestRate = this.minimumRate
     let looked = 0
     for (const adapter of this.rates.recent()) {
       looked += 1
--- a/packages/decisions/src/loads/place-in-line.ts
+++ b/packages/decisions/src/loads/queue-position.ts
@@ -9,25 +9,25 @@
  */
 
 /** Another line has to be this much shorter: a load from the weight store is lost by a move, and some time in line. */
-const MOVE_GAIN_MILLISECONDS = 400
+const MINIMUM_MOVE_GAIN_MILLISECONDS = 400
 /** A request that has moved once stays. */
-const STAY_MILLISECONDS = 5_000
+const STAY_PREFERENCE_MILLISECONDS = 5_000
 /** One that orders an engine's loads speaks at each change of its line; silent for so long it does not order them any more. */
-const SILENT_MILLISECONDS = 900
-const SILENCE_PENALTY_MILLISECONDS = 1_000
+const UNRESPONSIVE_MILLISECONDS = 900
+const UNRESPONSIVE_PENALTY_MILLISECONDS = 1_000
 
-interface Place {
+interface JoinedQueue {
   readonly endpoint: string
   readonly since: number
 }
 
 /** Places of one request, the present one last. */
-export class PlaceInLine {
-  private readonly places: Place[] = []
+export class QueuePosition {
+  private readonly joined: JoinedQueue[] = []
 
   /** The request asks this engine's line now. */
-  take (endpoint: string, now: number): void {
-    if (this.places.at(-1)?.endpoint !== endpoint) this.places.push({ endpoint, since: now })
+  join (endpoint: string, now: number): void {
+    if (this.joined.at(-1)?.endpoint !== endpoint) this.joined.push({ endpoint, since: now })
   }
 
   /**
@@ -36,11 +36,11 @@
    * @returns milliseconds by which the engine is nearer (below 0) or farther to this request than to others
    */
   bias (endpoint: string, heardAt: number | undefined, now: number): number {
-    const present = this.places.at(-1)
+    const present = this.joined.at(-1)
     if (present === undefined) return 0
-    const asked = this.places.find((place) => place.endpoint === endpoint)
-    if (asked !== undefined && now - asked.since > SILENT_MILLISECONDS && (heardAt ?? -Infinity) < asked.since) return SILENCE_PENALTY_MILLISECONDS
+    const asked = this.joined.find((place) => place.endpoint === endpoint)
+    if (asked !== undefined && now - asked.since > UNRESPONSIVE_MILLISECONDS && (heardAt ?? -Infinity) < asked.since) return UNRESPONSIVE_PENALTY_MILLISECONDS
     if (present.endpoint !== endpoint) return 0
-    return this.places.length > 1 ? -STAY_MILLISECONDS : -MOVE_GAIN_MILLISECONDS
+    return this.joined.length > 1 ? -STAY_PREFERENCE_MILLISECONDS : -MINIMUM_MOVE_GAIN_MILLISECONDS
   }
 }
--- a/packages/decisions/src/overload/overload-guard.ts
+++ b/packages/decisions/src/overload/overload-guard.ts
@@ -4,9 +4,9 @@
 /** Bounds of a queue. */
 export interface OverloadGuardOptions {
   /** Requests in the queue at most. */
-  readonly mostQueued?: number
+  readonly maximumQueued?: number
   /** Factor on the expected wait before it is compared with a deadline; below 1 refuses only what is hopeless. */
-  readonly caution?: number
+  readonly waitFactor?: number
   readonly longestRetryAfterSeconds?: number
 }
 
@@ -35,13 +35,13 @@
 
 /** Refuses early and says when to come back; a request it gave up on is handed out at once, never held. */
 export class OverloadGuard<Item extends QueuedRequest> {
-  private readonly mostQueued: number
-  private readonly caution: number
+  private readonly maximumQueued: number
+  private readonly waitFactor: number
   private readonly longestRetryAfterSeconds: number
 
   constructor (options: OverloadGuardOptions = {}) {
-    this.mostQueued = options.mostQueued ?? 500
-    this.caution = options.caution ?? 1
+    this.maximumQueued = options.maximumQueued ?? 500
+    this.waitFactor = options.waitFactor ?? 1
     this.longestRetryAfterSeconds = options.longestRetryAfterSeconds ?? 60
   }
 
@@ -56,10 +56,10 @@
   admit (item: Item, queue: FairQueue<Item>, forecast: WaitForecast, now: number): Admission<Item> | Refusal {
     const expected = forecast.firstTokenMilliseconds + forecast.serviceMilliseconds
     // Held until its deadline it would take a place from one that can be served, and its caller would learn no sooner.
-    if (now + expected * this.caution > item.deadlineAt) return this.refuse('deadline cannot be met', expected, item.deadlineAt - now)
-    if (queue.size < this.mostQueued) return { admitted: true }
+    if (now + expected * this.waitFactor > item.deadlineAt) return this.refuse('deadline cannot be met', expected, item.deadlineAt - now)
+    if (queue.size < this.maximumQueued) return { admitted: true }
     const worst = queue.worst()
-    if (worst === undefined || !this.goesBefore(item, worst, queue)) return this.refuse('queue full', expected, 0)
+    if (worst === undefined || !this.outranks(item, worst, queue)) return this.refuse('queue full', expected, 0)
     queue.remove(worst.requestId)
     return { admitted: true, shed: { item: worst, refusal: this.refuse('queue full', expected, 0) } }
   }
@@ -77,7 +77,7 @@
     for (const item of [...queue.items()]) {
       const { firstTokenMilliseconds, serviceMilliseconds } = forecast(item)
       const expected = firstTokenMilliseconds + serviceMilliseconds
-      if (now + expected * this.caution <= item.deadlineAt) continue
+      if (now + expected * this.waitFactor <= item.deadlineAt) continue
       queue.remove(item.requestId)
       given.push({ item, refusal: this.refuse('deadline cannot be met', expected, Math.max(0, item.deadlineAt - now)) })
     }
@@ -85,7 +85,7 @@
   }
 
   /** @returns whether an arrival is worth the place of a waiting request */
-  private goesBefore (item: Item, worst: Item, queue: FairQueue<Item>): boolean {
+  private outranks (item: Item, worst: Item, queue: FairQueue<Item>): boolean {
     if (item.priority !== worst.priority) return item.priority > worst.priority
     if (item.team === worst.team) return false
     return queue.shareUsed(item.team) < queue.shareUsed(worst.team)
--- a/packages/decisions/src/overload/service-rate.ts
+++ b/packages/decisions/src/overload/service-rate.ts
@@ -1,6 +1,6 @@
 /** How fast a queue is served, from what was served of late. */
 
-const LEAST_ELAPSED_MILLISECONDS = 250
+const MINIMUM_BUSY_MILLISECONDS = 250
 
 /** Decayed rate of service, tokens in a millisecond. */
 export class ServiceRate {
@@ -9,10 +9,10 @@
   private updatedAt: number | undefined
 
   /**
-   * @param firstRate - tokens in a millisecond, believed until something was served
+   * @param initialRate - tokens in a millisecond, believed until something was served
    * @param memoryMilliseconds - busy time after which what was seen counts 1/e
    */
-  constructor (private readonly firstRate: number, private readonly memoryMilliseconds: number) {}
+  constructor (private readonly initialRate: number, private readonly memoryMilliseconds: number) {}
 
   /**
    * Tells of tokens served since the last call. Time in which the engine had room (`busy` false) does not count: a batch
@@ -28,7 +28,7 @@
 
   /** @returns tokens in a millisecond */
   get rate (): number {
-    if (this.milliseconds < LEAST_ELAPSED_MILLISECONDS || this.tokens <= 0) return this.firstRate
+    if (this.milliseconds < MINIMUM_BUSY_MILLISECONDS || this.tokens <= 0) return this.initialRate
     return this.tokens / this.milliseconds
   }
 }
--- a/packages/decisions/src/quarantine/crash-ledger.ts
+++ b/packages/decisions/src/quarantine/crash-tracker.ts
@@ -11,27 +11,27 @@
 /** Crashes after which a request is run apart from all others that are accused. */
 const CRASHES_TO_ISOLATE = 2
 /** A verdict needs at least so many crashes. */
-const CRASHES_TO_CONVICT = 3
+const CRASHES_TO_QUARANTINE = 3
 /** A request that never came to its end in so many runs is held back, whatever else crashed meanwhile. */
-const MOST_CRASHES = 5
+const MAXIMUM_CRASHES = 5
 /** Sends after the third crash, whatever comes of them: an endpoint that refuses the request was sent it all the same. */
-const MOST_LATE_SENDS = 2
+const MAXIMUM_LATE_SENDS = 2
 /** An innocent request is aboard at all of its crashes by chance less often than this. */
-const CHANCE = 0.00001
+const MAXIMUM_CHANCE = 0.00001
 /** A request that crashed its endpoints beyond doubt is held so long before it is tried again. */
-const CERTAIN_HOLD_MILLISECONDS = 3_600_000
+const CERTAIN_QUARANTINE_MILLISECONDS = 3_600_000
 /** The first hold of one that may have been aboard by chance; each one that follows is longer by the factor. */
-const DOUBTFUL_HOLD_MILLISECONDS = 60_000
-const HOLD_FACTOR = 10
+const UNCERTAIN_QUARANTINE_MILLISECONDS = 60_000
+const QUARANTINE_GROWTH_FACTOR = 10
 /**
  * How often endpoints crash with no request to blame is read from the crashes in each of these times before; the highest rate
  * counts, since crashes come in crowds.
  */
-const RATE_MILLISECONDS = [10_000, 60_000] as const
+const CRASH_RATE_WINDOWS_MILLISECONDS = [10_000, 60_000] as const
 /** A request that has not come again for so long is forgotten. */
-const REMEMBERED_MILLISECONDS = 600_000
+const RETENTION_MILLISECONDS = 600_000
 /** Beyond these the oldest are forgotten. */
-const MOST_CRASHES_KEPT = 250
+const MAXIMUM_TRACKED_CRASHES = 250
 
 /** One crash, as one or several instances saw it. */
 export interface EndpointCrash {
@@ -43,7 +43,7 @@
 }
 
 /** A request that ran when its endpoint crashed. */
-export interface AboardRequest {
+export interface InFlightRequest {
   readonly fingerprint: RequestFingerprint
   /** How long it had been there. */
   readonly milliseconds: number
@@ -61,7 +61,7 @@
   | 'quarantined'
 
 /** Why and for how long a request is kept from endpoints. */
-export interface QuarantineVerdict {
+export interface QuarantineDecision {
   readonly fingerprint: RequestFingerprint
   /** Crashes that spoke against it. */
   readonly crashes: number
@@ -74,14 +74,14 @@
 }
 
 interface CrashRecord extends EndpointCrash {
-  readonly aboard: Map<RequestFingerprint, Omit<AboardRequest, 'fingerprint'>>
+  readonly aboard: Map<RequestFingerprint, Omit<InFlightRequest, 'fingerprint'>>
 }
 
 /** What crashes say of requests. */
-export class CrashLedger {
+export class CrashTracker {
   private readonly crashes = new Map<string, CrashRecord>()
-  private readonly accused = new Map<RequestFingerprint, Set<string>>()
-  private readonly verdicts = new Map<RequestFingerprint, QuarantineVerdict>()
+  private readonly implicated = new Map<RequestFingerprint, Set<string>>()
+  private readonly decisions = new Map<RequestFingerprint, QuarantineDecision>()
   private readonly lateSends = new Map<RequestFingerprint, number>()
   private readonly prefixes = new Map<FingerprintPrefix, number>()
   private readonly endpointCount: (service: string) => number
@@ -92,45 +92,45 @@
   }
 
   /** @returns whether some request with this prefix is accused; a cheap answer for nearly all requests */
-  mayKnow (prefix: () => FingerprintPrefix): boolean {
+  mayBeTracked (prefix: () => FingerprintPrefix): boolean {
     return this.prefixes.size > 0 && this.prefixes.has(prefix())
   }
 
   /** How many requests are accused and not convicted. */
-  get accusedCount (): number {
-    return this.accused.size
+  get implicatedCount (): number {
+    return this.implicated.size
   }
 
   /** How many requests have been convicted. */
-  get verdictCount (): number {
-    return this.verdicts.size
+  get quarantineCount (): number {
+    return this.decisions.size
   }
 
   /** How a request is to be treated. */
   standing (fingerprint: RequestFingerprint, now: number): RequestStanding {
-    const verdict = this.verdicts.get(fingerprint)
+    const verdict = this.decisions.get(fingerprint)
     if (verdict !== undefined) return now < verdict.until ? 'quarantined' : 'suspected'
     return this.crashCount(fingerprint) >= CRASHES_TO_ISOLATE ? 'suspected' : 'unsuspected'
   }
 
   /** @returns the verdict on a request, in force or over */
-  verdict (fingerprint: RequestFingerprint): QuarantineVerdict | undefined {
-    return this.verdicts.get(fingerprint)
+  verdict (fingerprint: RequestFingerprint): QuarantineDecision | undefined {
+    return this.decisions.get(fingerprint)
   }
 
   /** @returns all verdicts, for an instance that has heard of none */
-  allVerdicts (): readonly QuarantineVerdict[] {
-    return [...this.verdicts.values()]
+  allDecisions (): readonly QuarantineDecision[] {
+    return [...this.decisions.values()]
   }
 
   /** @returns lives of endpoints that have crashed */
-  crashedLives (): readonly string[] {
+  crashedIncarnations (): readonly string[] {
     return [...this.crashes.keys()]
   }
 
   /** @returns crashes that speak against the request */
   crashCount (fingerprint: RequestFingerprint): number {
-    return this.accused.get(fingerprint)?.size ?? 0
+    return this.implicated.get(fingerprint)?.size ?? 0
   }
 
   /**
@@ -138,18 +138,18 @@
    *
    * @param crash - of an endpoint that was not about to stop
    * @param aboard - what ran there
-   * @returns verdicts that it confirms; {@link judge} comes to new ones
+   * @returns verdicts that it confirms; {@link decide} comes to new ones
    */
-  record (crash: EndpointCrash, aboard: readonly AboardRequest[]): QuarantineVerdict[] {
+  record (crash: EndpointCrash, aboard: readonly InFlightRequest[]): QuarantineDecision[] {
     const record = this.crashes.get(crash.life) ?? { ...crash, aboard: new Map() }
     const isNew = aboard.filter(({ fingerprint }) => !record.aboard.has(fingerprint))
     this.crashes.set(crash.life, record)
-    for (const request of aboard) addAboard(record, request)
+    for (const request of aboard) addInFlight(record, request)
     this.forgetOldest()
-    const again = isNew.flatMap(({ fingerprint }) => this.verdicts.get(fingerprint) ?? [])
+    const again = isNew.flatMap(({ fingerprint }) => this.decisions.get(fingerprint) ?? [])
     if (again.length > 0) this.explain(record)
-    if (this.isExplained(record)) return again.map((verdict) => this.convictAgain(verdict, crash))
-    for (const { fingerprint } of aboard) this.accuse(fingerprint, crash.life)
+    if (this.isExplained(record)) return again.map((verdict) => this.extendQuarantine(verdict, crash))
+    for (const { fingerprint } of aboard) this.implicate(fingerprint, crash.life)
     return []
   }
 
@@ -160,12 +160,12 @@
    * @param life - of the endpoint that crashed
    * @returns new verdicts
    */
-  judge (life: string): QuarantineVerdict[] {
+  decide (life: string): QuarantineDecision[] {
     const record = this.crashes.get(life)
     if (record === undefined || this.isExplained(record)) return []
-    const verdicts = [...record.aboard.keys()].flatMap((fingerprint) => this.verdictOn(fingerprint, record) ?? [])
-    for (const verdict of verdicts) this.quarantine(verdict)
-    return verdicts
+    const decisions = [...record.aboard.keys()].flatMap((fingerprint) => this.decisionOn(fingerprint, record) ?? [])
+    for (const verdict of decisions) this.quarantine(verdict)
+    return decisions
   }
 
   /**
@@ -173,43 +173,43 @@
    * once; if it comes to its end, that clears the request.
    */
   sent (fingerprint: RequestFingerprint, now: number): void {
-    const verdict = this.verdicts.get(fingerprint)
-    if (verdict !== undefined) return this.sentAgain(verdict, now)
+    const verdict = this.decisions.get(fingerprint)
+    if (verdict !== undefined) return this.recordTrialSend(verdict, now)
     const crashes = this.crashCount(fingerprint)
-    if (crashes < CRASHES_TO_CONVICT) return
+    if (crashes < CRASHES_TO_QUARANTINE) return
     const sends = (this.lateSends.get(fingerprint) ?? 0) + 1
     this.lateSends.set(fingerprint, sends)
-    if (sends >= MOST_LATE_SENDS) this.quarantine({ fingerprint, crashes, strikes: 1, certain: false, until: now + holdMilliseconds(false, 1) })
+    if (sends >= MAXIMUM_LATE_SENDS) this.quarantine({ fingerprint, crashes, strikes: 1, certain: false, until: now + quarantineMilliseconds(false, 1) })
   }
 
   /** A run of the request came to its end: it does not crash endpoints. @returns whether anything spoke against it */
   completed (fingerprint: RequestFingerprint): boolean {
-    const wasAccused = this.accused.has(fingerprint)
+    const wasAccused = this.implicated.has(fingerprint)
     for (const record of this.crashes.values()) record.aboard.delete(fingerprint)
     this.clear(fingerprint)
     return this.release(fingerprint) || wasAccused
   }
 
   /** Keeps the request from endpoints. What was aboard with it is cleared of its crashes. A newer verdict replaces an older one. */
-  quarantine (verdict: QuarantineVerdict): void {
+  quarantine (verdict: QuarantineDecision): void {
     const { fingerprint, strikes } = verdict
-    const present = this.verdicts.get(fingerprint)
+    const present = this.decisions.get(fingerprint)
     if (present !== undefined && present.strikes >= strikes) return
     this.clear(fingerprint)
-    this.verdicts.set(fingerprint, verdict)
+    this.decisions.set(fingerprint, verdict)
     if (present === undefined) this.count(fingerprint, 1)
     for (const record of this.crashes.values()) if (record.aboard.has(fingerprint)) this.explain(record)
   }
 
   /** Ends a verdict's time: the request may be tried once more now. */
   reconsider (fingerprint: RequestFingerprint): void {
-    const verdict = this.verdicts.get(fingerprint)
-    if (verdict !== undefined) this.verdicts.set(fingerprint, { ...verdict, until: -Infinity })
+    const verdict = this.decisions.get(fingerprint)
+    if (verdict !== undefined) this.decisions.set(fingerprint, { ...verdict, until: -Infinity })
   }
 
   /** Lets the request reach endpoints again, with nothing against it. @returns whether there was a verdict */
   release (fingerprint: RequestFingerprint): boolean {
-    if (!this.verdicts.delete(fingerprint)) return false
+    if (!this.decisions.delete(fingerprint)) return false
     this.count(fingerprint, -1)
     for (const record of this.crashes.values()) record.aboard.delete(fingerprint)
     return true
@@ -218,39 +218,39 @@
   /** Forgets crashes that are too old to matter; to be called now and then. */
   expire (now: number): void {
     for (const record of this.crashes.values()) {
-      if (now - record.at < REMEMBERED_MILLISECONDS) return
+      if (now - record.at < RETENTION_MILLISECONDS) return
       this.forget(record)
     }
   }
 
   /** @returns crashes that speak against somebody, for an instance that has heard of none */
-  unexplained (): readonly (EndpointCrash & { readonly aboard: readonly AboardRequest[] })[] {
+  unexplainedCrashes (): readonly (EndpointCrash & { readonly aboard: readonly InFlightRequest[] })[] {
     return [...this.crashes.values()]
       .filter((record) => [...record.aboard.keys()].some((fingerprint) => this.crashCount(fingerprint) >= CRASHES_TO_ISOLATE))
       .map(({ life, service, at, aboard }) => ({ life, service, at, aboard: [...aboard].map(([fingerprint, traits]) => ({ fingerprint, ...traits })) }))
   }
 
-  private verdictOn (fingerprint: RequestFingerprint, crash: EndpointCrash): QuarantineVerdict | undefined {
+  private decisionOn (fingerprint: RequestFingerprint, crash: EndpointCrash): QuarantineDecision | undefined {
     const crashes = this.crashesOf(fingerprint)
-    if (crashes.length < CRASHES_TO_CONVICT) return undefined
-    const certain = crashes.some((record) => this.isConclusive(record, fingerprint)) && this.chanceOf(fingerprint, crashes) < CHANCE
-    if (!certain && crashes.length < MOST_CRASHES) return undefined
-    return { fingerprint, crashes: crashes.length, strikes: 1, certain, until: crash.at + holdMilliseconds(certain, 1) }
+    if (crashes.length < CRASHES_TO_QUARANTINE) return undefined
+    const certain = crashes.some((record) => this.isConclusive(record, fingerprint)) && this.chanceOf(fingerprint, crashes) < MAXIMUM_CHANCE
+    if (!certain && crashes.length < MAXIMUM_CRASHES) return undefined
+    return { fingerprint, crashes: crashes.length, strikes: 1, certain, until: crash.at + quarantineMilliseconds(certain, 1) }
   }
 
   /** It was tried once more, or was under way already when it was convicted. */
-  private convictAgain (verdict: QuarantineVerdict, { at }: EndpointCrash): QuarantineVerdict {
-    const until = Math.max(verdict.until, at + holdMilliseconds(verdict.certain, verdict.strikes))
+  private extendQuarantine (verdict: QuarantineDecision, { at }: EndpointCrash): QuarantineDecision {
+    const until = Math.max(verdict.until, at + quarantineMilliseconds(verdict.certain, verdict.strikes))
     const next = { ...verdict, crashes: verdict.crashes + 1, until }
-    this.verdicts.set(verdict.fingerprint, next)
+    this.decisions.set(verdict.fingerprint, next)
     return next
   }
 
   /** A verdict whose time is over allows one send; one that was under way before changes nothing. */
-  private sentAgain (verdict: QuarantineVerdict, now: number): void {
+  private recordTrialSend (verdict: QuarantineDecision, now: number): void {
     if (now < verdict.until) return
     const strikes = verdict.strikes + 1
-    this.verdicts.set(verdict.fingerprint, { ...verdict, strikes, until: now + holdMilliseconds(verdict.certain, strikes) })
+    this.decisions.set(verdict.fingerprint, { ...verdict, strikes, until: now + quarantineMilliseconds(verdict.certain, strikes) })
   }
 
   /** Whether the request ran apart; another one may have become suspected since it was sent there. */
@@ -272,7 +272,7 @@
   /** @returns crashes of one endpoint in a millisecond around the time of this one */
   private rateAt ({ service, at }: EndpointCrash, others: readonly CrashRecord[]): number {
     const endpoints = Math.max(1, this.endpointCount(service))
-    const rates = RATE_MILLISECONDS.map((milliseconds) => {
+    const rates = CRASH_RATE_WINDOWS_MILLISECONDS.map((milliseconds) => {
       const near = others.filter((other) => other.service === service && other.at <= at && at - other.at < milliseconds)
       return (near.length + 1) / (endpoints * milliseconds)
     })
@@ -280,34 +280,34 @@
   }
 
   private crashesOf (fingerprint: RequestFingerprint): CrashRecord[] {
-    return [...this.accused.get(fingerprint) ?? []].flatMap((life) => this.crashes.get(life) ?? [])
+    return [...this.implicated.get(fingerprint) ?? []].flatMap((life) => this.crashes.get(life) ?? [])
   }
 
   private isExplained ({ aboard }: CrashRecord): boolean {
-    return this.verdicts.size > 0 && [...aboard.keys()].some((fingerprint) => this.verdicts.has(fingerprint))
+    return this.decisions.size > 0 && [...aboard.keys()].some((fingerprint) => this.decisions.has(fingerprint))
   }
 
   private explain (record: CrashRecord): void {
-    for (const fingerprint of record.aboard.keys()) this.excuse(fingerprint, record.life)
+    for (const fingerprint of record.aboard.keys()) this.exonerate(fingerprint, record.life)
   }
 
-  private accuse (fingerprint: RequestFingerprint, life: string): void {
-    const lives = this.accused.get(fingerprint) ?? new Set()
+  private implicate (fingerprint: RequestFingerprint, life: string): void {
+    const lives = this.implicated.get(fingerprint) ?? new Set()
     if (lives.size === 0) {
-      this.accused.set(fingerprint, lives)
+      this.implicated.set(fingerprint, lives)
       this.count(fingerprint, 1)
     }
     lives.add(life)
   }
 
-  private excuse (fingerprint: RequestFingerprint, life: string): void {
-    const lives = this.accused.get(fingerprint)
+  private exonerate (fingerprint: RequestFingerprint, life: string): void {
+    const lives = this.implicated.get(fingerprint)
     if (lives?.delete(life) === true && lives.size === 0) this.clear(fingerprint)
   }
 
   private clear (fingerprint: RequestFingerprint): void {
     this.lateSends.delete(fingerprint)
-    if (this.accused.delete(fingerprint)) this.count(fingerprint, -1)
+    if (this.implicated.delete(fingerprint)) this.count(fingerprint, -1)
   }
 
   private count (fingerprint: RequestFingerprint, difference: number): void {
@@ -319,7 +319,7 @@
 
   private forgetOldest (): void {
     for (const record of this.crashes.values()) {
-      if (this.crashes.size <= MOST_CRASHES_KEPT) return
+      if (this.crashes.size <= MAXIMUM_TRACKED_CRASHES) return
       this.forget(record)
     }
   }
@@ -330,12 +330,12 @@
   }
 }
 
-function holdMilliseconds (certain: boolean, strikes: number): number {
-  return certain ? CERTAIN_HOLD_MILLISECONDS : DOUBTFUL_HOLD_MILLISECONDS * HOLD_FACTOR ** (strikes - 1)
+function quarantineMilliseconds (certain: boolean, strikes: number): number {
+  return certain ? CERTAIN_QUARANTINE_MILLISECONDS : UNCERTAIN_QUARANTINE_MILLISECONDS * QUARANTINE_GROWTH_FACTOR ** (strikes - 1)
 }
 
 /** Copies of one request may have been there, sent by several instances. */
-function addAboard ({ aboard }: CrashRecord, { fingerprint, milliseconds, isolated }: AboardRequest): void {
+function addInFlight ({ aboard }: CrashRecord, { fingerprint, milliseconds, isolated }: InFlightRequest): void {
   const present = aboard.get(fingerprint)
   aboard.set(fingerprint, {
     milliseconds: Math.max(milliseconds, present?.milliseconds ?? 0),
--- a/packages/decisions/src/retries/share-retry-budget.ts
+++ b/packages/decisions/src/retries/share-retry-budget.ts
@@ -6,7 +6,7 @@
   /** Retries for each first attempt. */
   readonly share?: number
   /** Retries allowed in a window whatever the number of first attempts, so that a quiet team can retry at all. */
-  readonly least?: number | (() => number)
+  readonly minimumRetries?: number | (() => number)
   readonly windowMilliseconds?: number
 }
 
@@ -28,7 +28,7 @@
   constructor (options: ShareRetryBudgetOptions = {}) {
     super()
     this.share = options.share ?? 0.1
-    const { least = 3 } = options
+    const { minimumRetries: least = 3 } = options
     this.least = typeof least === 'number' ? () => least : least
     this.bucketMilliseconds = (options.windowMilliseconds ?? 10_000) / BUCKETS
   }
--- a/packages/decisions/src/routing/error-rates.ts
+++ b/packages/decisions/src/routing/error-rates.ts
@@ -6,8 +6,8 @@
   /** Weight of the newest answer, 0 to 1. */
   readonly smoothing?: number
   /** An endpoint is conspicuous when its share of errors is above this and above its peers' by a factor. */
-  readonly least?: number
-  readonly factor?: number
+  readonly minimumErrorRate?: number
+  readonly peerFactor?: number
 }
 
 /**
@@ -17,13 +17,13 @@
 export class ErrorRates {
   private readonly rates = new Map<EndpointId, number>()
   private readonly smoothing: number
-  private readonly least: number
+  private readonly minimumErrorRate: number
   private readonly factor: number
 
   constructor (options: ErrorRatesOptions = {}) {
     this.smoothing = options.smoothing ?? 0.15
-    this.least = options.least ?? 0.3
-    this.factor = options.factor ?? 2
+    this.minimumErrorRate = options.minimumErrorRate ?? 0.3
+    this.factor = options.peerFactor ?? 2
   }
 
   /** Counts an answer. */
@@ -42,9 +42,9 @@
   }
 
   /** @returns whether the endpoint makes many more errors than the others */
-  isConspicuous (endpoint: EndpointId, peers: readonly EndpointId[]): boolean {
+  isOutlier (endpoint: EndpointId, peers: readonly EndpointId[]): boolean {
     const rate = this.rates.get(endpoint) ?? 0
-    if (rate < this.least) return false
+    if (rate < this.minimumErrorRate) return false
     const others = peers.filter((peer) => peer !== endpoint)
     if (others.length === 0) return false
     const mean = others.reduce((sum, peer) => sum + (this.rates.get(peer) ?? 0), 0) / others.length
--- a/packages/decisions/src/routing/outlier-ejection.ts
+++ b/packages/decisions/src/routing/outlier-ejection.ts
@@ -9,19 +9,19 @@
   readonly ejectionMilliseconds?: number
   readonly longestEjectionMilliseconds?: number
   /** Share of the endpoints that stays in use whatever fails, 0 to 1. */
-  readonly floor?: number
+  readonly minimumUsableShare?: number
   /** Time over which a returning endpoint's penalty falls to nothing, milliseconds. */
-  readonly returnMilliseconds?: number
+  readonly recoveryMilliseconds?: number
 }
 
 interface FailureRecord {
-  failuresInARow: number
+  consecutiveFailures: number
   ejections: number
   ejectedUntil: number
   lastFailureAt: number
 }
 
-const MOST_DOUBLINGS = 16
+const MAXIMUM_DOUBLINGS = 16
 
 /** Follows failures of endpoints; keeps a record only for those that failed. */
 export class OutlierEjection {
@@ -29,15 +29,15 @@
   private readonly failuresToEject: number
   private readonly ejectionMilliseconds: number
   private readonly longestEjectionMilliseconds: number
-  private readonly floor: number
-  private readonly returnMilliseconds: number
+  private readonly minimumUsableShare: number
+  private readonly recoveryMilliseconds: number
 
   constructor (options: OutlierEjectionOptions = {}) {
     this.failuresToEject = options.failuresToEject ?? 3
     this.ejectionMilliseconds = options.ejectionMilliseconds ?? 2_000
     this.longestEjectionMilliseconds = options.longestEjectionMilliseconds ?? 60_000
-    this.floor = options.floor ?? 0.5
-    this.returnMilliseconds = options.returnMilliseconds ?? 10_000
+    this.minimumUsableShare = options.minimumUsableShare ?? 0.5
+    this.recoveryMilliseconds = options.recoveryMilliseconds ?? 10_000
   }
 
   /** Tells how an attempt ended. */
@@ -45,8 +45,8 @@
     const record = this.records.get(endpoint)
     if (result === 'answered') {
       if (record === undefined) return
-      record.failuresInARow = 0
-      const forgotten = now - record.lastFailureAt > this.returnMilliseconds && now >= record.ejectedUntil + this.returnMilliseconds
+      record.consecutiveFailures = 0
+      const forgotten = now - record.lastFailureAt > this.recoveryMilliseconds && now >= record.ejectedUntil + this.recoveryMilliseconds
       if (forgotten) this.records.delete(endpoint)
       return
     }
@@ -54,18 +54,18 @@
   }
 
   private failed (endpoint: EndpointId, record: FailureRecord | undefined, now: number): void {
-    const current = record ?? { failuresInARow: 0, ejections: 0, ejectedUntil: -Infinity, lastFailureAt: now }
+    const current = record ?? { consecutiveFailures: 0, ejections: 0, ejectedUntil: -Infinity, lastFailureAt: now }
     this.records.set(endpoint, current)
-    current.failuresInARow += 1
+    current.consecutiveFailures += 1
     current.lastFailureAt = now
     // Attempts that were under way when it was ejected fail late; they must not lengthen the ejection.
     if (now < current.ejectedUntil) return
-    const onProbation = current.ejections > 0 && now < current.ejectedUntil + this.returnMilliseconds
-    if (current.failuresInARow < this.failuresToEject && !onProbation) return
-    const doublings = Math.min(current.ejections, MOST_DOUBLINGS)
+    const onProbation = current.ejections > 0 && now < current.ejectedUntil + this.recoveryMilliseconds
+    if (current.consecutiveFailures < this.failuresToEject && !onProbation) return
+    const doublings = Math.min(current.ejections, MAXIMUM_DOUBLINGS)
     const length = Math.min(this.ejectionMilliseconds * 2 ** doublings, this.longestEjectionMilliseconds)
     current.ejections += 1
-    current.failuresInARow = 0
+    current.consecutiveFailures = 0
     current.ejectedUntil = now + length
   }
 
@@ -82,7 +82,7 @@
   usable<Item extends { readonly endpoint: EndpointId }> (endpoints: readonly Item[], now: number): readonly Item[] {
     if (this.records.size === 0) return endpoints
     const kept = endpoints.filter((item) => !this.isEjected(item.endpoint, now))
-    const least = Math.ceil(endpoints.length * this.floor)
+    const least = Math.ceil(endpoints.length * this.minimumUsableShare)
     if (kept.length >= least) return kept
     const ejected = endpoints.filter((item) => this.isEjected(item.endpoint, now))
     ejected.sort((left, right) => this.ejectedUntil(left.endpoint) - this.ejectedUntil(right.endpoint))
@@ -99,7 +99,7 @@
     const record = this.records.get(endpoint)
     if (record === undefined) return 0
     const since = now - Math.max(record.lastFailureAt, record.ejectedUntil)
-    return Math.max(0, Math.min(1, 1 - since / this.returnMilliseconds))
+    return Math.max(0, Math.min(1, 1 - since / this.recoveryMilliseconds))
   }
 
   private ejectedUntil (endpoint: EndpointId): number {
--- a/packages/decisions/src/routing/routing-policy.ts
+++ b/packages/decisions/src/routing/routing-policy.ts
@@ -6,12 +6,12 @@
   readonly endpoint: EndpointId
   readonly dataCentre: DataCentreId
   /** One way, milliseconds. */
-  readonly distance: number
+  readonly oneWayMilliseconds: number
   readonly baseModel: string
   readonly role: string
   readonly queued: number
   readonly running: number
-  readonly sentSince: number
+  readonly sentSinceReport: number
   readonly slots: number
   readonly pinnedSlots: number
   readonly batchCapacity: number
@@ -22,7 +22,7 @@
    */
   readonly queuedBefore?: (team: string) => number
   /** Loads that wait or run for this engine. */
-  readonly loadsAhead: number
+  readonly pendingLoads: number
   /** @returns whether the adapter `team/adapter@version` is loaded, or its load is under way */
   readonly holds: (adapter: string) => 'loaded' | 'loading' | 'absent'
   /** @returns requests expected to stall by the eviction that another load needs: 0 with a free slot, Infinity when all are pinned */
@@ -32,7 +32,7 @@
 }
 
 /** What is to be routed. */
-export interface RoutingQuestion {
+export interface RoutingRequest {
   /** `team/adapter@version`, or undefined for the base model alone. */
   readonly adapter: string | undefined
   readonly team: string
@@ -55,7 +55,7 @@
    * @param now - monotonic milliseconds
    * @returns the endpoint to ask, or undefined when none may take it
    */
-  abstract choose (question: RoutingQuestion, endpoints: readonly EndpointView[], now: number): EndpointId | undefined
+  abstract choose (question: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined
 
   /** Tells how an attempt ended, for ejection of endpoints that fail and their gentle return. */
   abstract observe (endpoint: EndpointId, result: 'answered' | 'failed', now: number): void
--- a/packages/decisions/src/routing/weighted-routing-policy.ts
+++ b/packages/decisions/src/routing/weighted-routing-policy.ts
@@ -4,7 +4,7 @@
 import type { OutlierEjectionOptions } from './outlier-ejection.js'
 import { rendezvousWeight } from './rendezvous.js'
 import { RoutingPolicy } from './routing-policy.js'
-import type { EndpointView, RoutingQuestion } from './routing-policy.js'
+import type { EndpointView, RoutingRequest } from './routing-policy.js'
 
 /** What the costs are made of. */
 export interface WeightedRoutingOptions {
@@ -24,24 +24,24 @@
 }
 
 /** Sums over all candidates, made once for each question. */
-interface Surroundings {
-  readonly loadsAhead: number
+interface CandidateTotals {
+  readonly pendingLoads: number
   readonly copies: number
   /** The shortest queue of an endpoint that holds the adapter. */
-  readonly queuedAtCopies: number
+  readonly shortestQueueAtCopies: number
 }
 
 const DEFAULT_ROLES: readonly string[] = ['', 'generate', 'mixed', 'decode', 'serve']
 const FAILURE_PENALTY_MILLISECONDS = 2_000
 /** What an empty place in a batch is worth at a weight of 1; a request that waits for a place costs more than that. */
-const PACKING_MILLISECONDS = 250
+const EMPTY_BATCH_MILLISECONDS = 250
 /** What a full batch's longer steps cost at a weight of 0. */
-const SPREADING_MILLISECONDS = 20
-const HOME_MILLISECONDS = 20
+const FULL_BATCH_MILLISECONDS = 20
+const HOME_PREFERENCE_MILLISECONDS = 20
 /** A team with less than this of its share has a claim that other teams' queues do not stand in the way of. */
-const HAS_SHARE = 0.6
+const SERVED_SHARE_THRESHOLD = 0.6
 /** Requests of a queue that together bear half of a copy's price. */
-const SHARING_QUEUE = 4
+const COPY_COST_HALVING_QUEUE = 4
 
 /** Chooses the endpoint with the smallest expected wait. Asks only the endpoints handed in; adapters are never scanned. */
 export class WeightedRoutingPolicy extends RoutingPolicy {
@@ -62,12 +62,12 @@
     this.ejection = new OutlierEjection(options.ejection)
   }
 
-  choose (question: RoutingQuestion, endpoints: readonly EndpointView[], now: number): EndpointId | undefined {
-    const suitable = endpoints.filter((view) => this.suits(question, view))
+  choose (question: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined {
+    const suitable = endpoints.filter((view) => this.canServe(question, view))
     const fresh = suitable.filter((view) => !question.avoid.has(view.endpoint))
     // An endpoint that failed this request is better than none: its fault may have passed.
     const candidates = this.ejection.usable(fresh.length > 0 ? fresh : suitable, now)
-    const surroundings = surroundingsOf(question, candidates)
+    const surroundings = candidateTotals(question, candidates)
     let best: EndpointView | undefined
     let bestCost = Infinity
     for (const view of candidates) {
@@ -85,46 +85,46 @@
   }
 
   /** @returns whether an endpoint could run the request at all */
-  private suits (question: RoutingQuestion, view: EndpointView): boolean {
+  private canServe (question: RoutingRequest, view: EndpointView): boolean {
     return !view.leaving && view.baseModel === question.baseModel && this.roles.has(view.role)
   }
 
   /** @returns the expected wait on an endpoint and what it costs others, milliseconds */
-  private cost (question: RoutingQuestion, view: EndpointView, surroundings: Surroundings, now: number): number {
+  private cost (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals, now: number): number {
     const queue = this.queueWait(question, view, surroundings)
     const load = this.loadWait(question, view, surroundings)
     const prompt = question.promptTokens * (1 - view.cachedShare(question.prompt)) / this.promptTokensPerMillisecond
     const failures = this.ejection.penalty(view.endpoint, now) * FAILURE_PENALTY_MILLISECONDS
     // The load and the queue pass side by side: a request waits for the longer one.
-    return Math.max(queue, load.wait) + load.price + this.batchCost(view) + prompt + 2 * view.distance + failures +
+    return Math.max(queue, load.wait) + load.price + this.batchCost(view) + prompt + 2 * view.oneWayMilliseconds + failures +
       this.homeCost(question, view)
   }
 
   /** @returns the wait for a place in the batch; reports lag, so what was sent since the newest one counts as queued */
-  private queueWait (question: RoutingQuestion, view: EndpointView, surroundings: Surroundings): number {
+  private queueWait (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals): number {
     // A team's turn comes sooner where it has no queue yet. For a team that has its share that is no reason for a copy:
     // its share is one over all engines, and in an overload copies of everything would only use up the loads.
     const copy = surroundings.copies > 0 && question.adapter !== undefined && view.holds(question.adapter) === 'absent'
-    const hasShare = (question.shareUsed ?? 1) > HAS_SHARE
+    const hasShare = (question.shareUsed ?? 1) > SERVED_SHARE_THRESHOLD
     const before = copy && hasShare ? view.queued : queuedBefore(question, view)
-    const ahead = view.running + before + view.sentSince
+    const ahead = view.running + before + view.sentSinceReport
     const over = ahead + 1 - view.batchCapacity
     if (over <= 0) return 0
     return over / view.batchCapacity * this.serviceMilliseconds
   }
 
   /** @returns the wait for the adapter, and what a new load costs those whose loads wait behind it */
-  private loadWait (question: RoutingQuestion, view: EndpointView, surroundings: Surroundings): { wait: number, price: number } {
+  private loadWait (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals): { wait: number, price: number } {
     if (question.adapter === undefined) return { wait: 0, price: 0 }
     const held = view.holds(question.adapter)
     if (held === 'loaded') return { wait: 0, price: 0 }
-    if (held === 'loading') return { wait: surroundings.loadsAhead * this.loadMilliseconds / 2, price: 0 }
-    const oneLoad = (surroundings.loadsAhead + 1) * this.loadMilliseconds
-    const stalled = view.evictionCost?.() ?? guessedEvictionCost(question.adapter, view)
+    if (held === 'loading') return { wait: surroundings.pendingLoads * this.loadMilliseconds / 2, price: 0 }
+    const oneLoad = (surroundings.pendingLoads + 1) * this.loadMilliseconds
+    const stalled = view.evictionCost?.() ?? estimatedEvictionCost(question.adapter, view)
     const slot = view.pinnedSlots >= view.slots || stalled === Infinity ? this.serviceMilliseconds : 0
     // Loads run one at a time: another copy holds up each load behind it, so only a queue asks for it. All who wait in
     // that queue share its price where the copy gets an idle place; between full engines it would gain nothing.
-    const sharing = this.queueWait(question, view, surroundings) > 0 ? 0 : surroundings.queuedAtCopies / SHARING_QUEUE
+    const sharing = this.queueWait(question, view, surroundings) > 0 ? 0 : surroundings.shortestQueueAtCopies / COPY_COST_HALVING_QUEUE
     const copy = surroundings.copies > 0 ? oneLoad / (1 + sharing) : 0
     const eviction = stalled === Infinity ? oneLoad : stalled * oneLoad
     return { wait: oneLoad + slot, price: copy + eviction }
@@ -132,38 +132,38 @@
 
   /** @returns the cost of a step that stays empty: a fuller batch gives more tokens for each step */
   private batchCost (view: EndpointView): number {
-    const ahead = view.running + view.queued + view.sentSince
+    const ahead = view.running + view.queued + view.sentSinceReport
     const filled = Math.min(1, ahead / view.batchCapacity)
-    const packing = this.batchEfficiencyWeight * PACKING_MILLISECONDS * (1 - filled)
-    const spreading = (1 - this.batchEfficiencyWeight) * SPREADING_MILLISECONDS * filled
+    const packing = this.batchEfficiencyWeight * EMPTY_BATCH_MILLISECONDS * (1 - filled)
+    const spreading = (1 - this.batchEfficiencyWeight) * FULL_BATCH_MILLISECONDS * filled
     return packing + spreading
   }
 
   /** @returns less for an adapter's home, so that instances which route at the same moment share one load */
-  private homeCost (question: RoutingQuestion, view: EndpointView): number {
+  private homeCost (question: RoutingRequest, view: EndpointView): number {
     const key = question.adapter ?? question.team
-    return (1 - rendezvousWeight(key, view.endpoint)) * HOME_MILLISECONDS
+    return (1 - rendezvousWeight(key, view.endpoint)) * HOME_PREFERENCE_MILLISECONDS
   }
 }
 
-function surroundingsOf (question: RoutingQuestion, candidates: readonly EndpointView[]): Surroundings {
+function candidateTotals (question: RoutingRequest, candidates: readonly EndpointView[]): CandidateTotals {
   let loadsAhead = 0
   let copies = 0
   let queuedAtCopies = Infinity
   for (const view of candidates) {
-    loadsAhead += view.loadsAhead
+    loadsAhead += view.pendingLoads
     if (question.adapter === undefined || view.holds(question.adapter) === 'absent') continue
     copies += 1
-    queuedAtCopies = Math.min(queuedAtCopies, queuedBefore(question, view) + view.sentSince)
+    queuedAtCopies = Math.min(queuedAtCopies, queuedBefore(question, view) + view.sentSinceReport)
   }
-  return { loadsAhead, copies, queuedAtCopies }
+  return { pendingLoads: loadsAhead, copies, shortestQueueAtCopies: queuedAtCopies }
 }
 
-function queuedBefore (question: RoutingQuestion, view: EndpointView): number {
+function queuedBefore (question: RoutingRequest, view: EndpointView): number {
   return view.queuedBefore?.(question.team) ?? view.queued
 }
 
 /** Without the owner's word each adapter keeps to its home, so that loads spread over the engines and their slots. */
-function guessedEvictionCost (adapter: string, view: EndpointView): number {
+function estimatedEvictionCost (adapter: string, view: EndpointView): number {
   return view.pinnedSlots / view.slots + 1 - rendezvousWeight(adapter, view.endpoint)
 }
--- a/packages/decisions/test/crash-ledger.failure.test.ts
+++ b/packages/decisions/test/crash-tracker.failure.test.ts
@@ -1,8 +1,8 @@
 // Which request crashes the endpoints that run it, when all that is seen is who was aboard.
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { CrashLedger, joinFingerprint } from '../src/index.js'
-import type { AboardRequest, FingerprintPrefix, QuarantineVerdict, RequestFingerprint } from '../src/index.js'
+import { CrashTracker, joinFingerprint } from '../src/index.js'
+import type { InFlightRequest, FingerprintPrefix, QuarantineDecision, RequestFingerprint } from '../src/index.js'
 
 const ENGINES = 10
 const SERVICE = 'engines'
@@ -19,16 +19,16 @@
 
 /** A ledger, and crashes one after the other. */
 class Crashes {
-  readonly ledger = new CrashLedger(() => ENGINES)
+  readonly ledger = new CrashTracker(() => ENGINES)
   private count = 0
   now = 0
 
   /** @returns verdicts that follow on one more crash */
-  crash (aboard: readonly (Partial<AboardRequest> & { readonly fingerprint: RequestFingerprint })[], life = `life-${this.count++}`): RequestFingerprint[] {
+  crash (aboard: readonly (Partial<InFlightRequest> & { readonly fingerprint: RequestFingerprint })[], life = `life-${this.count++}`): RequestFingerprint[] {
     this.now += BETWEEN_CRASHES
     const requests = aboard.map((request) => ({ milliseconds: 100, isolated: false, ...request }))
     const confirmed = this.ledger.record({ life, service: SERVICE, at: this.now }, requests)
-    return [...confirmed, ...this.ledger.judge(life)].map((verdict) => verdict.fingerprint)
+    return [...confirmed, ...this.ledger.decide(life)].map((verdict) => verdict.fingerprint)
   }
 
   standing (of: RequestFingerprint): string {
@@ -36,7 +36,7 @@
   }
 }
 
-function alone (of: RequestFingerprint): AboardRequest {
+function alone (of: RequestFingerprint): InFlightRequest {
   return { fingerprint: of, milliseconds: 100, isolated: true }
 }
 
@@ -86,7 +86,7 @@
     for (let crash = 0; crash < 2; crash += 1) crashes.crash([{ fingerprint: GUILTY }, { fingerprint: COMPANION }])
     crashes.ledger.record({ life: 'shared', service: SERVICE, at: crashes.now }, [alone(GUILTY)])
     crashes.ledger.record({ life: 'shared', service: SERVICE, at: crashes.now }, [alone(COMPANION)])
-    expect(crashes.ledger.judge('shared')).toEqual([])
+    expect(crashes.ledger.decide('shared')).toEqual([])
     expect(crashes.crash([alone(GUILTY)])).toEqual([GUILTY])
     expect(crashes.standing(COMPANION)).toBe('unsuspected')
   })
@@ -108,7 +108,7 @@
       verdicts.push(crashes.crash([{ ...alone(GUILTY), milliseconds: 5_000 }]))
     }
     expect(verdicts).toEqual([[], [], [], [], [GUILTY]])
-    const verdict = crashes.ledger.verdict(GUILTY) as QuarantineVerdict
+    const verdict = crashes.ledger.verdict(GUILTY) as QuarantineDecision
     expect({ certain: verdict.certain, seconds: (verdict.until - crashes.now) / 1_000 }).toEqual({ certain: false, seconds: 60 })
   })
 
@@ -138,7 +138,7 @@
     crashes.ledger.reconsider(GUILTY)
     expect(crashes.ledger.completed(GUILTY)).toBe(true)
     expect(crashes.standing(GUILTY)).toBe('unsuspected')
-    expect(crashes.ledger.mayKnow(() => 'guilty' as FingerprintPrefix)).toBe(false)
+    expect(crashes.ledger.mayBeTracked(() => 'guilty' as FingerprintPrefix)).toBe(false)
   })
 
   // Guards against suspicion that adds up over an innocent request's life.
@@ -164,9 +164,9 @@
   it('leave nothing behind in the end', () => {
     const crashes = new Crashes()
     for (let crash = 0; crash < 3_000; crash += 1) crashes.crash([{ fingerprint: fingerprint(`one-${crash}`) }])
-    expect(crashes.ledger.accusedCount).toBeLessThanOrEqual(250)
+    expect(crashes.ledger.implicatedCount).toBeLessThanOrEqual(250)
     crashes.ledger.expire(crashes.now + 600_000)
-    expect(crashes.ledger.accusedCount).toBe(0)
+    expect(crashes.ledger.implicatedCount).toBe(0)
   })
 })
 
--- a/packages/decisions/test/crowd-on-cold-slots.failure.test.ts
+++ b/packages/decisions/test/crowd-on-cold-slots.failure.test.ts
@@ -3,7 +3,7 @@
 // than that time. Callers should see as many answers as the slots give, and as many of them on time as there can be.
 import { describe, expect, it } from 'vitest'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
-import { LoadLine } from '../src/index.js'
+import { LoadQueue } from '../src/index.js'
 
 const SLOTS = 17
 /** An adapter from the weight store, and the run of an answer: with these 17 slots give 17 visits a second. */
@@ -31,7 +31,7 @@
 /** Requests come for a second adapter's worth of load beyond what the slots serve; some adapters are asked for more often. */
 function play (picking: Picking, requestsPerSecond: number, seed: number): Outcome {
   const random = xoroshiro128plus(seed)
-  const line = new LoadLine()
+  const line = new LoadQueue()
   const slots: { key: string, arrivesAt: number, freeAt: number }[] = []
   let waiting: Waiting[] = []
   let [onTime, late, longestPassedOver, count] = [0, 0, 0, 0]
@@ -55,7 +55,7 @@
     for (let index = slots.length - 1; index >= 0; index -= 1) if (now >= (slots[index]?.freeAt ?? 0)) slots.splice(index, 1)
     waiting = waiting.filter(({ cameAt }) => now - cameAt < GIVEN_UP)
     for (const { request, key, cameAt } of waiting) {
-      if ((now - cameAt) % ASK_AGAIN < STEP) line.ask(key, 0, { request, onTimeMilliseconds: ON_TIME }, now)
+      if ((now - cameAt) % ASK_AGAIN < STEP) line.requestLoad(key, 0, { request, onTimeMilliseconds: ON_TIME }, now)
     }
     line.expire(now)
     const isThere = (key: string): boolean => slots.some((slot) => slot.key === key)
--- a/packages/decisions/test/error-rates.test.ts
+++ b/packages/decisions/test/error-rates.test.ts
@@ -18,27 +18,27 @@
     const rates = new ErrorRates()
     answers(rates, one, 0.45, 60)
     for (const endpoint of [two, three]) answers(rates, endpoint, 0.14, 60)
-    expect(all.map((endpoint) => rates.isConspicuous(endpoint, all))).toEqual([true, false, false])
+    expect(all.map((endpoint) => rates.isOutlier(endpoint, all))).toEqual([true, false, false])
   })
 
   it('find none where all fail alike', () => {
     const rates = new ErrorRates()
     for (const endpoint of all) answers(rates, endpoint, 0.45, 60)
-    expect(all.map((endpoint) => rates.isConspicuous(endpoint, all))).toEqual([false, false, false])
+    expect(all.map((endpoint) => rates.isOutlier(endpoint, all))).toEqual([false, false, false])
   })
 
   it('let it return after a while without work', () => {
     const rates = new ErrorRates()
     answers(rates, one, 0.45, 60)
     for (let second = 0; second < 3; second++) rates.decay(0.8)
-    expect(rates.isConspicuous(one, all)).toBe(false)
+    expect(rates.isOutlier(one, all)).toBe(false)
   })
 
   it('never find the only endpoint of a service', () => {
     fc.assert(fc.property(fc.array(fc.boolean()), (errors) => {
       const rates = new ErrorRates()
       for (const error of errors) rates.observe(one, error)
-      expect(rates.isConspicuous(one, [one])).toBe(false)
+      expect(rates.isOutlier(one, [one])).toBe(false)
     }), { seed: 3 })
   })
 })
--- a/packages/decisions/test/eviction.test.ts
+++ b/packages/decisions/test/eviction.test.ts
@@ -8,7 +8,7 @@
 
 /** Uses an adapter at a steady pace. */
 function use (policy: StallEvictionPolicy, adapter: string, from: number, until: number, every: number): void {
-  for (let at = from; at < until; at += every) policy.used(adapter, 'team', 100, at)
+  for (let at = from; at < until; at += every) policy.recordUse(adapter, 'team', 100, at)
 }
 
 describe('expected-stall eviction', () => {
@@ -23,7 +23,7 @@
 
   it('keeps what came again a moment ago before what came once', () => {
     const policy = new StallEvictionPolicy()
-    policy.used('once', 'team', 100, 0)
+    policy.recordUse('once', 'team', 100, 0)
     use(policy, 'again', 0, 4_000, 2_000)
     expect(policy.victim([slot('once'), slot('again')], 'new', 5_000)).toBe('once')
   })
@@ -47,7 +47,7 @@
   // The working set is larger than all slots: were an adapter evicted before its waiters ran, its load would have served
   // nobody, and the same adapters would be loaded for ever.
   it('lets a load serve its waiters before its slot goes to the next', () => {
-    const policy = new StallEvictionPolicy({ leastResidenceMilliseconds: 10_000 })
+    const policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 10_000 })
     const slots = [slot('fresh', { waiting: 1, loadedAt: 5_000 }), slot('served', { loadedAt: 6_000 })]
     use(policy, 'served', 0, 6_000, 100)
     expect(policy.victim(slots, 'new', 7_000)).toBe('served')
@@ -56,10 +56,10 @@
 
 describe('load ahead', () => {
   it('suggests the most used adapter that is held nowhere, and none that is hardly used', () => {
-    const ahead = new PopularityLoadAhead({ leastUsesPerMinute: 3 })
-    for (let at = 0; at < 10_000; at += 500) ahead.used('popular', at)
-    for (let at = 0; at < 10_000; at += 2_000) ahead.used('second', at)
-    ahead.used('rare', 9_000)
+    const ahead = new PopularityLoadAhead({ minimumUsesPerMinute: 3 })
+    for (let at = 0; at < 10_000; at += 500) ahead.recordUse('popular', at)
+    for (let at = 0; at < 10_000; at += 2_000) ahead.recordUse('second', at)
+    ahead.recordUse('rare', 9_000)
     expect(ahead.suggest(() => false, 10_000)).toBe('popular')
     expect(ahead.suggest((adapter) => adapter === 'popular', 10_000)).toBe('second')
     expect(ahead.suggest((adapter) => adapter !== 'rare', 10_000)).toBeUndefined()
--- a/packages/decisions/test/overload.test.ts
+++ b/packages/decisions/test/overload.test.ts
@@ -30,7 +30,7 @@
   })
 
   it('sheds the lowest priority first, then the team furthest over its share', () => {
-    const guard = new OverloadGuard<QueuedRequest>({ mostQueued: 3 })
+    const guard = new OverloadGuard<QueuedRequest>({ maximumQueued: 3 })
     const queue = new VirtualTimeFairQueue<QueuedRequest>()
     queue.push(request('low', 'a', { priority: 1 }))
     queue.push(request('greedy', 'b'))
@@ -45,7 +45,7 @@
   })
 
   it('never holds more than its bound, and refuses what is worth no place', () => {
-    const guard = new OverloadGuard<QueuedRequest>({ mostQueued: 2 })
+    const guard = new OverloadGuard<QueuedRequest>({ maximumQueued: 2 })
     const queue = new VirtualTimeFairQueue<QueuedRequest>()
     queue.push(request('one', 'a'))
     queue.push(request('two', 'a'))
@@ -65,7 +65,7 @@
   })
 
   it('let a team go first, but give it no more than its share in the long run', () => {
-    const queue = new VirtualTimeFairQueue<QueuedRequest>({ headStartTokens: 200 })
+    const queue = new VirtualTimeFairQueue<QueuedRequest>({ tokensPerPriorityLevel: 200 })
     for (let index = 0; index < 200; index++) {
       queue.push(request(`high-${index}`, 'high', { priority: 9 }))
       queue.push(request(`low-${index}`, 'low', { priority: 1 }))
--- a/packages/decisions/test/properties.test.ts
+++ b/packages/decisions/test/properties.test.ts
@@ -41,8 +41,8 @@
     })
     const slotLists = fc.uniqueArray(slot, { selector: (view) => view.adapter, maxLength: 5 })
     fc.assert(fc.property(slotLists, fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'e')), (slots: SlotView[], uses) => {
-      const policy = new StallEvictionPolicy({ leastResidenceMilliseconds: 500 })
-      uses.forEach((adapter, index) => policy.used(adapter, 'team', 1, index))
+      const policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 500 })
+      uses.forEach((adapter, index) => policy.recordUse(adapter, 'team', 1, index))
       const victim = policy.victim(slots, 'a', 1000)
       const free = slots.filter((view) => view.pins === 0 && (view.waiting === 0 || view.loadedAt <= 500) && view.adapter !== 'a')
       if (free.length === 0) expect(victim).toBeUndefined()
@@ -80,7 +80,7 @@
   it('allows at most the share of first attempts and the least number in any window', () => {
     const events = fc.array(fc.record({ after: fc.nat(300), retry: fc.boolean() }), { maxLength: 200 })
     fc.assert(fc.property(events, (list) => {
-      const budget = new ShareRetryBudget({ share: 0.2, least: 2, windowMilliseconds: 1000 })
+      const budget = new ShareRetryBudget({ share: 0.2, minimumRetries: 2, windowMilliseconds: 1000 })
       const attempts: number[] = []
       const retries: number[] = []
       let now = 0
@@ -103,7 +103,7 @@
     const endpoints = Array.from({ length: 9 }, (_, index) => ({ endpoint: `e${index}` as EndpointId }))
     const failures = fc.array(fc.record({ endpoint: fc.nat(8), after: fc.nat(500) }), { maxLength: 100 })
     fc.assert(fc.property(failures, fc.integer({ min: 1, max: 10 }), (list, tenths) => {
-      const ejection = new OutlierEjection({ floor: tenths / 10 })
+      const ejection = new OutlierEjection({ minimumUsableShare: tenths / 10 })
       let now = 0
       for (const failure of list) {
         now += failure.after
--- a/packages/decisions/test/routing.test.ts
+++ b/packages/decisions/test/routing.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
 import { WeightedRoutingPolicy } from '@limpetwinch/decisions'
-import type { EndpointView, RoutingQuestion } from '@limpetwinch/decisions'
+import type { EndpointView, RoutingRequest } from '@limpetwinch/decisions'
 
 type HeldState = ReturnType<EndpointView['holds']>
 
@@ -10,17 +10,17 @@
   return {
     endpoint: name as EndpointId,
     dataCentre: 'here' as DataCentreId,
-    distance: 0,
+    oneWayMilliseconds: 0,
     baseModel: 'base',
     role: 'generate',
     queued: 0,
     running: 0,
-    sentSince: 0,
+    sentSinceReport: 0,
     slots: 8,
     pinnedSlots: 0,
     batchCapacity: 16,
     leaving: false,
-    loadsAhead: 0,
+    pendingLoads: 0,
     holds: () => held,
     cachedShare: () => 0,
     evictionCost: () => 0,
@@ -28,7 +28,7 @@
   }
 }
 
-const question: RoutingQuestion = {
+const question: RoutingRequest = {
   adapter: 'team/adapter@1',
   team: 'team',
   baseModel: 'base',
@@ -39,7 +39,7 @@
   avoid: new Set()
 }
 
-function choose (views: readonly EndpointView[], given: Partial<RoutingQuestion> = {}, policy = new WeightedRoutingPolicy()): string | undefined {
+function choose (views: readonly EndpointView[], given: Partial<RoutingRequest> = {}, policy = new WeightedRoutingPolicy()): string | undefined {
   return policy.choose({ ...question, ...given }, views, 0)
 }
 
@@ -56,17 +56,17 @@
   })
 
   it('asks for no copy of a queued adapter while a load would take longer', () => {
-    expect(choose([view('idle', { loadsAhead: 60 }), view('holder', { held: 'loaded', running: 16, queued: 32 })])).toBe('holder')
+    expect(choose([view('idle', { pendingLoads: 60 }), view('holder', { held: 'loaded', running: 16, queued: 32 })])).toBe('holder')
     // The copy alone would come a little sooner, but each load behind it would wait.
-    expect(choose([view('idle', { loadsAhead: 6 }), view('holder', { held: 'loaded', running: 16, queued: 16 })])).toBe('holder')
+    expect(choose([view('idle', { pendingLoads: 6 }), view('holder', { held: 'loaded', running: 16, queued: 16 })])).toBe('holder')
   })
 
   it('joins a load under way before it asks for another', () => {
-    expect(choose([view('a'), view('b', { held: 'loading', loadsAhead: 1 })])).toBe('b')
+    expect(choose([view('a'), view('b', { held: 'loading', pendingLoads: 1 })])).toBe('b')
   })
 
   it('counts what was sent since the newest report', () => {
-    const sent = { held: 'loaded', running: 15, sentSince: 20 } as const
+    const sent = { held: 'loaded', running: 15, sentSinceReport: 20 } as const
     const quiet = { held: 'loaded', running: 15 } as const
     expect(choose([view('a', sent), view('b', quiet)])).toBe('b')
     expect(choose([view('a', quiet), view('b', sent)])).toBe('a')
@@ -78,7 +78,7 @@
 
   it('prefers a cached prefix and a near engine among equals', () => {
     expect(choose([view('a', { held: 'loaded' }), view('b', { held: 'loaded', cachedShare: () => 0.9 })])).toBe('b')
-    expect(choose([view('a', { held: 'loaded', distance: 40 }), view('b', { held: 'loaded' })])).toBe('b')
+    expect(choose([view('a', { held: 'loaded', oneWayMilliseconds: 40 }), view('b', { held: 'loaded' })])).toBe('b')
   })
 
   it('fills a batch or spreads by the weighting', () => {
@@ -89,7 +89,7 @@
 
   it('looks past the queue of a team that floods', () => {
     const flooded = view('a', { held: 'loaded', running: 12, queued: 200, queuedBefore: () => 1 })
-    expect(choose([flooded, view('b', { loadsAhead: 8 })])).toBe('a')
+    expect(choose([flooded, view('b', { pendingLoads: 8 })])).toBe('a')
   })
 
   it('avoids where the request failed, unless nothing else is left', () => {
@@ -99,7 +99,7 @@
   })
 
   it('ejects an endpoint that fails and takes it back gently', () => {
-    const policy = new WeightedRoutingPolicy({ ejection: { ejectionMilliseconds: 1_000, returnMilliseconds: 10_000 } })
+    const policy = new WeightedRoutingPolicy({ ejection: { ejectionMilliseconds: 1_000, recoveryMilliseconds: 10_000 } })
     const views = [view('a', { held: 'loaded' }), view('b', { held: 'loaded', running: 16, queued: 2 })]
     const at = (now: number, queued: number) => policy.choose(question, [view('a', { held: 'loaded' }), view('b', { held: 'loaded', running: 16, queued })], now)
     for (let count = 0; count < 3; count++) policy.observe('a' as EndpointId, 'failed', 0)
--- a/packages/entry/src/routing/router.ts
+++ b/packages/entry/src/routing/router.ts
@@ -3,7 +3,7 @@
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, DataCentreId, EndpointId, EngineSettings, InstanceId, OperatorSettings } from '@limpetwinch/core'
-import type { EndpointView, RoutingPolicy, RoutingQuestion } from '@limpetwinch/decisions'
+import type { EndpointView, RoutingPolicy, RoutingRequest } from '@limpetwinch/decisions'
 import type { Membership } from '../membership/membership.js'
 import type { EndpointDirectory, EndpointKnowledge } from './endpoint-directory.js'
 import type { PrefixTracker } from './prefix-tracker.js'
@@ -44,7 +44,7 @@
    * @param settings - what is in force
    * @returns the engine and its owner, or `no-endpoint`
    */
-  route (question: RoutingQuestion, settings: OperatorSettings): Result<Route, LimpetwinchError> {
+  route (question: RoutingRequest, settings: OperatorSettings): Result<Route, LimpetwinchError> {
     const { directory, policy, clock } = this.options
     const now = clock.now()
     const engines = directory.enginesIn(settings)
@@ -64,7 +64,7 @@
     return this.options.membership.leavingEndpoints().has(endpoint)
   }
 
-  private viewOf (engine: EngineSettings, question: RoutingQuestion, now: number): EndpointView[] {
+  private viewOf (engine: EngineSettings, question: RoutingRequest, now: number): EndpointView[] {
     const knowledge = this.options.directory.get(engine.endpoint)
     if (knowledge === undefined || !knowledge.digest.healthy) return []
     const ended = (this.options.membership.member(knowledge.owner)?.state ?? 'gone') === 'gone'
@@ -72,23 +72,23 @@
     return [this.view(engine, knowledge, question)]
   }
 
-  private view (engine: EngineSettings, knowledge: EndpointKnowledge, question: RoutingQuestion): EndpointView {
+  private view (engine: EngineSettings, knowledge: EndpointKnowledge, question: RoutingRequest): EndpointView {
     const { dataCentre, prefixes } = this.options
     const { digest } = knowledge
     return {
       endpoint: engine.endpoint,
       dataCentre: engine.dataCentre,
-      distance: engine.dataCentre === dataCentre ? 0 : REMOTE_DISTANCE,
+      oneWayMilliseconds: engine.dataCentre === dataCentre ? 0 : REMOTE_DISTANCE,
       baseModel: engine.baseModel,
       role: '',
       queued: digest.queued,
       running: digest.running,
-      sentSince: knowledge.sentSince,
+      sentSinceReport: knowledge.sentSince,
       slots: digest.slots,
       pinnedSlots: digest.pinnedSlots,
       batchCapacity: digest.batchCapacity,
       leaving: digest.leaving || this.isLeaving(engine.endpoint),
-      loadsAhead: knowledge.wantedSince.size,
+      pendingLoads: knowledge.wantedSince.size,
       holds: (adapter) => {
         if (knowledge.adapters.has(adapter)) return 'loaded'
         return knowledge.wantedSince.has(adapter) ? 'loading' : 'absent'
--- a/packages/entry/src/scheduling/load-accounts.ts
+++ b/packages/entry/src/scheduling/load-accounts.ts
@@ -1,12 +1,12 @@
 /** Loads as a service of their own: a team of rare adapters would else keep the others' loads waiting. */
-import { ServiceLedger } from '@limpetwinch/decisions'
+import { ServiceAccounting } from '@limpetwinch/decisions'
 
 /** Loads after which earlier ones hardly count. */
 const MEMORY_LOADS = 200
 
 /** Counts the loads of each team on the engines of this instance. */
 export class LoadAccounts {
-  private readonly ledger = new ServiceLedger({ memoryTokens: MEMORY_LOADS })
+  private readonly ledger = new ServiceAccounting({ memoryTokens: MEMORY_LOADS })
   private readonly waiting = new Map<string, string>()
 
   /** Takes up a team's weight. */
--- a/packages/entry/src/scheduling/loader.ts
+++ b/packages/entry/src/scheduling/loader.ts
@@ -1,7 +1,7 @@
 /** Loads and evictions on one owned engine: one task that runs one order after another. */
 import { formatAdapter, LimpetwinchError } from '@limpetwinch/core'
 import type { AdapterReference, Clock, EngineClient, LoadedName, Logger } from '@limpetwinch/core'
-import type { EvictionPolicy, LoadAhead, LoadOrder, SlotView, WantedLoad } from '@limpetwinch/decisions'
+import type { EvictionPolicy, LoadAhead, LoadOrderingPolicy, SlotView, LoadCandidate } from '@limpetwinch/decisions'
 import type { LoadTurns } from '../loads/load-turns.js'
 import type { OwnerRights } from '../ownership/ownership.js'
 import type { LoadAccounts } from './load-accounts.js'
@@ -26,7 +26,7 @@
   readonly scheduler: EndpointScheduler
   readonly client: EngineClient
   readonly eviction: EvictionPolicy
-  readonly loadOrder: LoadOrder
+  readonly loadOrder: LoadOrderingPolicy
   readonly loadTurns: LoadTurns
   readonly rights: () => OwnerRights
   /** Names that requests admitted by an earlier owner may use. */
@@ -96,7 +96,7 @@
     return scheduler.slots.evictable((adapter) => scheduler.waitingFor(adapter).size, otherCopies, earlierPins())
   }
 
-  private async serve (wanted: WantedLoad, signal: AbortSignal): Promise<void> {
+  private async serve (wanted: LoadCandidate, signal: AbortSignal): Promise<void> {
     const release = await this.turn(wanted, signal)
     if (release === undefined) return
     try {
@@ -110,7 +110,7 @@
   }
 
   /** @returns what gives the turn back, or undefined when the wait was given up */
-  private async turn (wanted: WantedLoad, signal: AbortSignal): Promise<(() => void) | undefined> {
+  private async turn (wanted: LoadCandidate, signal: AbortSignal): Promise<(() => void) | undefined> {
     const { scheduler, loadOrder, loadTurns, clock } = this.options
     // Confirming what the engine holds already costs the weight store nothing.
     if (scheduler.slots.usable(wanted.adapter)?.state === 'unverified') return () => undefined
@@ -126,7 +126,7 @@
     }
   }
 
-  private async loadOne (wanted: WantedLoad): Promise<boolean> {
+  private async loadOne (wanted: LoadCandidate): Promise<boolean> {
     const { scheduler } = this.options
     const reference = this.referenceOf(wanted.adapter)
     if (reference === undefined || this.stopped) return false
@@ -193,7 +193,7 @@
     return false
   }
 
-  private mostUrgent (): WantedLoad | undefined {
+  private mostUrgent (): LoadCandidate | undefined {
     const { scheduler, loadOrder, clock, rights } = this.options
     if (!rights().mayAdmit || !scheduler.knowsSlots) return undefined
     const wanted = scheduler.wantedAdapters().map((adapter) => this.wantedLoad(adapter))
@@ -201,7 +201,7 @@
     return loadOrder.next(wanted, clock.now())
   }
 
-  private wantedLoad (adapter: string): WantedLoad {
+  private wantedLoad (adapter: string): LoadCandidate {
     const { scheduler, accounts } = this.options
     const waiting = [...scheduler.waitingFor(adapter)]
     const team = waiting[0]?.team ?? ''
@@ -211,7 +211,7 @@
       team,
       endpoint: scheduler.engine.endpoint,
       waitingSince: Math.min(...waiting.map((item) => item.enqueuedAt)),
-      waiters: waiting.length,
+      waitingRequests: waiting.length,
       highestPriority: Math.max(...waiting.map((item) => item.priority)),
       shareUsed: accounts.shareUsed(team),
       failures: failures?.count ?? 0,
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -2,8 +2,8 @@
 import { adapterOf, LimpetwinchError, parseModelName } from '@limpetwinch/core'
 import type { AdapterReference, AdmissionAskFrame, AdmissionDoneFrame, Clock, EndpointId, EngineClient, EngineReport, EngineSettings, InstanceId, LoadedName, Logger, OperatorSettings } from '@limpetwinch/core'
 import { ShareServiceLedger } from './share-service-ledger.js'
-import { OverloadGuard, PopularityLoadAhead, reservedPlacesFor, StallEvictionPolicy, StallLoadOrder, VirtualTimeFairQueue } from '@limpetwinch/decisions'
-import type { EvictionPolicy, LoadAhead, LoadOrder } from '@limpetwinch/decisions'
+import { OverloadGuard, PopularityLoadAhead, reservedPlacesFor, StallEvictionPolicy, StallLoadOrderingPolicy, VirtualTimeFairQueue } from '@limpetwinch/decisions'
+import type { EvictionPolicy, LoadAhead, LoadOrderingPolicy } from '@limpetwinch/decisions'
 import type { LoadTurns } from '../loads/load-turns.js'
 import type { Membership } from '../membership/membership.js'
 import type { Ownership, OwnershipRecord } from '../ownership/ownership.js'
@@ -68,9 +68,9 @@
   private readonly options: OwnedEndpointsOptions
   private readonly owned = new Map<EndpointId, OwnedEndpoint>()
   private readonly eviction: EvictionPolicy = new StallEvictionPolicy()
-  private readonly loadOrder: LoadOrder = new StallLoadOrder()
+  private readonly loadOrder: LoadOrderingPolicy = new StallLoadOrderingPolicy()
   private readonly loadAhead: LoadAhead = new PopularityLoadAhead()
-  private readonly guard = new OverloadGuard<WaitingRequest>({ mostQueued: MOST_QUEUED })
+  private readonly guard = new OverloadGuard<WaitingRequest>({ maximumQueued: MOST_QUEUED })
   private readonly service: ShareServiceLedger
   private readonly audit: PinAudit
   private fullDigestsAt = 0
@@ -99,7 +99,7 @@
 
   /** @returns a team's recent service over its share; 1 is fair */
   shareUsed (team: string): number {
-    return this.service.ledger.shareOfActive(team)
+    return this.service.ledger.shareUsedAmongActive(team)
   }
 
   /** Takes up the records and settings in force. */
@@ -170,7 +170,7 @@
   private take (engine: EngineSettings, record: OwnershipRecord, earlier: OwnedEndpoint | undefined): void {
     const { clock, logger, ownership, clientOf, supervisor } = this.options
     const client = clientOf(engine)
-    const queue = new VirtualTimeFairQueue<WaitingRequest>({ ledger: this.service.ledger, reservedPlaces: this.reservedPlaces(engine) })
+    const queue = new VirtualTimeFairQueue<WaitingRequest>({ accounting: this.service.ledger, reservedPlaces: this.reservedPlaces(engine) })
     const scheduler = new EndpointScheduler({
       engine,
       record,
@@ -181,8 +181,8 @@
       clock,
       logger,
       onUsed: (adapter, team, tokens, now) => {
-        this.eviction.used(adapter, team, tokens, now)
-        this.loadAhead.used(adapter, now)
+        this.eviction.recordUse(adapter, team, tokens, now)
+        this.loadAhead.recordUse(adapter, now)
       },
       onWanted: () => this.owned.get(engine.endpoint)?.loader?.loader.poke(),
       onServed: (team, tokens) => this.service.served(team, tokens)
--- a/packages/entry/src/scheduling/share-service-ledger.ts
+++ b/packages/entry/src/scheduling/share-service-ledger.ts
@@ -1,5 +1,5 @@
 /** The service that teams have had in the whole data centre, so that a team cannot have a full share of each owner. */
-import { ServiceLedger } from '@limpetwinch/decisions'
+import { ServiceAccounting } from '@limpetwinch/decisions'
 import { LoadAccounts } from './load-accounts.js'
 import type { InstanceId, OperatorSettings, TeamServiceFrame } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
@@ -9,7 +9,7 @@
 
 /** One ledger for all queues of this instance; service by others comes in by frames. */
 export class ShareServiceLedger {
-  readonly ledger = new ServiceLedger()
+  readonly ledger = new ServiceAccounting()
   /** Loads are shared by the same weights. */
   readonly loads = new LoadAccounts()
   private readonly network: PeerNetwork
--- a/packages/entry/test/scheduling/owned-engine.ts
+++ b/packages/entry/test/scheduling/owned-engine.ts
@@ -2,7 +2,7 @@
 import { expect, vi } from 'vitest'
 import { formatAdapter, HttpEngineClient, silentLogger, SystemClock } from '@limpetwinch/core'
 import type { AdapterReference, DataCentreId, EndpointId, EngineReport, EngineSettings, FencingToken, InstanceId, LimpetwinchError, LoadedName, RequestId } from '@limpetwinch/core'
-import { OverloadGuard, PopularityLoadAhead, StallEvictionPolicy, StallLoadOrder, VirtualTimeFairQueue } from '@limpetwinch/decisions'
+import { OverloadGuard, PopularityLoadAhead, StallEvictionPolicy, StallLoadOrderingPolicy, VirtualTimeFairQueue } from '@limpetwinch/decisions'
 import { StandInEngine } from '@limpetwinch/stand-ins'
 import type { StandInEngineOptions } from '@limpetwinch/stand-ins'
 import type { Result } from 'neverthrow'
@@ -126,11 +126,11 @@
       record,
       rights,
       queue,
-      guard: new OverloadGuard({ mostQueued: this.options.mostQueued ?? 100 }),
+      guard: new OverloadGuard({ maximumQueued: this.options.mostQueued ?? 100 }),
       loadMilliseconds: () => 5,
       clock,
       logger,
-      onUsed: (...used) => eviction.used(...used),
+      onUsed: (...used) => eviction.recordUse(...used),
       onWanted: () => this.loader?.poke(),
       onServed: () => undefined
     })
@@ -138,7 +138,7 @@
       scheduler: this.scheduler,
       client: this.client,
       eviction,
-      loadOrder: new StallLoadOrder(),
+      loadOrder: new StallLoadOrderingPolicy(),
       loadTurns: new NoTurns(),
       rights,
       earlierPins: () => this.options.earlierPins ?? new Set(),
--- a/packages/ingress/src/adapters/adapter-seeker.ts
+++ b/packages/ingress/src/adapters/adapter-seeker.ts
@@ -1,5 +1,5 @@
 /** Finds an engine for a request, and has the adapter loaded where none holds it. */
-import { PlaceInLine } from '@limpetwinch/decisions'
+import { QueuePosition } from '@limpetwinch/decisions'
 import type { Clock, EndpointId, InstanceId, LoadAskFrame, Logger } from '@limpetwinch/core'
 import type { RequestFacts } from '../relay/request-codec.js'
 import type { Service } from '../routes/configuration.js'
@@ -72,7 +72,7 @@
     const { facts, until, signal } = search
     const { clock, router } = this.parts
     const startedAt = clock.now()
-    const place = new PlaceInLine()
+    const place = new QueuePosition()
     for (let askings = 0; !signal.aborted; askings++) {
       const now = clock.now()
       const choice = router.choose(search, now)
@@ -102,7 +102,7 @@
   }
 
   /** Asks the best engine for the adapter and waits a while. */
-  private async haveLoaded (search: Search, place: PlaceInLine): Promise<void> {
+  private async haveLoaded (search: Search, place: QueuePosition): Promise<void> {
     const { clock, router, locations } = this.parts
     const { facts, until, onTimeUntil, signal } = search
     const { adapter } = facts
@@ -116,7 +116,7 @@
     const load = router.chooseForLoad({ ...search, excluded: new Set([...refusing, ...search.excluded]) }, bias, now) ??
       router.chooseForLoad({ ...search, excluded: refusing }, bias, now)
     if (load === undefined) return await locations.arrival(adapter.key, Math.max(1, Math.min(NOBODY_MILLISECONDS, until - now)), signal)
-    place.take(load.endpoint.id, now)
+    place.join(load.endpoint.id, now)
     this.askFor(load, facts, { request: facts.requestId, onTimeMilliseconds: onTimeUntil - now }, now)
     await locations.arrival(adapter.key, Math.max(1, Math.min(ASK_MILLISECONDS, until - now)), signal)
   }
--- a/packages/ingress/src/adapters/endpoint-loader.ts
+++ b/packages/ingress/src/adapters/endpoint-loader.ts
@@ -1,6 +1,6 @@
 /** Orders the loads of one engine: which adapters come, which make way, one order after the other. */
-import { LinePace, LoadLine } from '@limpetwinch/decisions'
-import type { WaiterFacts, Want } from '@limpetwinch/decisions'
+import { QueuePace, LoadQueue } from '@limpetwinch/decisions'
+import type { WaitingRequestFacts, PendingLoad } from '@limpetwinch/decisions'
 import type { FencingToken } from '@limpetwinch/core'
 import { Backoff, Wake } from '@limpetwinch/entry'
 import { modelOf } from '../routes/configuration.js'
@@ -36,8 +36,8 @@
   private readonly shape: EngineShape
   private readonly around: LoaderSurroundings
   private readonly ledger: SlotLedger
-  private readonly line = new LoadLine<AdapterKey>()
-  private readonly linePace = new LinePace()
+  private readonly line = new LoadQueue<AdapterKey>()
+  private readonly linePace = new QueuePace()
   private readonly hidden: HiddenAdapters
   private readonly wake = new Wake()
   private readonly desk: OrderDesk
@@ -63,9 +63,9 @@
   }
 
   /** Asks for an adapter, or says that it is still wanted. @param waiter - the request that waits; undefined for a further copy */
-  want (key: AdapterKey, version: number, waiter: WaiterFacts | undefined): void {
+  want (key: AdapterKey, version: number, waiter: WaitingRequestFacts | undefined): void {
     const now = this.around.clock.now()
-    this.line.ask(key, version, waiter, now)
+    this.line.requestLoad(key, version, waiter, now)
     this.lineChanged(now)
     this.wake.notify()
   }
@@ -117,7 +117,7 @@
     for (const key of this.hidden.keys('replacement')) {
       if (this.ledger.inFlight.has(key) || this.ledger.departing.has(key)) continue
       const newest = this.around.newestVersion(key)
-      if (this.ledger.held.has(key) && !this.ledger.holds(key, newest)) this.line.ask(key, newest, undefined, this.around.clock.now())
+      if (this.ledger.held.has(key) && !this.ledger.holds(key, newest)) this.line.requestLoad(key, newest, undefined, this.around.clock.now())
       else this.hidden.show(key)
     }
   }
@@ -237,7 +237,7 @@
     return this.ledger.inFlight.size < MOST_IN_FLIGHT && this.storeTurn.mayBegin(this.around.locations.inFlight.count(now))
   }
 
-  private async load (want: Want<AdapterKey>, signal: AbortSignal): Promise<boolean> {
+  private async load (want: PendingLoad<AdapterKey>, signal: AbortSignal): Promise<boolean> {
     const { key } = want
     const version = Math.max(want.version, this.around.newestVersion(key))
     const answer = await this.desk.load(key, version, want, signal)
@@ -246,7 +246,7 @@
       if (!this.ledger.cached.has(key)) this.storeTurn.began()
       this.ledger.ordered(key, version, now)
       this.line.met(key)
-      this.linePace.loadBegan(this.line.length, now)
+      this.linePace.recordLoadStart(this.line.length, now)
       this.statements.changed()
       return true
     }
@@ -293,7 +293,7 @@
   }
 
   private lineChanged (now: number): void {
-    this.linePace.lengthChanged(this.line.length, now)
+    this.linePace.recordLength(this.line.length, now)
     if (this.line.length !== this.knownLength) this.statements.changed()
     this.knownLength = this.line.length
   }
--- a/packages/ingress/src/adapters/engine-orders.ts
+++ b/packages/ingress/src/adapters/engine-orders.ts
@@ -1,6 +1,6 @@
 /** Orders and reports of one engine under one token, with a line in the log for each. */
 import type { Clock, FencingToken, LimpetwinchError, Logger } from '@limpetwinch/core'
-import type { Want } from '@limpetwinch/decisions'
+import type { PendingLoad } from '@limpetwinch/decisions'
 import type { Result } from 'neverthrow'
 import type { Endpoint } from '../routes/configuration.js'
 import type { EngineControl, EngineOrder, EngineReport, OrderAnswer } from './engine-control.js'
@@ -33,7 +33,7 @@
    *
    * @param want - what the order is for; it learns what held it up
    */
-  async give (order: EngineOrder, want: Want | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
+  async give (order: EngineOrder, want: PendingLoad | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
     const { control, holder, logger, clock } = this.around
     const { id, address } = this.endpoint
     const result = await control.order({ endpoint: id, address, holder, token: this.token }, order)
@@ -46,7 +46,7 @@
       ifSequence,
       token: this.token,
       outcome: result.isOk() ? result.value : result.error.kind,
-      waited: want === undefined ? undefined : Math.round(clock.now() - want.firstAskedAt),
+      waited: want === undefined ? undefined : Math.round(clock.now() - want.firstRequestedAt),
       heldUpBy: want?.heldUpBy
     })
     if (result.isErr() && want !== undefined) want.heldUpBy = 'a silent engine'
--- a/packages/ingress/src/adapters/evictions.ts
+++ b/packages/ingress/src/adapters/evictions.ts
@@ -1,5 +1,5 @@
 /** Makes room on one engine: hides victims ahead of the loads that need their slots, then unloads them. */
-import type { LoadLine, SlotView } from '@limpetwinch/decisions'
+import type { LoadQueue, SlotView } from '@limpetwinch/decisions'
 import type { AdapterKey, Endpoint } from '../routes/configuration.js'
 import type { HiddenAdapters } from './hidden-adapters.js'
 import type { LoaderSurroundings } from './loader-surroundings.js'
@@ -14,7 +14,7 @@
 export interface EvictionParts {
   readonly endpoint: Endpoint
   readonly ledger: SlotLedger
-  readonly line: LoadLine<AdapterKey>
+  readonly line: LoadQueue<AdapterKey>
   readonly hidden: HiddenAdapters
   readonly desk: OrderDesk
   readonly statements: LoaderStatements
--- a/packages/ingress/src/adapters/order-desk.ts
+++ b/packages/ingress/src/adapters/order-desk.ts
@@ -1,6 +1,6 @@
 /** Gives the orders of one engine, one after the other, and settles what became of those without an answer. */
 import type { FencingToken } from '@limpetwinch/core'
-import type { Want } from '@limpetwinch/decisions'
+import type { PendingLoad } from '@limpetwinch/decisions'
 import { modelOf } from '../routes/configuration.js'
 import type { AdapterKey, Endpoint, ModelName } from '../routes/configuration.js'
 import type { EngineOrder, OrderAnswer } from './engine-control.js'
@@ -37,12 +37,12 @@
   }
 
   /** @param version - 0 for the newest. @param want - what the load is for. @returns the engine's answer; undefined when it gave none */
-  async load (key: AdapterKey, version: number, want: Want | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  async load (key: AdapterKey, version: number, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     return await this.give('load', key, version, want, signal)
   }
 
   /** @returns the engine's answer; undefined when it gave none */
-  async unload (key: AdapterKey, want: Want | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  async unload (key: AdapterKey, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     return await this.give('unload', key, 0, want, signal)
   }
 
@@ -66,13 +66,13 @@
     return true
   }
 
-  private async give (operation: 'load' | 'unload', key: AdapterKey, version: number, want: Want | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  private async give (operation: 'load' | 'unload', key: AdapterKey, version: number, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     const adapter = key.slice(key.indexOf('/') + 1)
     const order = { operation, model: modelOf(key), adapter, version: version === 0 ? undefined : version, ifSequence: this.ledger.sequence }
     return await this.send(order, key, want, signal)
   }
 
-  private async send (order: EngineOrder, key: AdapterKey | undefined, want: Want | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  private async send (order: EngineOrder, key: AdapterKey | undefined, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     const { clock, onLost, onSilent } = this.around
     const { operation, version, ifSequence } = order
     const result = await this.orders.give(order, want)
--- a/packages/ingress/src/members/cluster-objects.ts
+++ b/packages/ingress/src/members/cluster-objects.ts
@@ -3,7 +3,7 @@
  * request that is kept from endpoints.
  */
 import type { DataCentreId, EndpointId, FencingToken, InstanceId, StoredObject } from '@limpetwinch/core'
-import type { QuarantineVerdict, RequestFingerprint } from '@limpetwinch/decisions'
+import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import { z } from 'zod'
 
 /** One kind for all, so that one watch follows them. */
@@ -41,7 +41,7 @@
 }
 
 /** A verdict on a request, as it stands in the store. */
-export interface StoredVerdict extends Omit<QuarantineVerdict, 'until'> {
+export interface StoredVerdict extends Omit<QuarantineDecision, 'until'> {
   /** Wall clock, milliseconds. */
   readonly untilWallTime: number
   readonly version: number
--- a/packages/ingress/src/quarantine/quarantine-exchange.ts
+++ b/packages/ingress/src/quarantine/quarantine-exchange.ts
@@ -1,6 +1,6 @@
 /** Keeps the quarantines of all instances alike: by notices between them, and by what the store holds. */
 import type { Clock, DeletingObjectStore, EndpointCrashFrame, InstanceId, Logger, RequestTrialFrame, RequestVerdictFrame } from '@limpetwinch/core'
-import type { QuarantineVerdict, RequestFingerprint } from '@limpetwinch/decisions'
+import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import type { PeerLinks } from '@limpetwinch/entry'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import type { StoredVerdict } from '../members/cluster-objects.js'
@@ -102,7 +102,7 @@
     if (frame.state === 'completed') this.quarantine.release(frame.fingerprint as RequestFingerprint, 'peer')
   }
 
-  private verdictOf ({ fingerprint, crashes, strikes, certain, remainingMilliseconds }: RequestVerdictFrame): QuarantineVerdict {
+  private verdictOf ({ fingerprint, crashes, strikes, certain, remainingMilliseconds }: RequestVerdictFrame): QuarantineDecision {
     return { fingerprint: fingerprint as RequestFingerprint, crashes, strikes, certain, until: this.parts.clock.now() + remainingMilliseconds }
   }
 }
--- a/packages/ingress/src/quarantine/quarantine-records.ts
+++ b/packages/ingress/src/quarantine/quarantine-records.ts
@@ -1,6 +1,6 @@
 /** Verdicts in the platform's store: instances that start later, all of them perhaps, begin with what was known. */
 import type { Clock, DeletingObjectStore, Logger } from '@limpetwinch/core'
-import type { QuarantineVerdict, RequestFingerprint } from '@limpetwinch/decisions'
+import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import { verdictPath } from '../members/cluster-objects.js'
 import type { StoredVerdict } from '../members/cluster-objects.js'
 
@@ -14,12 +14,12 @@
 
 /** Hears of what the store says. */
 export interface QuarantineListener {
-  readonly takeVerdict: (verdict: QuarantineVerdict, source: 'store') => void
+  readonly takeVerdict: (verdict: QuarantineDecision, source: 'store') => void
   readonly release: (fingerprint: RequestFingerprint, by: 'store') => void
 }
 
 interface DueVerdict {
-  readonly verdict: QuarantineVerdict
+  readonly verdict: QuarantineDecision
   readonly dueAt: number
 }
 
@@ -55,7 +55,7 @@
   }
 
   /** Has a verdict written down. @param isFirst - whether this instance saw the crash that decided it */
-  keep (verdict: QuarantineVerdict, isFirst: boolean): void {
+  keep (verdict: QuarantineDecision, isFirst: boolean): void {
     this.due.set(verdict.fingerprint, { verdict, dueAt: this.clock.now() + (isFirst ? 0 : OTHERS_WAIT_MILLISECONDS) })
   }
 
@@ -77,7 +77,7 @@
     }
   }
 
-  private async write (verdict: QuarantineVerdict): Promise<void> {
+  private async write (verdict: QuarantineDecision): Promise<void> {
     const { fingerprint, crashes, strikes, certain, until } = verdict
     const listed = this.listed.get(fingerprint)
     if (listed !== undefined && listed.strikes >= strikes) {
--- a/packages/ingress/src/quarantine/request-quarantine.ts
+++ b/packages/ingress/src/quarantine/request-quarantine.ts
@@ -4,8 +4,8 @@
  */
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, EndpointCrashFrame, EndpointId, Logger, RequestVerdictFrame } from '@limpetwinch/core'
-import { CrashLedger } from '@limpetwinch/decisions'
-import type { AboardRequest, EndpointCrash, FingerprintPrefix, QuarantineVerdict, RequestFingerprint } from '@limpetwinch/decisions'
+import { CrashTracker } from '@limpetwinch/decisions'
+import type { InFlightRequest, EndpointCrash, FingerprintPrefix, QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { RoutedRequest } from '../relay/routed-request.js'
 import type { AdapterKey, Endpoint } from '../routes/configuration.js'
@@ -33,7 +33,7 @@
 export interface QuarantineNews {
   readonly crashed: (frame: EndpointCrashFrame) => void
   /** @param isOwn - whether this instance saw the crash that decided it */
-  readonly convicted: (verdict: QuarantineVerdict, isOwn: boolean) => void
+  readonly convicted: (verdict: QuarantineDecision, isOwn: boolean) => void
   readonly cleared: (fingerprint: RequestFingerprint) => void
 }
 
@@ -54,7 +54,7 @@
 
 interface Boarding {
   readonly crash: EndpointCrash
-  readonly aboard: AboardRequest[]
+  readonly aboard: InFlightRequest[]
   readonly recorded: Promise<void>
 }
 
@@ -64,7 +64,7 @@
 /** The quarantine of one instance. */
 export class RequestQuarantine {
   private readonly parts: RequestQuarantineParts
-  private readonly ledger: CrashLedger
+  private readonly ledger: CrashTracker
   private readonly prefixes = new WeakMap<RoutedRequest, FingerprintPrefix>()
   private readonly fingerprints = new WeakMap<RoutedRequest, RequestFingerprint>()
   private readonly trials = new Map<RoutedRequest, RequestFingerprint>()
@@ -80,12 +80,12 @@
 
   constructor (parts: RequestQuarantineParts) {
     this.parts = parts
-    this.ledger = new CrashLedger(parts.endpointCount)
+    this.ledger = new CrashTracker(parts.endpointCount)
   }
 
   /** Requests that crashes speak against, and verdicts. */
   get counts (): { readonly accused: number, readonly verdicts: number } {
-    return { accused: this.ledger.accusedCount, verdicts: this.ledger.verdictCount }
+    return { accused: this.ledger.implicatedCount, verdicts: this.ledger.quarantineCount }
   }
 
   /** @returns the error for a request that must not reach endpoints; undefined for all others */
@@ -158,7 +158,7 @@
   }
 
   /** Another instance saw a crash. */
-  takeCrash (crash: EndpointCrash, aboard: readonly AboardRequest[]): void {
+  takeCrash (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
     for (const verdict of this.ledger.record(crash, aboard)) this.noteVerdict(verdict, 'crashes seen elsewhere')
     void this.judgement(crash.life)
   }
@@ -169,7 +169,7 @@
   }
 
   /** Another instance, or the store, tells a verdict. */
-  takeVerdict (verdict: QuarantineVerdict, source: 'peer' | 'store'): void {
+  takeVerdict (verdict: QuarantineDecision, source: 'peer' | 'store'): void {
     if ((this.ledger.verdict(verdict.fingerprint)?.strikes ?? 0) >= verdict.strikes) return
     this.ledger.quarantine(verdict)
     this.noteVerdict(verdict, source)
@@ -185,8 +185,8 @@
   knowledge (): { readonly crashes: readonly EndpointCrashFrame[], readonly verdicts: readonly RequestVerdictFrame[] } {
     const now = this.parts.clock.now()
     return {
-      crashes: this.ledger.unexplained().map(({ aboard, ...crash }) => crashFrame(crash, aboard, now)),
-      verdicts: this.ledger.allVerdicts().map((verdict) => verdictFrame(verdict, now))
+      crashes: this.ledger.unexplainedCrashes().map(({ aboard, ...crash }) => crashFrame(crash, aboard, now)),
+      verdicts: this.ledger.allDecisions().map((verdict) => verdictFrame(verdict, now))
     }
   }
 
@@ -211,7 +211,7 @@
 
   /** Endpoints that are still listed in the life that has ended. Nothing runs there, so that they seem the best to run apart. */
   private crashed (): EndpointId[] {
-    return this.ledger.crashedLives().flatMap((life) => {
+    return this.ledger.crashedIncarnations().flatMap((life) => {
       const listed = this.parts.findEndpoint(endpointOf(life))
       return listed !== undefined && lifeOf(listed) === life ? [listed.id] : []
     })
@@ -257,7 +257,7 @@
 
   /** Answers of one crash break off in the same moment; they are recorded and told together. */
   private board (crash: EndpointCrash): Boarding {
-    const aboard: AboardRequest[] = []
+    const aboard: InFlightRequest[] = []
     const recorded = new Promise<void>((resolve) => setImmediate(() => {
       this.boardings.delete(crash.life)
       this.record(crash, aboard)
@@ -268,7 +268,7 @@
     return boarding
   }
 
-  private record (crash: EndpointCrash, aboard: readonly AboardRequest[]): void {
+  private record (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
     const { news, clock, metrics } = this.parts
     metrics.endpointCrashed(crash.service)
     this.ownCrashes.add(crash.life)
@@ -287,16 +287,16 @@
     await this.parts.clock.sleep(REPORTED_MILLISECONDS)
     this.judgements.delete(life)
     const isOwn = this.ownCrashes.delete(life)
-    for (const verdict of this.ledger.judge(life)) this.convict(verdict, isOwn)
+    for (const verdict of this.ledger.decide(life)) this.convict(verdict, isOwn)
   }
 
   /** @param isOwn - whether the crash was seen here */
-  private convict (verdict: QuarantineVerdict, isOwn: boolean): void {
+  private convict (verdict: QuarantineDecision, isOwn: boolean): void {
     this.noteVerdict(verdict, isOwn ? 'crashes seen here' : 'crashes seen elsewhere')
     this.parts.news.convicted(verdict, isOwn)
   }
 
-  private noteVerdict ({ fingerprint, crashes, strikes, certain, until }: QuarantineVerdict, grounds: string): void {
+  private noteVerdict ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, grounds: string): void {
     this.parts.metrics.quarantined('convicted')
     this.parts.logger.warn('A request crashes endpoints and is held back.', {
       fingerprint, crashes, strikes, certain, grounds, seconds: Math.round((until - this.parts.clock.now()) / 1_000)
@@ -304,7 +304,7 @@
   }
 
   /** A newer version of the adapter may have mended it: then it is tried once before its time is over. */
-  private standing (request: RoutedRequest, fingerprint: RequestFingerprint): ReturnType<CrashLedger['standing']> {
+  private standing (request: RoutedRequest, fingerprint: RequestFingerprint): ReturnType<CrashTracker['standing']> {
     const key = request.facts.adapter?.key
     const verdict = this.ledger.verdict(fingerprint)
     if (key !== undefined && verdict !== undefined) {
@@ -318,7 +318,7 @@
 
   /** @returns the fingerprint of a request that something may speak against; undefined for nearly all */
   private known (request: RoutedRequest): RequestFingerprint | undefined {
-    const isKnown = this.ledger.mayKnow(() => this.prefix(request))
+    const isKnown = this.ledger.mayBeTracked(() => this.prefix(request))
     return isKnown ? this.fingerprint(request) : undefined
   }
 
@@ -336,11 +336,11 @@
 }
 
 /** @returns a verdict for other instances */
-export function verdictFrame ({ fingerprint, crashes, strikes, certain, until }: QuarantineVerdict, now: number): RequestVerdictFrame {
+export function verdictFrame ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, now: number): RequestVerdictFrame {
   return { kind: 'request-verdict', fingerprint, crashes, strikes, certain, remainingMilliseconds: Math.max(0, until - now) }
 }
 
-function crashFrame ({ life, service, at }: EndpointCrash, aboard: readonly AboardRequest[], now: number): EndpointCrashFrame {
+function crashFrame ({ life, service, at }: EndpointCrash, aboard: readonly InFlightRequest[], now: number): EndpointCrashFrame {
   return {
     kind: 'endpoint-crash', life, service, millisecondsAgo: Math.max(0, now - at), aboard: aboard.map(({ fingerprint, milliseconds, isolated }) => [fingerprint, milliseconds, isolated])
   }
--- a/packages/ingress/src/relay/relayed-stream.ts
+++ b/packages/ingress/src/relay/relayed-stream.ts
@@ -1,7 +1,7 @@
 /** One event stream on its way to its caller: tried on engines until it is whole, and on from its last event where it may be resumed. */
 import type { EndpointId } from '@limpetwinch/core'
 import { LimpetwinchError } from '@limpetwinch/core'
-import { callerPatience, longestWait } from '@limpetwinch/decisions'
+import { callerPatience, longestAdapterWait } from '@limpetwinch/decisions'
 import type { FoundEngine, Search } from '../adapters/adapter-seeker.js'
 import { FailoverSearch } from './failover-search.js'
 import { TryRecord } from './final-errors.js'
@@ -144,7 +144,7 @@
     if (this.runs > 0 || this.progress.firstEventAt !== undefined) return this.callerLeavesAt()
     // Without an adapter there is no load to wait for.
     if (facts.adapter?.name === undefined) return cameAt
-    return cameAt + longestWait({ time: endsAt - cameAt, objective: route.objectiveMilliseconds, gap: route.gapMilliseconds })
+    return cameAt + longestAdapterWait({ timeToDeadline: endsAt - cameAt, objective: route.objectiveMilliseconds, gap: route.gapMilliseconds })
   }
 
   /** @returns when the caller leaves, or the request ends, if no event comes until then */
@@ -195,7 +195,7 @@
     this.sends += 1
     const result = await stream.run((sink) => senders.send(request, order, sink))
     ticket.ended()
-    if (stream.spacing.milliseconds !== undefined) speeds.spacingSeen(endpoint.id, stream.spacing.milliseconds)
+    if (stream.spacing.milliseconds !== undefined) speeds.recordEventSpacing(endpoint.id, stream.spacing.milliseconds)
     const replacement = await failover.end()
     if (replacement !== undefined) this.left = endpoint.id
     return { result, replacement }
--- a/packages/ingress/src/relay/stream-try.ts
+++ b/packages/ingress/src/relay/stream-try.ts
@@ -135,7 +135,7 @@
     const now = this.clock.now()
     const { lastEventAt } = this.progress
     if (lastEventAt !== undefined) this.progress.longestGap = Math.max(this.progress.longestGap, now - lastEventAt)
-    if (lastEventAt !== undefined && this.hasEvents) this.spacing.gapSeen(now - lastEventAt)
+    if (lastEventAt !== undefined && this.hasEvents) this.spacing.recordGap(now - lastEventAt)
     this.progress.lastEventAt = now
   }
 
--- a/packages/ingress/src/retries/repeat-budgets.ts
+++ b/packages/ingress/src/retries/repeat-budgets.ts
@@ -42,7 +42,7 @@
     if (budget === undefined) {
       budget = new ShareRetryBudget({
         share: this.settings.share * USED_SHARE,
-        least: () => this.settings.slack * USED_SHARE / this.instances(),
+        minimumRetries: () => this.settings.slack * USED_SHARE / this.instances(),
         windowMilliseconds: this.settings.windowMilliseconds
       })
       this.budgets.set(service, budget)
--- a/packages/ingress/src/routing/engine-router.ts
+++ b/packages/ingress/src/routing/engine-router.ts
@@ -233,11 +233,11 @@
   /** @returns what it costs others on the engine that a prompt of so many tokens is read there now, in milliseconds of waiting */
   private pauseCost (endpoint: Endpoint, tokens: number, gapMilliseconds: number, now: number): number {
     const { speeds, board } = this.parts
-    const alone = speeds.readingMilliseconds(endpoint.id, tokens) / gapMilliseconds
+    const alone = speeds.prefillMilliseconds(endpoint.id, tokens) / gapMilliseconds
     if (alone < SHORT_PROMPT_SHARE) return 0
     const { requests, prefillTokens } = board.inHand(endpoint.id, now)
     if (alone >= PAUSE_SHARE) return requests * PAUSED_STREAM_MILLISECONDS
-    const joint = Math.min(1, speeds.readingMilliseconds(endpoint.id, prefillTokens + tokens) / gapMilliseconds)
+    const joint = Math.min(1, speeds.prefillMilliseconds(endpoint.id, prefillTokens + tokens) / gapMilliseconds)
     return requests * JOINT_PAUSE_MILLISECONDS * joint ** 2
   }
 
--- a/packages/ingress/src/routing/first-event-forecast.ts
+++ b/packages/ingress/src/routing/first-event-forecast.ts
@@ -34,7 +34,7 @@
    * @returns milliseconds to the first event
    */
   milliseconds (endpoint: EndpointId, shape: EngineShape, inHand: WorkInHand, uncachedTokens: number, memoryTokens: number): number {
-    const reading = this.speeds.readingMilliseconds(endpoint, inHand.prefillTokens + uncachedTokens)
+    const reading = this.speeds.prefillMilliseconds(endpoint, inHand.prefillTokens + uncachedTokens)
     const full = inHand.requests >= shape.batchSlots || inHand.memoryTokens + memoryTokens > shape.memoryTokens * FULL_MEMORY_SHARE
     const expected = LEAST_MILLISECONDS + reading + (full ? FULL_MILLISECONDS : 0)
     return expected * (this.slowness.get(endpoint) ?? 1)
@@ -42,7 +42,7 @@
 
   /** Compares a forecast with what came. @param readTokens - of the prompt and of those before it */
   observe (endpoint: EndpointId, forecast: number, observed: number, readTokens: number): void {
-    this.speeds.readingSeen(endpoint, readTokens, observed - LEAST_MILLISECONDS)
+    this.speeds.recordPrefill(endpoint, readTokens, observed - LEAST_MILLISECONDS)
     const before = this.slowness.get(endpoint) ?? 1
     const ratio = Math.min(SLOWEST, Math.max(FASTEST, observed / Math.max(1, forecast / before)))
     this.slowness.set(endpoint, before + SMOOTHING * (ratio - before))
--- a/packages/ingress/src/routing/service-router.ts
+++ b/packages/ingress/src/routing/service-router.ts
@@ -53,7 +53,7 @@
   private fullness (endpoint: Endpoint, all: readonly EndpointId[], now: number): number {
     const remote = endpoint.dataCentre === this.dataCentre ? 0 : REMOTE_SLOTS
     const penalty = PENALTY_SLOTS * this.ejection.penalty(endpoint.id, now)
-    const conspicuous = this.errors.isConspicuous(endpoint.id, all) ? CONSPICUOUS_SLOTS : 0
+    const conspicuous = this.errors.isOutlier(endpoint.id, all) ? CONSPICUOUS_SLOTS : 0
     return (this.board.inHand(endpoint.id, now).requests + remote + penalty + conspicuous) / endpoint.slots
   }
 }
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -57,7 +57,7 @@
  * Ejections here are short: an endpoint that comes back is needed at once, and one that fails again is ejected longer. The
  * floor is below the share of a data centre that is cut off from two others, which must not go on trying theirs.
  */
-const EJECTION = { failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, returnMilliseconds: 4_000, floor: 0.25 }
+const EJECTION = { failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, recoveryMilliseconds: 4_000, minimumUsableShare: 0.25 }
 
 /** One instance. */
 export class IngressInstance {
@@ -87,7 +87,7 @@
   private readonly prefixes = new PrefixMemory()
   private readonly ejection = new OutlierEjection(EJECTION)
   private readonly errors = new ErrorRates()
-  private readonly policy = new StallEvictionPolicy({ leastResidenceMilliseconds: 1_500, loadsPerSecond: 30 })
+  private readonly policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 1_500, loadsPerSecond: 30 })
   private readonly heldNotices: HeldNotices
   private readonly digests: WorkDigests
   private readonly duty: LoadDuty
@@ -367,7 +367,7 @@
     this.directory.onListing((endpoints) => { for (const endpoint of endpoints) this.locations.takeStatement(endpoint) })
     this.locations.inFlight.onCompleted((load) => this.storePace.completed(load))
     this.versions.onNewer((key, version) => this.duty.newer(key, version))
-    this.board.onUse((_endpoint, key) => this.policy.used(key, '', 1, this.clock.now()))
+    this.board.onUse((_endpoint, key) => this.policy.recordUse(key, '', 1, this.clock.now()))
     this.talk.connect()
   }
 
--- a/packages/ingress/src/runtime/peer-talk.ts
+++ b/packages/ingress/src/runtime/peer-talk.ts
@@ -1,6 +1,6 @@
 /** What instances tell each other of work, held adapters and loads, and what each does with it. */
 import type { AdaptersHeldFrame, Clock, EndpointId, InstanceId, LoadAskFrame } from '@limpetwinch/core'
-import type { WaiterFacts } from '@limpetwinch/decisions'
+import type { WaitingRequestFacts } from '@limpetwinch/decisions'
 import type { PeerLinks } from '@limpetwinch/entry'
 import type { OverlayRole } from '../overlay/notice-router.js'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
@@ -109,6 +109,6 @@
 }
 
 /** A release without names of requests asks for each instance as if one request waited there. */
-function waiterOf (frame: LoadAskFrame, from: InstanceId): WaiterFacts | undefined {
+function waiterOf (frame: LoadAskFrame, from: InstanceId): WaitingRequestFacts | undefined {
   return frame.waiting ? { request: frame.request ?? from, onTimeMilliseconds: frame.onTimeMilliseconds } : undefined
 }
--- a/packages/ingress/test/engine-router.test.ts
+++ b/packages/ingress/test/engine-router.test.ts
@@ -56,7 +56,7 @@
   for (const { id } of endpoints) {
     const { caches = false, holds = 0, inUse = 0, inFlight = 0, waits = 0, spacing = 28, toRead = 0 } = states[id] ?? {}
     if (toRead > 0) board.begin(id, { prefillTokens: toRead, memoryTokens: toRead, adapter: key('read') })
-    for (let stream = 0; stream < 5; stream += 1) speeds.spacingSeen(id, spacing)
+    for (let stream = 0; stream < 5; stream += 1) speeds.recordEventSpacing(id, spacing)
     const notice = (sequence: number, held: readonly (readonly [string, number])[], coming: readonly string[]): void => {
       locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: id, born: 100, token: 1 as FencingToken, sequence, held, inFlight: coming, waitMilliseconds: waits }, NOW)
     }
@@ -65,7 +65,7 @@
     for (let used = 0; used < inUse; used += 1) board.begin(id, { prefillTokens: 0, memoryTokens: 1_000, adapter: key(`used${used}`) })
     for (let run = 0; run < holds; run += 1) board.begin(id, { prefillTokens: 0, memoryTokens: 1_000, adapter: WANTED })
   }
-  const ejection = new OutlierEjection({ failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, returnMilliseconds: 4_000, floor: 0.25 })
+  const ejection = new OutlierEjection({ failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, recoveryMilliseconds: 4_000, minimumUsableShare: 0.25 })
   return new EngineRouter({
     directory, locations, board, ejection, forecast: new FirstEventForecast(speeds), speeds, prefixes: new PrefixMemory(), dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, isOrdered: () => true
   })
--- a/packages/ingress/test/quarantine-records.failure.test.ts
+++ b/packages/ingress/test/quarantine-records.failure.test.ts
@@ -1,7 +1,7 @@
 // Verdicts in the store, for instances that start when all others have ended.
 import { silentLogger } from '@limpetwinch/core'
 import { joinFingerprint } from '@limpetwinch/decisions'
-import type { FingerprintPrefix, QuarantineVerdict } from '@limpetwinch/decisions'
+import type { FingerprintPrefix, QuarantineDecision } from '@limpetwinch/decisions'
 import { describe, expect, it } from 'vitest'
 import { decodeClusterObject } from '../src/members/cluster-objects.js'
 import { QuarantineRecords } from '../src/quarantine/quarantine-records.js'
@@ -30,7 +30,7 @@
   return { store, clock, records, told, ending, list }
 }
 
-function verdict (clock: ManualClock, strikes = 1): QuarantineVerdict {
+function verdict (clock: ManualClock, strikes = 1): QuarantineDecision {
   return { fingerprint: GUILTY, crashes: 3, strikes, certain: true, until: clock.now() + 3_600 * SECONDS }
 }
 
--- a/packages/load/src/policy/policies/baseline-eviction.ts
+++ b/packages/load/src/policy/policies/baseline-eviction.ts
@@ -4,7 +4,7 @@
 
 /** Picks the unpinned slot with the least value. */
 abstract class LeastValueEviction extends EvictionPolicy {
-  used (_adapter: string, _team: string, _tokens: number, _now: number): void {}
+  recordUse (_adapter: string, _team: string, _tokens: number, _now: number): void {}
 
   victim (slots: readonly SlotView[], _incoming: string, now: number): string | undefined {
     let victim: SlotView | undefined
@@ -36,7 +36,7 @@
 export class LeastFrequentlyUsedEviction extends LeastValueEviction {
   private readonly uses = new Map<string, number>()
 
-  override used (adapter: string): void {
+  override recordUse (adapter: string): void {
     this.uses.set(adapter, (this.uses.get(adapter) ?? 0) + 1)
   }
 
@@ -51,7 +51,7 @@
   private readonly values = new Map<string, number>()
   private readonly uses = new Map<string, number>()
 
-  override used (adapter: string): void {
+  override recordUse (adapter: string): void {
     const uses = (this.uses.get(adapter) ?? 0) + 1
     this.uses.set(adapter, uses)
     this.values.set(adapter, this.level + uses)
@@ -73,8 +73,8 @@
 export class ProductivityEviction extends LeastValueEviction {
   private readonly rates = new UseRates({ halfLifeMilliseconds: PRODUCTIVITY_HALF_LIFE_MILLISECONDS })
 
-  override used (adapter: string, _team: string, tokens: number, now: number): void {
-    this.rates.used(adapter, tokens, now)
+  override recordUse (adapter: string, _team: string, tokens: number, now: number): void {
+    this.rates.recordUse(adapter, tokens, now)
   }
 
   /** @returns tokens in a millisecond of an adapter */
--- a/packages/load/src/policy/policies/baseline-load-order.ts
+++ b/packages/load/src/policy/policies/baseline-load-order.ts
@@ -1,10 +1,10 @@
 /** First come, first served loads. */
-import { LoadOrder } from '@limpetwinch/decisions'
-import type { WantedLoad } from '@limpetwinch/decisions'
+import { LoadOrderingPolicy } from '@limpetwinch/decisions'
+import type { LoadCandidate } from '@limpetwinch/decisions'
 
 /** The load whose first request waits longest. */
-export class ArrivalLoadOrder extends LoadOrder {
-  urgency (load: WantedLoad, now: number): number {
+export class ArrivalLoadOrder extends LoadOrderingPolicy {
+  urgency (load: LoadCandidate, now: number): number {
     return now - load.waitingSince
   }
 }
--- a/packages/load/src/policy/policies/baseline-routing.ts
+++ b/packages/load/src/policy/policies/baseline-routing.ts
@@ -1,11 +1,11 @@
 /** Routing that one would take without knowing of adapters, or knowing of nothing else. */
 import type { EndpointId } from '@limpetwinch/core'
 import { RoutingPolicy, rendezvousWeight } from '@limpetwinch/decisions'
-import type { EndpointView, RoutingQuestion } from '@limpetwinch/decisions'
+import type { EndpointView, RoutingRequest } from '@limpetwinch/decisions'
 
 /** The endpoint with the fewest requests. */
 export class LeastLoadedRouting extends RoutingPolicy {
-  choose (_question: RoutingQuestion, endpoints: readonly EndpointView[]): EndpointId | undefined {
+  choose (_question: RoutingRequest, endpoints: readonly EndpointView[]): EndpointId | undefined {
     let best: EndpointView | undefined
     for (const view of endpoints) {
       if (best === undefined || loadOf(view) < loadOf(best)) best = view
@@ -18,7 +18,7 @@
 
 /** The adapter's home by rendezvous hashing, whatever its queue. */
 export class StickyRouting extends RoutingPolicy {
-  choose (question: RoutingQuestion, endpoints: readonly EndpointView[]): EndpointId | undefined {
+  choose (question: RoutingRequest, endpoints: readonly EndpointView[]): EndpointId | undefined {
     const key = question.adapter ?? question.team
     let best: EndpointView | undefined
     let bestWeight = -1
@@ -35,5 +35,5 @@
 }
 
 function loadOf (view: EndpointView): number {
-  return view.queued + view.running + view.sentSince
+  return view.queued + view.running + view.sentSinceReport
 }
--- a/packages/load/src/policy/policies/policies-under-test.ts
+++ b/packages/load/src/policy/policies/policies-under-test.ts
@@ -1,5 +1,5 @@
 /** The policies in the table. */
-import { OverloadGuard, PopularityLoadAhead, ServiceLedger, StallEvictionPolicy, StallLoadOrder, VirtualTimeFairQueue, WeightedRoutingPolicy, reservedPlacesFor } from '@limpetwinch/decisions'
+import { OverloadGuard, PopularityLoadAhead, ServiceAccounting, StallEvictionPolicy, StallLoadOrderingPolicy, VirtualTimeFairQueue, WeightedRoutingPolicy, reservedPlacesFor } from '@limpetwinch/decisions'
 import type { EvictionPolicy } from '@limpetwinch/decisions'
 import { BATCH_CAPACITY } from '../simulation/engine-timing.js'
 import type { PolicyBundle, PolicyUnderTest } from '../simulation/policy-bundle.js'
@@ -20,16 +20,16 @@
 
 /** @returns the product's decision classes as the entry instance makes them */
 function product (size: DeploymentSize, form: ProductForm): PolicyBundle {
-  const ledger = new ServiceLedger()
+  const ledger = new ServiceAccounting()
   const reservedPlaces = reservedPlacesFor(form.batchEfficiencyWeight, BATCH_CAPACITY)
   return {
     routing: new WeightedRoutingPolicy({ batchEfficiencyWeight: form.batchEfficiencyWeight, loadsPerSecond: size.loadsPerSecond }),
     eviction: form.eviction ?? new StallEvictionPolicy(),
-    loadOrder: new StallLoadOrder(),
-    makeQueue: () => new VirtualTimeFairQueue<SimulatedRequest>({ ledger, reservedPlaces }),
+    loadOrder: new StallLoadOrderingPolicy(),
+    makeQueue: () => new VirtualTimeFairQueue<SimulatedRequest>({ accounting: ledger, reservedPlaces }),
     loadAhead: new PopularityLoadAhead(),
     ledger,
-    loadLedger: new ServiceLedger({ memoryTokens: LOADS_REMEMBERED }),
+    loadLedger: new ServiceAccounting({ memoryTokens: LOADS_REMEMBERED }),
     guard: new OverloadGuard<SimulatedRequest>()
   }
 }
--- a/packages/load/src/policy/simulation/engine-view.ts
+++ b/packages/load/src/policy/simulation/engine-view.ts
@@ -14,7 +14,7 @@
 export class EngineView implements EndpointView {
   readonly endpoint: EndpointId
   readonly dataCentre: DataCentreId
-  readonly distance: number
+  readonly oneWayMilliseconds: number
   readonly baseModel = 'base'
   readonly role = 'generate'
   readonly slots: number
@@ -22,9 +22,9 @@
   readonly leaving = false
   queued = 0
   running = 0
-  sentSince = 0
+  sentSinceReport = 0
   pinnedSlots = 0
-  loadsAhead = 0
+  pendingLoads = 0
   readonly evictionCost?: () => number
   /** What a report tells of each team's place in the queue. */
   private readonly aheadOfTeam = new Map<string, number>()
@@ -44,7 +44,7 @@
     const place = engine.index % DATA_CENTRES
     this.endpoint = `engine-${String(engine.index).padStart(3, '0')}` as EndpointId
     this.dataCentre = `data-centre-${place}` as DataCentreId
-    this.distance = place === 0 ? 0 : DISTANCE_MILLISECONDS
+    this.oneWayMilliseconds = place === 0 ? 0 : DISTANCE_MILLISECONDS
     this.slots = engine.slots.count
   }
 
@@ -71,9 +71,9 @@
   refresh (loadsAhead: number): void {
     this.queued = this.engine.queue.size
     this.running = this.engine.running.length
-    this.sentSince = 0
+    this.sentSinceReport = 0
     this.aheadOfTeam.clear()
     this.pinnedSlots = this.engine.slots.pinned
-    this.loadsAhead = loadsAhead
+    this.pendingLoads = loadsAhead
   }
 }
--- a/packages/load/src/policy/simulation/load-pipeline.ts
+++ b/packages/load/src/policy/simulation/load-pipeline.ts
@@ -1,6 +1,6 @@
 /** Loads of the whole deployment: what is wanted, which goes next, and who leaves for it. */
 import { notBeforeAfterFailure } from '@limpetwinch/decisions'
-import type { WantedLoad } from '@limpetwinch/decisions'
+import type { LoadCandidate } from '@limpetwinch/decisions'
 import type { EventQueue } from './event-queue.js'
 import type { PolicyBundle } from './policy-bundle.js'
 import type { SimulatedEngine } from './simulated-engine.js'
@@ -95,8 +95,8 @@
     return true
   }
 
-  private wanted (): WantedLoad[] {
-    const wanted: WantedLoad[] = []
+  private wanted (): LoadCandidate[] {
+    const wanted: LoadCandidate[] = []
     for (const engine of this.engines) {
       for (const [adapter, waiting] of engine.waitingByAdapter) {
         if (engine.slots.get(adapter) !== undefined) continue
@@ -109,7 +109,7 @@
           team: first.team,
           endpoint: String(engine.index),
           waitingSince: first.stalledSince,
-          waiters: waiting.size,
+          waitingRequests: waiting.size,
           highestPriority: Math.max(...[...waiting].map((request) => request.priority)),
           shareUsed: this.policy.loadLedger?.shareUsed(first.team) ?? 1,
           failures: failure?.failures ?? 0,
@@ -120,7 +120,7 @@
     return wanted
   }
 
-  private begin (load: WantedLoad, now: number): boolean {
+  private begin (load: LoadCandidate, now: number): boolean {
     const engine = this.engines[Number(load.endpoint)]
     if (engine === undefined || !this.makeRoom(engine, load.adapter, now)) return false
     this.policy.loadLedger?.charge(load.team, 1)
@@ -180,7 +180,7 @@
   }
 
   /** Teams whose loads wait are backlogged in the accounts of loads. */
-  private tellLedger (wanted: readonly WantedLoad[]): void {
+  private tellLedger (wanted: readonly LoadCandidate[]): void {
     const ledger = this.policy.loadLedger
     if (ledger === undefined) return
     const teams = new Set(wanted.map((load) => load.team))
@@ -190,7 +190,7 @@
   }
 
   /** A load that failed is wanted again at a time when nothing else may happen. */
-  private wakeForBackoff (wanted: readonly WantedLoad[], now: number): void {
+  private wakeForBackoff (wanted: readonly LoadCandidate[], now: number): void {
     let earliest = Infinity
     for (const load of wanted) if (load.notBefore > now) earliest = Math.min(earliest, load.notBefore)
     if (earliest === Infinity || (this.wakesAt > now && this.wakesAt <= earliest)) return
--- a/packages/load/src/policy/simulation/policy-bundle.ts
+++ b/packages/load/src/policy/simulation/policy-bundle.ts
@@ -1,5 +1,5 @@
 /** Everything that decides in one run. */
-import type { EvictionPolicy, FairQueue, LoadAhead, LoadOrder, OverloadGuard, RoutingPolicy, ServiceLedger } from '@limpetwinch/decisions'
+import type { EvictionPolicy, FairQueue, LoadAhead, LoadOrderingPolicy, OverloadGuard, RoutingPolicy, ServiceAccounting } from '@limpetwinch/decisions'
 import type { DeploymentSize } from '../traces/trace.js'
 import type { SimulatedRequest } from './simulated-request.js'
 
@@ -7,15 +7,15 @@
 export interface PolicyBundle {
   readonly routing: RoutingPolicy
   readonly eviction: EvictionPolicy
-  readonly loadOrder: LoadOrder
+  readonly loadOrder: LoadOrderingPolicy
   /** @returns the queue of one engine */
   readonly makeQueue: () => FairQueue<SimulatedRequest>
   /** Loads into free slots what nobody waits for yet. */
   readonly loadAhead?: LoadAhead
   /** Accounts of tokens that the queues share; without it the router knows no shares. */
-  readonly ledger?: ServiceLedger
+  readonly ledger?: ServiceAccounting
   /** Accounts of loads; without it a load's order knows no shares. */
-  readonly loadLedger?: ServiceLedger
+  readonly loadLedger?: ServiceAccounting
   /** Refuses early; without it a request is given up at its deadline. */
   readonly guard?: OverloadGuard<SimulatedRequest>
 }
--- a/packages/load/src/policy/simulation/simulated-engine.ts
+++ b/packages/load/src/policy/simulation/simulated-engine.ts
@@ -55,7 +55,7 @@
     const slot = this.slots.get(request.adapter)
     if (slot !== undefined) slot.waiting += 1
     if (slot?.state !== 'loaded') request.beginStall(now)
-    this.eviction.used(request.adapter, request.team, request.cost, now)
+    this.eviction.recordUse(request.adapter, request.team, request.cost, now)
   }
 
   /** Notes that a request left the queue, by whatever way. */
--- a/packages/load/src/policy/simulation/simulation.ts
+++ b/packages/load/src/policy/simulation/simulation.ts
@@ -96,7 +96,7 @@
   }
 
   private arrives (request: SimulatedRequest, now: number): void {
-    this.policy.loadAhead?.used(request.adapter, now)
+    this.policy.loadAhead?.recordUse(request.adapter, now)
     this.route(request, now)
     this.loads.run(now)
   }
@@ -111,7 +111,7 @@
       promptTokens: request.trace.promptTokens,
       maximumTokens: request.maximumTokens,
       priority: request.priority,
-      shareUsed: this.policy.ledger?.shareOfActive(request.team) ?? 1,
+      shareUsed: this.policy.ledger?.shareUsedAmongActive(request.team) ?? 1,
       avoid: NONE
     }, this.views, now)
     const index = this.views.findIndex((view) => view.endpoint === chosen)
@@ -119,7 +119,7 @@
     const view = this.views[index]
     if (engine === undefined || view === undefined) return this.refuse(request, now)
     if (!hasRun && !this.admit(request, engine, now)) return this.refuse(request, now)
-    view.sentSince += 1
+    view.sentSinceReport += 1
     this.enqueue(request, engine, now)
   }
 
@@ -212,7 +212,7 @@
     this.views.forEach((view, index) => {
       const engine = this.engines[index]
       if (engine !== undefined) view.refresh(this.loads.ahead(engine))
-      this.loadsAhead += view.loadsAhead
+      this.loadsAhead += view.pendingLoads
     })
     for (const engine of this.engines) this.expire(engine, now)
     this.service.sample(now)
