--- a/packages/entry/src/admin/status.ts
+++ b/packages/entry/src/admin/status.ts
@@ -71,11 +71,11 @@
   const { scheduler } = owned
   const teams = new Map<string, number>()
   for (const running of scheduler.running.values()) {
-    teams.set(running.ask.team, (teams.get(running.ask.team) ?? 0) + 1)
+    teams.set(running.request.team, (teams.get(running.request.team) ?? 0) + 1)
   }
   return {
     slots: scheduler.slots.all().map((slot) => ({ name: slot.name, state: slot.state, pins: slot.pins.size, waiting: scheduler.waitingFor(slot.adapter).size })),
-    wanted: scheduler.wantedAdapters(),
+    wanted: scheduler.adaptersAwaitingLoad(),
     runningByTeam: Object.fromEntries(teams),
     batchFill: owned.latestReport?.batchFill
   }
--- a/packages/entry/src/callers/completions.ts
+++ b/packages/entry/src/callers/completions.ts
@@ -7,7 +7,7 @@
 import type { AdapterReference, Clock, OperatorSettings, RequestId } from '@limpetwinch/core'
 import type { Delivery, DeliveryRequest } from '../delivery/delivery.js'
 import type { CountedOutcome, Measures, Series } from '../measures/measures.js'
-import type { Claims, HeldClaim } from '../outcomes/claims.js'
+import type { IdempotencyClaims, HeldClaim } from '../outcomes/idempotency-claims.js'
 import type { Authentication, CallerTeams } from './authentication.js'
 import { parseJson, readBody } from './body-reader.js'
 import type { BodyLimits } from './body-reader.js'
@@ -26,7 +26,7 @@
   readonly settings: () => OperatorSettings | undefined
   readonly authentication: Authentication
   readonly gate: TeamGate
-  readonly claims: Claims
+  readonly claims: IdempotencyClaims
   readonly delivery: Delivery
   readonly measures: Measures
   readonly bodyLimits: BodyLimits
--- a/packages/entry/src/delivery/admission-client.ts
+++ b/packages/entry/src/delivery/admission-client.ts
@@ -46,7 +46,7 @@
 
   /** Ends the admission. To be called when the engine certainly does not run the request any more. */
   done (outcome: AdmissionOutcome, outputTokens: number): void {
-    this.client.tellDone(this.owner, this.endpoint, this.requestId, outcome, outputTokens)
+    this.client.notifyDone(this.owner, this.endpoint, this.requestId, outcome, outputTokens)
   }
 }
 
@@ -80,7 +80,7 @@
     const reply = await this.network.call(route.owner, { kind: 'admission-ask', endpoint, ...request }, request.patience + ANSWER_GRACE_MILLISECONDS, signal)
     const grant = reply.andThen((body) => this.read(body, endpoint))
     if (grant.isErr()) {
-      this.tellDone(route.owner, endpoint, request.requestId, 'withdrawn', 0)
+      this.notifyDone(route.owner, endpoint, request.requestId, 'withdrawn', 0)
       return err(new LimpetwinchError(grant.error.kind, grant.error.details, {
         outcome: 'not_run',
         cause: grant.error,
@@ -92,7 +92,7 @@
   }
 
   /** Takes the request out of the table and tells the owner, present and former. */
-  tellDone (owner: InstanceId, endpoint: EndpointId, requestId: RequestId, outcome: AdmissionOutcome, outputTokens: number): void {
+  notifyDone (owner: InstanceId, endpoint: EndpointId, requestId: RequestId, outcome: AdmissionOutcome, outputTokens: number): void {
     this.table.leave(endpoint, requestId)
     const frame = { kind: 'admission-done', requestId, endpoint, outcome, outputTokens } as const
     this.network.notify(owner, frame)
@@ -104,7 +104,7 @@
   private read (body: ReplyBody, endpoint: EndpointId): Result<Grant, LimpetwinchError> {
     if (body.kind === 'admission-granted') {
       // A new owner has asked what runs here and was told without this request: its adapter may be evicted any moment.
-      if (!this.table.honours(endpoint, body.token)) return err(new LimpetwinchError('not-owner', { endpoint }))
+      if (!this.table.accepts(endpoint, body.token)) return err(new LimpetwinchError('not-owner', { endpoint }))
       return ok(body)
     }
     if (body.kind === 'admission-refused' || body.kind === 'refused') {
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -13,8 +13,8 @@
 import { endAbandonedRun } from './abandoned-run.js'
 import { EngineAnswer } from './engine-answer.js'
 import type { StreamLimits } from './engine-answer.js'
-import { Replacement } from './replacement.js'
-import type { Admitted } from './replacement.js'
+import { ReplacementAdmission } from './replacement-admission.js'
+import type { Admitted } from './replacement-admission.js'
 
 const MOST_ATTEMPTS = 4
 const ASK_AGAIN_MILLISECONDS = 50
@@ -122,7 +122,7 @@
 class DeliveryRun {
   private readonly avoid = new Set<EndpointId>()
   private readonly delivered: string[] = []
-  private readonly story: RequestStory
+  private readonly timeline: RequestStory
   private attempts = 0
   /** Attempts beyond the first that the retry budget has paid for. */
   private paidRetries = 0
@@ -135,7 +135,7 @@
     private readonly signal: AbortSignal,
     private readonly deadline: Deadline
   ) {
-    this.story = options.explain.begin(request.requestId, request.adapterName)
+    this.timeline = options.explain.begin(request.requestId, request.adapterName)
   }
 
   async * events (): AsyncGenerator<DeliveryEvent> {
@@ -143,16 +143,16 @@
     let next: Admitted | undefined
     for (;;) {
       const admission = next === undefined ? await this.admit() : ok(next)
-      if (admission.isErr()) return yield this.final(admission.error)
+      if (admission.isErr()) return yield this.finalError(admission.error)
       const { held, route } = admission.value
       yield { kind: 'admitted', endpoint: route.engine.endpoint, servedAs: held.loadedName, loadStall: held.grant.loadStall, queueWait: held.grant.queueWait }
       const attempt = yield * this.attempt(route, held)
       // Yielded last of all: a reader stops at the end, and nothing of an attempt that it cut short is run after it.
       if (attempt.whole) return yield attempt.end
       next = attempt.next
-      if (next === undefined && !await this.mayTryAgain(attempt.error)) return yield this.final(attempt.error)
+      if (next === undefined && !await this.mayTryAgain(attempt.error)) return yield this.finalError(attempt.error)
       this.attempts += 1
-      this.story.add('tries again', { attempt: this.attempts })
+      this.timeline.add('tries again', { attempt: this.attempts })
       this.avoid.add(route.engine.endpoint)
     }
   }
@@ -165,9 +165,9 @@
     const silent = new Set<EndpointId>()
     for (;;) {
       if (this.signal.aborted) return err(this.ended('not_run'))
-      const route = this.options.router.route({ ...this.question(), avoid: new Set([...this.avoid, ...silent]) }, this.settings)
+      const route = this.options.router.route({ ...this.routingQuestion(), avoid: new Set([...this.avoid, ...silent]) }, this.settings)
       if (route.isErr() && silent.size === 0) {
-        if (!await this.searchOn()) return err(route.error)
+        if (!await this.waitToRetryRefusal()) return err(route.error)
         continue
       }
       if (route.isErr() || silent.has(route.value.engine.endpoint)) {
@@ -178,9 +178,9 @@
       }
       const held = await this.ask(route.value, this.attemptId(this.attempts), this.signal)
       if (held.isOk()) return ok({ held: held.value, route: route.value })
-      this.story.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
-      if (!isPassing(held.error)) {
-        if (!await this.searchOn()) return err(held.error)
+      this.timeline.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
+      if (!isTransient(held.error)) {
+        if (!await this.waitToRetryRefusal()) return err(held.error)
         continue
       }
       if (!this.followOwner(route.value, held.error)) silent.add(route.value.engine.endpoint)
@@ -193,7 +193,7 @@
    * @returns false when nothing has run: its caller is better told so at once, and comes back; once a run was lost, all that
    *   could be told is `unknown`, with a part of the answer read already
    */
-  private async searchOn (): Promise<boolean> {
+  private async waitToRetryRefusal (): Promise<boolean> {
     if (!this.mayHaveRun || this.signal.aborted) return false
     await this.options.clock.sleep(SEARCH_AGAIN_MILLISECONDS, this.signal)
     return true
@@ -203,7 +203,7 @@
   private followOwner (route: Route, error: LimpetwinchError): boolean {
     const { owner } = error.details
     if (typeof owner !== 'string' || owner === route.owner) return false
-    this.options.directory.moved(route.engine.endpoint, owner as InstanceId)
+    this.options.directory.setOwner(route.engine.endpoint, owner as InstanceId)
     return true
   }
 
@@ -211,7 +211,7 @@
     const { admissions, directory, clock } = this.options
     const { request } = this
     directory.sent(route.engine.endpoint, request.adapterName)
-    this.story.add('asked for admission', { endpoint: route.engine.endpoint, owner: route.owner })
+    this.timeline.add('asked for admission', { endpoint: route.engine.endpoint, owner: route.owner })
     return await admissions.ask(route, {
       requestId,
       adapter: request.adapter,
@@ -227,12 +227,12 @@
   private async askElsewhere (present: EndpointId, signal: AbortSignal): Promise<Admitted | undefined> {
     if (!this.hasAttemptLeft() || !this.request.idempotent) return undefined
     const avoid = new Set([...this.avoid, present])
-    const route = this.options.router.route({ ...this.question(), avoid }, this.settings)
+    const route = this.options.router.route({ ...this.routingQuestion(), avoid }, this.settings)
     if (route.isErr() || avoid.has(route.value.engine.endpoint) || !this.payForRetry()) return undefined
     const held = await this.ask(route.value, this.attemptId(this.attempts + 1), signal)
     if (held.isOk()) return { held: held.value, route: route.value }
-    this.story.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
-    if (isPassing(held.error)) this.followOwner(route.value, held.error)
+    this.timeline.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
+    if (isTransient(held.error)) this.followOwner(route.value, held.error)
     return undefined
   }
 
@@ -254,16 +254,16 @@
       seed: this.request.seed,
       ...(this.request.temperature === undefined ? {} : { temperature: this.request.temperature })
     }, streamLimits, clock)
-    this.story.add('sent', { endpoint, loadedName: held.loadedName, attempt: this.attempts })
+    this.timeline.add('sent', { endpoint, loadedName: held.loadedName, attempt: this.attempts })
     prefixes.sent(endpoint, this.request.adapterName, this.request.prompt)
     const stop = new LinkedAbort(this.signal)
-    const replacement = new Replacement(async (signal) => await this.askElsewhere(endpoint, signal), () => stop.abort(), this.signal)
+    const replacement = new ReplacementAdmission(async (signal) => await this.askElsewhere(endpoint, signal), () => stop.abort(), this.signal)
     let ended = false
     try {
       const attempt = yield * this.relay(answer, held, stop.signal, replacement)
       ended = attempt.whole || attempt.error.outcome === 'not_run'
       // A stalled run was told before.
-      if (attempt.whole || !replacement.sought) this.tellRouter(endpoint, attempt)
+      if (attempt.whole || !replacement.everRequested) this.reportToPolicy(endpoint, attempt)
       if (attempt.whole) return attempt
       this.mayHaveRun ||= attempt.error.outcome === 'unknown'
       return { ...attempt, next: await replacement.take() }
@@ -275,20 +275,20 @@
   }
 
   /** A caller that leaves ends its run, which says nothing of the engine. */
-  private tellRouter (endpoint: EndpointId, attempt: Attempt): void {
+  private reportToPolicy (endpoint: EndpointId, attempt: Attempt): void {
     const { policy, clock } = this.options
     const callerLeft = this.signal.aborted && !this.deadline.passed
     if (attempt.whole) policy().observe(endpoint, 'answered', clock.now())
     else if (!callerLeft) policy().observe(endpoint, 'failed', clock.now())
   }
 
-  private async * relay (answer: EngineAnswer, held: HeldAdmission, signal: AbortSignal, replacement: Replacement): AsyncGenerator<DeliveryEvent, Attempt> {
+  private async * relay (answer: EngineAnswer, held: HeldAdmission, signal: AbortSignal, replacement: ReplacementAdmission): AsyncGenerator<DeliveryEvent, Attempt> {
     let position = 0
     for await (const event of answer.events(signal)) {
       if (event.kind === 'stalled') {
-        this.stalled(held.endpoint, replacement)
+        this.handleStall(held.endpoint, replacement)
       } else if (event.kind === 'text') {
-        replacement.drop()
+        replacement.cancelRequest()
         for (const text of event.texts) {
           const known = this.delivered[position]
           if (known === undefined) {
@@ -302,11 +302,11 @@
         }
       } else if (event.kind === 'end') {
         held.done('answered', event.end.outputTokens)
-        this.story.add('answered whole', { outputTokens: event.end.outputTokens })
+        this.timeline.add('answered whole', { outputTokens: event.end.outputTokens })
         const { finishReason, promptTokens, outputTokens } = event.end
         return { whole: true, end: { kind: 'end', finishReason, promptTokens, outputTokens } }
       } else {
-        this.story.add('attempt failed', { kind: event.error.kind, outcome: event.error.outcome, reason: event.error.message })
+        this.timeline.add('attempt failed', { kind: event.error.kind, outcome: event.error.outcome, reason: event.error.message })
         if (event.error.outcome === 'not_run') held.done('not-run', 0)
         return { whole: false, error: event.error }
       }
@@ -315,12 +315,12 @@
   }
 
   /** The run may go on, so it is kept until another engine has admitted the request. */
-  private stalled (endpoint: EndpointId, replacement: Replacement): void {
+  private handleStall (endpoint: EndpointId, replacement: ReplacementAdmission): void {
     const { policy, clock } = this.options
-    this.story.add('stalled', { endpoint })
+    this.timeline.add('stalled', { endpoint })
     // Told once and at once: the run may be kept for long, and new requests are better sent elsewhere meanwhile.
-    if (!replacement.sought) policy().observe(endpoint, 'failed', clock.now())
-    replacement.seek()
+    if (!replacement.everRequested) policy().observe(endpoint, 'failed', clock.now())
+    replacement.request()
   }
 
   /**
@@ -339,7 +339,7 @@
     if (error.outcome === 'unknown' && !this.request.idempotent) return false
     while (this.hasAttemptLeft()) {
       if (this.payForRetry()) return true
-      if (!await this.searchOn()) return false
+      if (!await this.waitToRetryRefusal()) return false
     }
     return false
   }
@@ -357,11 +357,11 @@
   }
 
   /** What the caller is told: once anything may have run, no later refusal makes it `not_run` again. */
-  private final (error: LimpetwinchError): DeliveryEvent {
+  private finalError (error: LimpetwinchError): DeliveryEvent {
     const outcome = this.mayHaveRun ? 'unknown' : error.outcome
     const options = error.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: error.retryAfterSeconds }
     const told = this.signal.aborted ? this.ended(outcome) : new LimpetwinchError(error.kind, error.details, { outcome, cause: error, ...options })
-    this.story.add('told an error', { kind: told.kind, outcome })
+    this.timeline.add('told an error', { kind: told.kind, outcome })
     return { kind: 'error', error: told }
   }
 
@@ -374,7 +374,7 @@
     return (attempts === 0 ? this.request.requestId : `${this.request.requestId}~${attempts + 1}`) as RequestId
   }
 
-  private question (): Omit<Parameters<Router['route']>[0], 'avoid'> {
+  private routingQuestion (): Omit<Parameters<Router['route']>[0], 'avoid'> {
     const { request } = this
     return {
       adapter: request.adapterName,
@@ -390,6 +390,6 @@
 }
 
 /** Errors of an owner that moved or went: the next one is asked at once. */
-function isPassing (error: LimpetwinchError): boolean {
+function isTransient (error: LimpetwinchError): boolean {
   return error.kind === 'not-owner' || error.kind === 'peer-unreachable' || error.kind === 'peer-silent'
 }
--- a/packages/entry/src/delivery/engine-answer.ts
+++ b/packages/entry/src/delivery/engine-answer.ts
@@ -11,7 +11,7 @@
 /** When a stream is taken up again, and when another engine is looked for. */
 export interface StreamLimits {
   /** A connection that says nothing for so long is left for a new one. */
-  readonly silenceMilliseconds: number
+  readonly idleTimeoutMilliseconds: number
   /** A stream that was taken up again so often without progress has stalled. */
   readonly resumesWithoutProgress: number
 }
@@ -95,7 +95,7 @@
 
   /** Reads one connection until it ends, breaks, or says nothing for too long. */
   private async * connection (resumed: boolean, signal: AbortSignal): AsyncGenerator<AnswerEvent, StepResult> {
-    const silence = new SilenceWatch(signal, this.limits.silenceMilliseconds)
+    const silence = new IdleTimeout(signal, this.limits.idleTimeoutMilliseconds)
     const source = resumed
       ? this.client.resume(this.request.requestId, this.assembler.next, silence.signal)
       : this.client.generate(this.request, silence.signal)
@@ -146,7 +146,7 @@
 }
 
 /** Ends a connection that says nothing. One timer for the whole stream, so that a token costs no timer. */
-class SilenceWatch {
+class IdleTimeout {
   private readonly link: LinkedAbort
   private readonly timer: NodeJS.Timeout
   private listeningSince = performance.now()
--- a/packages/entry/src/delivery/in-flight-table.ts
+++ b/packages/entry/src/delivery/in-flight-table.ts
@@ -35,13 +35,13 @@
   }
 
   /** @returns whether a grant under this token may still be used */
-  honours (endpoint: EndpointId, token: FencingToken): boolean {
+  accepts (endpoint: EndpointId, token: FencingToken): boolean {
     return token >= (this.lowestTokens.get(endpoint) ?? 0)
   }
 
   /** Refuses grants under older tokens from now on, and tells all that may be running. */
-  raise (endpoint: EndpointId, token: FencingToken): readonly InFlight[] {
-    if (this.honours(endpoint, token)) this.lowestTokens.set(endpoint, token)
+  raiseLowestToken (endpoint: EndpointId, token: FencingToken): readonly InFlight[] {
+    if (this.accepts(endpoint, token)) this.lowestTokens.set(endpoint, token)
     return this.at(endpoint)
   }
 
--- a/packages/entry/src/delivery/replacement.ts
+++ b/packages/entry/src/delivery/replacement-admission.ts
@@ -10,39 +10,39 @@
 }
 
 /** Asks for an admission elsewhere. @returns undefined when none can be had now */
-export type AskElsewhere = (signal: AbortSignal) => Promise<Admitted | undefined>
+export type AdmitElsewhere = (signal: AbortSignal) => Promise<Admitted | undefined>
 
 /** The replacement of one run: sought, dropped when the run goes on after all, or secured once. */
-export class Replacement {
-  private readonly ask: AskElsewhere
-  private readonly whenSecured: () => void
+export class ReplacementAdmission {
+  private readonly ask: AdmitElsewhere
+  private readonly onSecured: () => void
   private readonly signal: AbortSignal
   private asking: { readonly abort: LinkedAbort, readonly done: Promise<void> } | undefined
   private secured: Admitted | undefined
   /** Whether one was ever sought. */
-  sought = false
+  everRequested = false
 
   /**
    * @param ask - asks for the admission
-   * @param whenSecured - called once, when the run may be given up
+   * @param onSecured - called once, when the run may be given up
    * @param signal - ends every ask
    */
-  constructor (ask: AskElsewhere, whenSecured: () => void, signal: AbortSignal) {
+  constructor (ask: AdmitElsewhere, onSecured: () => void, signal: AbortSignal) {
     this.ask = ask
-    this.whenSecured = whenSecured
+    this.onSecured = onSecured
     this.signal = signal
   }
 
   /** Asks, unless it does so already. */
-  seek (): void {
-    this.sought = true
+  request (): void {
+    this.everRequested = true
     if (this.asking !== undefined || this.secured !== undefined || this.signal.aborted) return
     const abort = new LinkedAbort(this.signal)
     this.asking = { abort, done: this.settle(abort) }
   }
 
   /** The run goes on: an ask under way is withdrawn. What is secured stays so. */
-  drop (): void {
+  cancelRequest (): void {
     this.asking?.abort.abort()
   }
 
@@ -56,7 +56,7 @@
 
   /** Nothing is needed any more. */
   async release (): Promise<void> {
-    this.drop()
+    this.cancelRequest()
     const secured = await this.take()
     secured?.held.done('withdrawn', 0)
   }
@@ -68,6 +68,6 @@
     if (admitted === undefined) return
     if (abort.signal.aborted) return admitted.held.done('withdrawn', 0)
     this.secured = admitted
-    this.whenSecured()
+    this.onSecured()
   }
 }
--- a/packages/entry/src/delivery/service-delivery.ts
+++ b/packages/entry/src/delivery/service-delivery.ts
@@ -69,14 +69,14 @@
       // Once the call may have run, all that could be told is `unknown`; the fault of one that failed may have passed.
       if (fresh === undefined && mayHaveRun) await this.options.clock.sleep(SAME_AGAIN_MILLISECONDS, signal)
       const chosen = fresh ?? (mayHaveRun && !signal.aborted ? this.choose(service, settings, NONE) : undefined)
-      if (chosen === undefined) return err(this.told(this.noEndpoint(service), mayHaveRun))
+      if (chosen === undefined) return err(this.withFinalOutcome(this.noEndpoint(service), mayHaveRun))
       const result = await this.attempt(chosen, call, story, signal)
       if (result.isOk()) return result
       mayHaveRun ||= result.error.outcome === 'unknown'
       avoid.add(chosen.endpoint)
       const mayRepeat = idempotent || !mayHaveRun
-      if (!mayRepeat || signal.aborted || attempt >= MOST_ATTEMPTS) return err(this.told(result.error, mayHaveRun))
-      if (!this.options.retryBudget.withdraw(this.options.clock.now())) return err(this.told(result.error, mayHaveRun))
+      if (!mayRepeat || signal.aborted || attempt >= MOST_ATTEMPTS) return err(this.withFinalOutcome(result.error, mayHaveRun))
+      if (!this.options.retryBudget.withdraw(this.options.clock.now())) return err(this.withFinalOutcome(result.error, mayHaveRun))
     }
   }
 
@@ -115,7 +115,7 @@
     return new LimpetwinchError('no-endpoint', { reason: `no endpoint of service '${service}' is left to try` }, { retryAfterSeconds: RETRY_SECONDS })
   }
 
-  private told (error: LimpetwinchError, mayHaveRun: boolean): LimpetwinchError {
+  private withFinalOutcome (error: LimpetwinchError, mayHaveRun: boolean): LimpetwinchError {
     if (!mayHaveRun || error.outcome === 'unknown') return error
     return new LimpetwinchError(error.kind, error.details, { outcome: 'unknown', cause: error })
   }
--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -19,7 +19,7 @@
 import { InFlightTable } from './delivery/in-flight-table.js'
 import { ServiceDelivery } from './delivery/service-delivery.js'
 import { EndpointClients } from './endpoints/endpoint-clients.js'
-import { ConductedLoadTurns } from './loads/conducted-load-turns.js'
+import { CoordinatedLoadTurns } from './loads/coordinated-load-turns.js'
 import { PacedLoadTurns } from './loads/paced-load-turns.js'
 import { ExplainLog } from './measures/explain-log.js'
 import { Measures } from './measures/measures.js'
@@ -31,7 +31,7 @@
 import { EndpointDirectory } from './routing/endpoint-directory.js'
 import { PrefixTracker } from './routing/prefix-tracker.js'
 import { Router } from './routing/router.js'
-import { RoutingInForce } from './routing/routing-in-force.js'
+import { CurrentRoutingPolicy } from './routing/current-routing-policy.js'
 import { Supervisor } from './runtime/supervisor.js'
 import { WorkInProgress } from './runtime/work-in-progress.js'
 import type { OwnedEndpoints } from './scheduling/owned-endpoints.js'
@@ -81,7 +81,7 @@
   private readonly retryBudget: RetryBudget = new ShareRetryBudget()
   private readonly work = new WorkInProgress()
   private readonly clients: EndpointClients
-  private readonly routing = new RoutingInForce()
+  private readonly routing = new CurrentRoutingPolicy()
   private readonly recoveries: EndpointRecoveries
   private readonly owned: OwnedEndpoints
   private readonly handOvers: HandOvers
@@ -163,7 +163,7 @@
     })
     this.follower.onChange(() => this.settingsChanged())
     this.answerPinsAsks()
-    this.network.onNotice('endpoint-digest', (from, frame) => { this.directory.hear(from, frame, clock.now()) })
+    this.network.onNotice('endpoint-digest', (from, frame) => { this.directory.applyDigest(from, frame, clock.now()) })
     this.describeHeartbeats()
     const router = this.buildRouter()
     this.callerServer = this.buildCallerServer(router)
@@ -256,7 +256,7 @@
       ownership: this.ownership,
       settings: () => this.follower.current(),
       directory: this.directory,
-      loadTurns: new ConductedLoadTurns({
+      loadTurns: new CoordinatedLoadTurns({
         peers: this.network,
         membership: this.membership,
         logger,
@@ -300,7 +300,7 @@
         retryBudget: this.retryBudget,
         explain: this.explain,
         shareUsed: (team) => this.owned.shareUsed(team),
-        streamLimits: { silenceMilliseconds: SILENCE_MILLISECONDS, resumesWithoutProgress: RESUMES_WITHOUT_PROGRESS },
+        streamLimits: { idleTimeoutMilliseconds: SILENCE_MILLISECONDS, resumesWithoutProgress: RESUMES_WITHOUT_PROGRESS },
         clock: this.clock
       }),
       measures: this.measures,
@@ -355,7 +355,7 @@
   private answerPinsAsks (): void {
     this.network.onCall('pins-ask', async (_from, frame) => ({
       kind: 'pins-report',
-      pins: this.inFlight.raise(frame.endpoint, frame.token).map(({ requestId, loadedName, team }) => ({ requestId, loadedName, team }))
+      pins: this.inFlight.raiseLowestToken(frame.endpoint, frame.token).map(({ requestId, loadedName, team }) => ({ requestId, loadedName, team }))
     }))
   }
 
@@ -373,9 +373,9 @@
     const settings = this.follower.current()
     if (settings === undefined) return
     this.settingsSince ??= this.clock.now()
-    this.routing.follow(settings.policy)
+    this.routing.applySettings(settings.policy)
     this.ownership.look()
-    this.owned.follow()
+    this.owned.reconcile()
   }
 
   private enginesHere (): readonly EngineSettings[] | undefined {
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-parts.ts
@@ -5,7 +5,7 @@
 import type { DeliveryOptions } from './delivery/delivery.js'
 import { ListMembership } from './membership/list-membership.js'
 import type { ListMembershipOptions } from './membership/list-membership.js'
-import { Claims } from './outcomes/claims.js'
+import { IdempotencyClaims } from './outcomes/idempotency-claims.js'
 import { RECOVERY_TIMES } from './ownership/endpoint-recovery.js'
 import type { RecoveryTimes } from './ownership/endpoint-recovery.js'
 import { StoreOwnership } from './ownership/store-ownership.js'
@@ -48,8 +48,8 @@
   }
 
   /** @returns the holder of idempotency keys */
-  claims (store: ObjectStore, clock: Clock): Claims {
-    return new Claims(store, clock)
+  claims (store: ObjectStore, clock: Clock): IdempotencyClaims {
+    return new IdempotencyClaims(store, clock)
   }
 
   /** @returns the delivery of answers */
--- a/packages/entry/src/loads/conducted-load-turns.ts
+++ b/packages/entry/src/loads/coordinated-load-turns.ts
@@ -5,14 +5,14 @@
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 import { rendezvousRank } from '../placement/rendezvous.js'
-import { LoadTurnConductor } from './load-turn-conductor.js'
+import { LoadTurnCoordinator } from './load-turn-coordinator.js'
 import { LoadTurns } from './load-turns.js'
 
 const ASK_MILLISECONDS = 10_000
 const LONGEST_TURN_MILLISECONDS = 10_000
 
 /** What the turns are made of. */
-export interface ConductedLoadTurnsOptions {
+export interface CoordinatedLoadTurnsOptions {
   readonly peers: PeerNetwork
   readonly membership: Membership
   readonly logger: Logger
@@ -26,23 +26,23 @@
 }
 
 /** {@link LoadTurns} from a conductor, with a share of the rate as the fallback. It needs no fencing: two loads at once are slower, not wrong. */
-export class ConductedLoadTurns extends LoadTurns {
+export class CoordinatedLoadTurns extends LoadTurns {
   /** Turns taken without a conductor so far. */
-  unconducted = 0
-  private readonly options: ConductedLoadTurnsOptions
+  turnsWithoutCoordinator = 0
+  private readonly options: CoordinatedLoadTurnsOptions
   private readonly clock: Clock
-  private readonly conductor: LoadTurnConductor
+  private readonly conductor: LoadTurnCoordinator
 
   /** @param options - the surroundings */
-  constructor (options: ConductedLoadTurnsOptions) {
+  constructor (options: CoordinatedLoadTurnsOptions) {
     super()
     this.options = options
     this.clock = options.clock ?? new SystemClock()
-    this.conductor = new LoadTurnConductor(this.clock, options.longestTurnMilliseconds ?? LONGEST_TURN_MILLISECONDS)
+    this.conductor = new LoadTurnCoordinator(this.clock, options.longestTurnMilliseconds ?? LONGEST_TURN_MILLISECONDS)
     const { peers } = options
     peers.onNotice('load-turn-done', (from, frame) => this.conductor.done(from, frame.turn))
     peers.onCall('load-turn-ask', async (from, frame, signal) => {
-      const granted = await this.conductor.ask(from, frame.turn, frame.urgency, signal)
+      const granted = await this.conductor.acquire(from, frame.turn, frame.urgency, signal)
       if (granted) return { kind: 'accepted' }
       return { kind: 'refused', error: 'overloaded', details: { reason: 'the turn lapsed' }, outcome: 'not_run' }
     })
@@ -53,7 +53,7 @@
     const began = this.clock.now()
     for (;;) {
       if (signal.aborted) throw new Error('the wait for a load turn was given up')
-      const conductor = this.conductorNow()
+      const conductor = this.currentCoordinator()
       if (conductor === undefined) break
       const waited = this.clock.now() - began
       const answer = await this.options.peers.call(conductor, { kind: 'load-turn-ask', turn, urgency: urgency + waited }, ASK_MILLISECONDS, signal)
@@ -63,11 +63,11 @@
       const queued = answer.isErr() && answer.error.kind === 'peer-silent' && this.options.peers.connected().includes(conductor)
       if (!queued) break
     }
-    this.unconducted += 1
+    this.turnsWithoutCoordinator += 1
     return await this.options.fallback.acquire(urgency, signal)
   }
 
-  private conductorNow (): InstanceId | undefined {
+  private currentCoordinator (): InstanceId | undefined {
     const { membership, peers, scope } = this.options
     const alive = membership.members().filter((member) => member.state === 'alive' &&
       (scope === 'deployment' || member.dataCentre === peers.self.dataCentre))
--- a/packages/entry/src/loads/load-turn-conductor.ts
+++ b/packages/entry/src/loads/load-turn-coordinator.ts
@@ -12,7 +12,7 @@
 }
 
 /** Grants turns by urgency. It remembers nothing that must last: a new conductor starts empty. */
-export class LoadTurnConductor {
+export class LoadTurnCoordinator {
   private readonly clock: Clock
   private readonly longestTurnMilliseconds: number
   private readonly waiting = new Map<string, WaitingTurn>()
@@ -33,26 +33,26 @@
    * @param signal - ends with the asker's connection: what it waits for or holds lapses
    * @returns whether the turn was granted
    */
-  async ask (holder: InstanceId, turn: string, urgency: number, signal: AbortSignal): Promise<boolean> {
+  async acquire (holder: InstanceId, turn: string, urgency: number, signal: AbortSignal): Promise<boolean> {
     const key = keyOf(holder, turn)
-    this.giveUp(key)
-    const lapse = (): void => this.lapse(key)
-    const forget = (): void => signal.removeEventListener('abort', lapse)
-    signal.addEventListener('abort', lapse, { once: true })
+    this.cancelWait(key)
+    const endTurn = (): void => this.endTurn(key)
+    const forget = (): void => signal.removeEventListener('abort', endTurn)
+    signal.addEventListener('abort', endTurn, { once: true })
     return await new Promise<boolean>((resolve) => {
       this.waiting.set(key, { holder, turn, urgency, since: this.clock.now(), grant: resolve, forget })
-      if (signal.aborted) this.lapse(key)
+      if (signal.aborted) this.endTurn(key)
       else this.next()
     })
   }
 
   /** Takes a turn back. */
   done (holder: InstanceId, turn: string): void {
-    this.lapse(keyOf(holder, turn))
+    this.endTurn(keyOf(holder, turn))
   }
 
-  private lapse (key: string): void {
-    this.giveUp(key)
+  private endTurn (key: string): void {
+    this.cancelWait(key)
     if (this.current?.key !== key) return
     clearTimeout(this.current.timer)
     this.current.forget()
@@ -60,7 +60,7 @@
     this.next()
   }
 
-  private giveUp (key: string): void {
+  private cancelWait (key: string): void {
     const waiting = this.waiting.get(key)
     this.waiting.delete(key)
     waiting?.forget()
@@ -73,7 +73,7 @@
     if (first === undefined) return
     const [key, waiting] = first
     this.waiting.delete(key)
-    this.current = { key, timer: setTimeout(() => this.lapse(key), this.longestTurnMilliseconds), forget: waiting.forget }
+    this.current = { key, timer: setTimeout(() => this.endTurn(key), this.longestTurnMilliseconds), forget: waiting.forget }
     waiting.grant(true)
   }
 
--- a/packages/entry/src/outcomes/claims.ts
+++ b/packages/entry/src/outcomes/idempotency-claims.ts
@@ -7,7 +7,7 @@
 import type { Clock, IdempotencyKey, ObjectStore, RequestId, StoredObject, TeamId } from '@limpetwinch/core'
 
 const CLAIMS_PREFIX = '/claims'
-const READ_BACK_TRIES = 3
+const READ_BACK_ATTEMPTS = 3
 const READ_BACK_PAUSE_MILLISECONDS = 100
 const RETRY_SECONDS = 2
 
@@ -36,7 +36,7 @@
  * A record in the memory of an instance would be lost with it, and two instances that are cut off from each other
  * would both say yes; the store lets one create win, whatever happens to instances.
  */
-export class Claims {
+export class IdempotencyClaims {
   private readonly store: ObjectStore
   private readonly clock: Clock
 
@@ -59,13 +59,13 @@
     const path = pathOf(team, key)
     const first = await this.write(path, 0, 'claimed', requestId)
     if (first.isOk()) return first
-    if (first.error.kind !== 'version-conflict') return err(this.notClaimed(first.error))
+    if (first.error.kind !== 'version-conflict') return err(this.storeUnavailableError(first.error))
     const present = claimSchema.safeParse(first.error.details.value)
-    if (!present.success || present.data.state !== 'released') return err(this.used(present.data))
+    if (!present.success || present.data.state !== 'released') return err(this.keyUsedError(present.data))
     const version = Number(first.error.details.version)
     const again = await this.write(path, version, 'claimed', requestId)
     if (again.isOk()) return again
-    return err(again.error.kind === 'version-conflict' ? this.used(undefined) : this.notClaimed(again.error))
+    return err(again.error.kind === 'version-conflict' ? this.keyUsedError(undefined) : this.storeUnavailableError(again.error))
   }
 
   /** Lets the key be used again, since it is proved that nothing was run. Lost releases leave the key used: safe. */
@@ -88,7 +88,7 @@
 
   /** A write whose answer was lost may have taken effect; its own id tells, and it is never written a second time. */
   private async readBack (path: string, claim: Claim, lost: LimpetwinchError): Promise<Result<HeldClaim, LimpetwinchError>> {
-    for (let tries = 0; tries < READ_BACK_TRIES; tries += 1) {
+    for (let tries = 0; tries < READ_BACK_ATTEMPTS; tries += 1) {
       const read = await this.store.get(path)
       if (read.isOk()) return this.compare(read.value, path, claim, lost)
       await this.clock.sleep(READ_BACK_PAUSE_MILLISECONDS * 2 ** tries)
@@ -105,7 +105,7 @@
     return err(new LimpetwinchError('version-conflict', { path, version: present.version, value: present.value }))
   }
 
-  private used (claim: Claim | undefined): LimpetwinchError {
+  private keyUsedError (claim: Claim | undefined): LimpetwinchError {
     const state = claim?.state === 'answered'
       ? `was answered whole as request ${claim.requestId}`
       : `may have run as request ${claim?.requestId ?? 'of another instance'}`
@@ -113,7 +113,7 @@
   }
 
   /** Without a claim nothing is run. */
-  private notClaimed (cause: LimpetwinchError): LimpetwinchError {
+  private storeUnavailableError (cause: LimpetwinchError): LimpetwinchError {
     return new LimpetwinchError('store-unavailable', { reason: cause.message }, { cause, outcome: 'not_run', retryAfterSeconds: RETRY_SECONDS })
   }
 }
--- a/packages/entry/src/routing/routing-in-force.ts
+++ b/packages/entry/src/routing/current-routing-policy.ts
@@ -4,7 +4,7 @@
 import type { PolicySettings } from '@limpetwinch/core'
 
 /** Makes the policy anew when the weighting changes; what was known of failing endpoints is then learnt again. */
-export class RoutingInForce {
+export class CurrentRoutingPolicy {
   private policy: RoutingPolicy = new WeightedRoutingPolicy()
   private settings: PolicySettings | undefined
 
@@ -14,7 +14,7 @@
   }
 
   /** Takes up the settings in force. */
-  follow (settings: PolicySettings): void {
+  applySettings (settings: PolicySettings): void {
     if (this.settings === settings) return
     this.settings = settings
     this.policy = new WeightedRoutingPolicy({
--- a/packages/entry/src/routing/endpoint-directory.ts
+++ b/packages/entry/src/routing/endpoint-directory.ts
@@ -4,20 +4,20 @@
 import { CopyCounter } from '../scheduling/digest.js'
 
 /** The newest word of an owner. */
-export interface EndpointKnowledge {
+export interface EndpointState {
   readonly owner: InstanceId
   readonly digest: EndpointDigestFrame
   readonly adapters: ReadonlySet<string>
-  readonly heardAt: number
+  readonly digestReceivedAt: number
   /** Requests sent to it by this instance after that word. */
   sentSince: number
   /** Adapters asked for since, whose load is under way or about to be. */
-  readonly wantedSince: Set<string>
+  readonly adaptersRequestedSince: Set<string>
 }
 
 /** All engines by id. */
 export class EndpointDirectory extends CopyCounter {
-  private readonly known = new Map<EndpointId, EndpointKnowledge>()
+  private readonly known = new Map<EndpointId, EndpointState>()
   private settings: OperatorSettings | undefined
   private engines: EngineSettings[] = []
 
@@ -31,7 +31,7 @@
   }
 
   /** @returns what is known of an engine */
-  get (endpoint: EndpointId): EndpointKnowledge | undefined {
+  get (endpoint: EndpointId): EndpointState | undefined {
     return this.known.get(endpoint)
   }
 
@@ -44,14 +44,14 @@
    * @param now - monotonic milliseconds
    * @returns false when adapters are missing and a full digest has to be awaited
    */
-  hear (from: InstanceId, digest: EndpointDigestFrame, now: number): boolean {
+  applyDigest (from: InstanceId, digest: EndpointDigestFrame, now: number): boolean {
     const before = this.known.get(digest.endpoint)
     if (before !== undefined && digest.token < before.digest.token) return true
     const follows = before !== undefined && before.digest.token === digest.token && digest.sequence === before.digest.sequence + 1
     const adapters = new Set(digest.full || !follows ? [] : before.adapters)
     for (const adapter of digest.added) adapters.add(adapter)
     for (const adapter of digest.removed) adapters.delete(adapter)
-    this.known.set(digest.endpoint, { owner: from, digest, adapters, heardAt: now, sentSince: 0, wantedSince: new Set() })
+    this.known.set(digest.endpoint, { owner: from, digest, adapters, digestReceivedAt: now, sentSince: 0, adaptersRequestedSince: new Set() })
     return digest.full || follows
   }
 
@@ -60,11 +60,11 @@
     const knowledge = this.known.get(endpoint)
     if (knowledge === undefined) return
     knowledge.sentSince += 1
-    if (adapter !== undefined && !knowledge.adapters.has(adapter)) knowledge.wantedSince.add(adapter)
+    if (adapter !== undefined && !knowledge.adapters.has(adapter)) knowledge.adaptersRequestedSince.add(adapter)
   }
 
   /** Takes up a new owner as its predecessor names it, before its first digest comes. */
-  moved (endpoint: EndpointId, owner: InstanceId): void {
+  setOwner (endpoint: EndpointId, owner: InstanceId): void {
     const knowledge = this.known.get(endpoint)
     if (knowledge !== undefined) this.known.set(endpoint, { ...knowledge, owner })
   }
--- a/packages/entry/src/routing/router.ts
+++ b/packages/entry/src/routing/router.ts
@@ -5,7 +5,7 @@
 import type { Clock, DataCentreId, EndpointId, EngineSettings, InstanceId, OperatorSettings } from '@limpetwinch/core'
 import type { EndpointView, RoutingPolicy, RoutingRequest } from '@limpetwinch/decisions'
 import type { Membership } from '../membership/membership.js'
-import type { EndpointDirectory, EndpointKnowledge } from './endpoint-directory.js'
+import type { EndpointDirectory, EndpointState } from './endpoint-directory.js'
 import type { PrefixTracker } from './prefix-tracker.js'
 
 /** One way between data centres, milliseconds, for comparison only. */
@@ -68,11 +68,11 @@
     const knowledge = this.options.directory.get(engine.endpoint)
     if (knowledge === undefined || !knowledge.digest.healthy) return []
     const ended = (this.options.membership.member(knowledge.owner)?.state ?? 'gone') === 'gone'
-    if (ended && now - knowledge.heardAt > NEXT_OWNER_MILLISECONDS) return []
+    if (ended && now - knowledge.digestReceivedAt > NEXT_OWNER_MILLISECONDS) return []
     return [this.view(engine, knowledge, question)]
   }
 
-  private view (engine: EngineSettings, knowledge: EndpointKnowledge, question: RoutingRequest): EndpointView {
+  private view (engine: EngineSettings, knowledge: EndpointState, question: RoutingRequest): EndpointView {
     const { dataCentre, prefixes } = this.options
     const { digest } = knowledge
     return {
@@ -88,10 +88,10 @@
       pinnedSlots: digest.pinnedSlots,
       batchCapacity: digest.batchCapacity,
       leaving: digest.leaving || this.isLeaving(engine.endpoint),
-      pendingLoads: knowledge.wantedSince.size,
+      pendingLoads: knowledge.adaptersRequestedSince.size,
       holds: (adapter) => {
         if (knowledge.adapters.has(adapter)) return 'loaded'
-        return knowledge.wantedSince.has(adapter) ? 'loading' : 'absent'
+        return knowledge.adaptersRequestedSince.has(adapter) ? 'loading' : 'absent'
       },
       evictionCost: () => digest.evictionCost,
       cachedShare: (prompt) => prefixes.share(engine.endpoint, question.adapter, prompt)
--- a/packages/entry/src/scheduling/waiting-room.ts
+++ b/packages/entry/src/scheduling/admission-queue.ts
@@ -10,7 +10,7 @@
 const NOBODY: ReadonlySet<WaitingRequest> = new Set()
 
 /** Keeps queue and look-ups in step. */
-export class WaitingRoom {
+export class AdmissionQueue {
   private readonly queue: FairQueue<WaitingRequest>
   private readonly waiting = new Map<string, { item: WaitingRequest, settle: Settle }>()
   private readonly byAdapter = new Map<string, Set<WaitingRequest>>()
--- a/packages/entry/src/scheduling/admission.ts
+++ b/packages/entry/src/scheduling/admission.ts
@@ -3,7 +3,7 @@
 import type { QueuedRequest } from '@limpetwinch/decisions'
 
 /** A request for admission. */
-export interface AdmissionAsk {
+export interface IncomingAdmissionRequest {
   readonly requestId: RequestId
   readonly from: InstanceId
   readonly adapter: AdapterReference | undefined
@@ -30,7 +30,7 @@
 
 /** A request that waits at the owner. */
 export interface WaitingRequest extends QueuedRequest {
-  readonly ask: AdmissionAsk
+  readonly request: IncomingAdmissionRequest
   /** When its adapter was last seen loaded while it waited, monotonic milliseconds. */
   loadedSince: number | undefined
 }
--- a/packages/entry/src/scheduling/digest.ts
+++ b/packages/entry/src/scheduling/digest.ts
@@ -15,8 +15,8 @@
 /** Makes digests of one endpoint: the adapters as changes, each numbered so that a receiver sees a gap. */
 export class DigestMaker {
   private sequence = 0
-  private told = new Set<string>()
-  private lastTold = ''
+  private lastAdapters = new Set<string>()
+  private lastLoad = ''
 
   /**
    * @param scheduler - the endpoint's scheduler
@@ -28,13 +28,13 @@
     const loaded = new Set(scheduler.slots.all()
       .filter((slot) => slot.usable && slot.state === 'loaded')
       .map((slot) => slot.adapter))
-    const added = [...loaded].filter((adapter) => full || !this.told.has(adapter))
-    const removed = full ? [] : [...this.told].filter((adapter) => !loaded.has(adapter))
+    const added = [...loaded].filter((adapter) => full || !this.lastAdapters.has(adapter))
+    const removed = full ? [] : [...this.lastAdapters].filter((adapter) => !loaded.has(adapter))
     const load = { queued: scheduler.queued, running: scheduler.running.size, pinnedSlots: scheduler.slots.pinnedCount, leaving, healthy }
     const telling = JSON.stringify(load)
-    if (!full && telling === this.lastTold && added.length === 0 && removed.length === 0) return undefined
-    this.lastTold = telling
-    this.told = loaded
+    if (!full && telling === this.lastLoad && added.length === 0 && removed.length === 0) return undefined
+    this.lastLoad = telling
+    this.lastAdapters = loaded
     this.sequence += 1
     return {
       kind: 'endpoint-digest',
--- a/packages/entry/src/scheduling/endpoint-scheduler.ts
+++ b/packages/entry/src/scheduling/endpoint-scheduler.ts
@@ -6,11 +6,11 @@
 import type { FairQueue, OverloadGuard, Refusal, WaitForecast } from '@limpetwinch/decisions'
 import type { OwnerRights, OwnershipRecord } from '../ownership/ownership.js'
 import { expectedCost } from './admission.js'
-import type { AdmissionAsk, AdmissionOutcome, Grant, WaitingRequest } from './admission.js'
+import type { IncomingAdmissionRequest, AdmissionOutcome, Grant, WaitingRequest } from './admission.js'
 import { SlotTable } from './slot-table.js'
 import type { Slot } from './slot-table.js'
 import { WaitForecaster } from './wait-forecaster.js'
-import { WaitingRoom } from './waiting-room.js'
+import { AdmissionQueue } from './admission-queue.js'
 
 /** Requests granted beyond the engine's batch, so that a finished sequence is replaced in the next step. */
 const GRANTED_BEYOND_BATCH = 2
@@ -19,7 +19,7 @@
 
 /** A granted request. */
 export interface Running {
-  readonly ask: AdmissionAsk
+  readonly request: IncomingAdmissionRequest
   readonly loadedName: LoadedName | undefined
   readonly grantedAt: number
 }
@@ -35,9 +35,9 @@
   readonly clock: Clock
   readonly logger: Logger
   /** Called with each request that names an adapter. */
-  readonly onUsed: (adapter: string, team: string, tokens: number, now: number) => void
+  readonly onAdapterRequested: (adapter: string, team: string, tokens: number, now: number) => void
   /** Called when a load may be wanted. */
-  readonly onWanted: () => void
+  readonly onLoadNeeded: () => void
   /** Called with the service that a request has had, in tokens. */
   readonly onServed: (team: string, tokens: number) => void
 }
@@ -49,13 +49,13 @@
   readonly slots: SlotTable
   readonly running = new Map<string, Running>()
   private readonly options: EndpointSchedulerOptions
-  private readonly waiting: WaitingRoom
+  private readonly waiting: AdmissionQueue
   private readonly forecaster: WaitForecaster
   /** Service of all that wait, tokens. */
   private waitingCost = 0
   private readonly adopted = new Set<LoadedName>()
   /** Names whose unload had no answer; it may be carried out at any later time. */
-  private readonly unloadedLate = new Set<LoadedName>()
+  private readonly unconfirmedUnloads = new Set<LoadedName>()
   /** Wall time at which the last order ended; an older report says nothing of it. */
   lastOrderAt = 0
   private engineRun: string | undefined
@@ -67,7 +67,7 @@
     this.engine = options.engine
     this.record = options.record
     this.slots = new SlotTable(options.engine.slots)
-    this.waiting = new WaitingRoom(options.queue)
+    this.waiting = new AdmissionQueue(options.queue)
     this.forecaster = new WaitForecaster(options.engine)
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** @returns adapters that requests wait for and that no slot holds ready */
-  wantedAdapters (): string[] {
+  adaptersAwaitingLoad (): string[] {
     return this.waiting.adapters().filter((adapter) => this.slots.usable(adapter)?.state !== 'loaded')
   }
 
@@ -103,7 +103,7 @@
    * @param signal - the asker gave up or is gone
    * @returns the grant, or why nothing was run
    */
-  async admit (ask: AdmissionAsk, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
+  async admit (ask: IncomingAdmissionRequest, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
     const running = this.running.get(ask.requestId)
     // The asker asks again when the answer to its first ask was lost with a connection: it holds the pin already.
     if (running !== undefined) return ok(this.grantOf(running, 0, 0))
@@ -135,13 +135,13 @@
     if (running === undefined) return
     this.running.delete(requestId)
     this.unpin(running, outcome)
-    const { ask } = running
+    const { request: ask } = running
     const expected = expectedCost(ask.promptTokens, ask.maximumTokens)
     const actual = outcome === 'answered' || outcome === 'failed' ? expectedCost(ask.promptTokens, outputTokens) : 0
     this.options.queue.charge(ask.team, actual - expected)
     if (actual > 0) this.options.onServed(ask.team, actual)
-    this.learn(running, outcome, outputTokens, actual)
-    this.pump()
+    this.recordOutcome(running, outcome, outputTokens, actual)
+    this.grantReady()
   }
 
   /** Takes up names that the earlier owner handed over; it gives no orders any more, so they stay loaded. */
@@ -151,7 +151,7 @@
       const slot = this.slots.occupy(name, 'loaded', true, this.options.clock.now())
       slot.state = 'loaded'
     }
-    this.pump()
+    this.grantReady()
   }
 
   /**
@@ -176,19 +176,19 @@
   takeOverOrders (earlier: EndpointScheduler): void {
     this.lastOrderAt = Math.max(this.lastOrderAt, earlier.lastOrderAt)
     for (const name of earlier.adopted) this.adopted.add(name)
-    for (const name of earlier.unloadedLate) this.unloadedLate.add(name)
+    for (const name of earlier.unconfirmedUnloads) this.unconfirmedUnloads.add(name)
     for (const slot of this.slots.all()) slot.usable = this.isUsable(slot.name)
   }
 
   /** Takes up what the engine says is loaded. The report lags, so nothing is believed to be ready by it alone. */
-  takeReport (report: EngineReport): void {
+  applyReport (report: EngineReport): void {
     const coldStart = this.engineRun !== undefined && this.engineRun !== report.engineRun
     if (coldStart) this.options.logger.warn('The engine was restarted cold.', { endpoint: this.engine.endpoint })
     const first = this.engineRun === undefined || coldStart
     this.engineRun = report.engineRun
     if (first || report.madeAt > this.lastOrderAt) this.compareSlots(report)
-    this.pump()
-    this.options.onWanted()
+    this.grantReady()
+    this.options.onLoadNeeded()
   }
 
   /**
@@ -201,22 +201,22 @@
    * @param report - the engine's newest
    * @param longestRequest - by the settings in force, milliseconds; a request keeps the longer time that it came with
    */
-  dropEnded (endedAt: (instance: InstanceId) => number | undefined, report: EngineReport, longestRequest: number): void {
+  dropEndedPins (endedAt: (instance: InstanceId) => number | undefined, report: EngineReport, longestRequest: number): void {
     const now = this.options.clock.now()
     const running = new Set(report.running.map((entry) => entry.requestId as string))
     for (const [requestId, entry] of this.running) {
-      const ended = endedAt(entry.ask.from)
+      const ended = endedAt(entry.request.from)
       const told = ended !== undefined && report.queued === 0 && report.madeAt > ended + REPORT_MARGIN_MILLISECONDS
-      const over = now - entry.grantedAt > Math.max(longestRequest, entry.ask.patience)
+      const over = now - entry.grantedAt > Math.max(longestRequest, entry.request.patience)
       if (over || (told && !running.has(requestId))) this.done(requestId, 'failed', 0)
     }
   }
 
   /** @returns instances whose grants are older than so many milliseconds */
-  holdersSince (milliseconds: number): ReadonlySet<InstanceId> {
+  holdersOfPinsOlderThan (milliseconds: number): ReadonlySet<InstanceId> {
     const now = this.options.clock.now()
     const old = [...this.running.values()].filter((entry) => now - entry.grantedAt > milliseconds)
-    return new Set(old.map((entry) => entry.ask.from))
+    return new Set(old.map((entry) => entry.request.from))
   }
 
   /**
@@ -226,9 +226,9 @@
    * @param held - all of its requests here by its own word, those that it has asked for among them
    * @param grantedBefore - when it was asked, monotonic milliseconds; later grants are not in its answer
    */
-  keepOnly (from: InstanceId, held: ReadonlySet<string>, grantedBefore: number): void {
+  dropPinsNotHeld (from: InstanceId, held: ReadonlySet<string>, grantedBefore: number): void {
     for (const [requestId, entry] of this.running) {
-      const forgotten = entry.ask.from === from && entry.grantedAt < grantedBefore && !held.has(requestId)
+      const forgotten = entry.request.from === from && entry.grantedAt < grantedBefore && !held.has(requestId)
       if (forgotten) this.done(requestId, 'failed', 0)
     }
   }
@@ -245,10 +245,10 @@
   }
 
   /** Grants what can run now. */
-  pump (): void {
+  grantReady (): void {
     const { queue, clock, rights } = this.options
-    while (this.released === undefined && rights().mayAdmit && this.placesLeft() > 0) {
-      const item = queue.next((candidate) => this.isReady(candidate), clock.now(), this.placesLeft())
+    while (this.released === undefined && rights().mayAdmit && this.freePlaces() > 0) {
+      const item = queue.next((candidate) => this.isReady(candidate), clock.now(), this.freePlaces())
       if (item === undefined) break
       this.grant(item)
     }
@@ -261,7 +261,7 @@
 
   /** @returns whether a name may be granted by this owner */
   isUsable (name: LoadedName): boolean {
-    if (this.unloadedLate.has(name)) return false
+    if (this.unconfirmedUnloads.has(name)) return false
     if (this.engine.fencing === 'refuses') return true
     return this.adopted.has(name) || splitLoadedName(name).token === this.token
   }
@@ -269,9 +269,9 @@
   /** @returns the name under which an adapter is to be loaded now */
   nameFor (reference: AdapterReference): LoadedName {
     const plain = loadedNameOf(reference, this.engine.fencing === 'ignores' ? this.token : undefined)
-    if (!this.unloadedLate.has(plain)) return plain
+    if (!this.unconfirmedUnloads.has(plain)) return plain
     let generation = 1
-    while (this.unloadedLate.has(loadedNameOf(reference, this.token, generation))) generation += 1
+    while (this.unconfirmedUnloads.has(loadedNameOf(reference, this.token, generation))) generation += 1
     return loadedNameOf(reference, this.token, generation)
   }
 
@@ -280,7 +280,7 @@
    * out after a load that confirmed the adapter; a request granted on that name would lose its adapter.
    */
   abandonName (slot: Slot): void {
-    this.unloadedLate.add(slot.name)
+    this.unconfirmedUnloads.add(slot.name)
     slot.usable = false
     slot.state = 'unverified'
   }
@@ -288,19 +288,19 @@
   private async wait (item: WaitingRequest, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
     const answer = new Promise<Result<Grant, LimpetwinchError>>((resolve) => this.waiting.add(item, resolve))
     this.waitingCost += item.cost
-    if (item.adapter !== undefined) this.options.onUsed(item.adapter, item.team, item.cost, item.enqueuedAt)
-    const timer = setTimeout(() => this.settle(item, err(this.tooLate(item))), item.ask.patience)
+    if (item.adapter !== undefined) this.options.onAdapterRequested(item.adapter, item.team, item.cost, item.enqueuedAt)
+    const timer = setTimeout(() => this.settle(item, err(this.deadlineError(item))), item.request.patience)
     const giveUp = (): void => this.withdraw(item.requestId)
     signal.addEventListener('abort', giveUp)
-    this.pump()
-    if (this.waiting.has(item.requestId)) this.options.onWanted()
+    this.grantReady()
+    if (this.waiting.has(item.requestId)) this.options.onLoadNeeded()
     const result = await answer
     clearTimeout(timer)
     signal.removeEventListener('abort', giveUp)
     return result
   }
 
-  private itemOf (ask: AdmissionAsk): WaitingRequest {
+  private itemOf (ask: IncomingAdmissionRequest): WaitingRequest {
     const now = this.options.clock.now()
     return {
       requestId: ask.requestId,
@@ -310,7 +310,7 @@
       cost: expectedCost(ask.promptTokens, ask.maximumTokens),
       enqueuedAt: now,
       deadlineAt: now + ask.patience,
-      ask,
+      request: ask,
       loadedSince: undefined
     }
   }
@@ -323,17 +323,17 @@
   private forecast (item: WaitingRequest, costAhead: number): WaitForecast {
     const loaded = item.adapter === undefined || this.slots.usable(item.adapter)?.state === 'loaded'
     return this.forecaster.forecast({
-      maximumTokens: item.ask.maximumTokens,
+      maximumTokens: item.request.maximumTokens,
       costAhead,
       loadsAhead: loaded ? 0 : 1,
       loadMilliseconds: this.options.loadMilliseconds()
     })
   }
 
-  private learn (running: Running, outcome: AdmissionOutcome, outputTokens: number, cost: number): void {
+  private recordOutcome (running: Running, outcome: AdmissionOutcome, outputTokens: number, cost: number): void {
     const now = this.options.clock.now()
     this.forecaster.served(cost, true, now)
-    if (outcome === 'answered') this.forecaster.answered(outputTokens, running.ask.maximumTokens, now - running.grantedAt)
+    if (outcome === 'answered') this.forecaster.answered(outputTokens, running.request.maximumTokens, now - running.grantedAt)
   }
 
   private grant (item: WaitingRequest): void {
@@ -341,7 +341,7 @@
     const slot = item.adapter === undefined ? undefined : this.slots.usable(item.adapter)
     // Time in which nothing ran says nothing of the engine's speed.
     if (this.running.size === 0) this.forecaster.served(0, false, now)
-    const running: Running = { ask: item.ask, loadedName: slot?.name, grantedAt: now }
+    const running: Running = { request: item.request, loadedName: slot?.name, grantedAt: now }
     this.running.set(item.requestId, running)
     slot?.pins.add(item.requestId)
     if (slot !== undefined) slot.lastUsedAt = now
@@ -360,7 +360,7 @@
     return ready
   }
 
-  private placesLeft (): number {
+  private freePlaces (): number {
     return this.engine.batchCapacity + GRANTED_BEYOND_BATCH - this.running.size
   }
 
@@ -379,14 +379,14 @@
     if (running.loadedName === undefined) return
     const slot = this.slots.get(running.loadedName)
     if (slot === undefined) return
-    slot.pins.delete(running.ask.requestId)
+    slot.pins.delete(running.request.requestId)
     // The engine said that it does not hold the adapter, or it failed: a load order finds out before the next grant.
-    if (outcome === 'not-run' && slot.state === 'loaded') this.doubt(slot)
+    if (outcome === 'not-run' && slot.state === 'loaded') this.markUnverified(slot)
   }
 
-  private doubt (slot: Slot): void {
+  private markUnverified (slot: Slot): void {
     slot.state = 'unverified'
-    this.options.onWanted()
+    this.options.onLoadNeeded()
   }
 
   /**
@@ -404,7 +404,7 @@
     }
   }
 
-  private tooLate (item: WaitingRequest): LimpetwinchError {
+  private deadlineError (item: WaitingRequest): LimpetwinchError {
     const { firstTokenMilliseconds, serviceMilliseconds } = this.forecast(item, this.costAhead(item))
     const expected = Math.round(firstTokenMilliseconds + serviceMilliseconds)
     return new LimpetwinchError('deadline-unreachable', { expected }, { retryAfterSeconds: Math.max(1, Math.ceil(expected / 1000)) })
--- a/packages/entry/src/scheduling/load-accounts.ts
+++ b/packages/entry/src/scheduling/load-accounting.ts
@@ -5,7 +5,7 @@
 const MEMORY_LOADS = 200
 
 /** Counts the loads of each team on the engines of this instance. */
-export class LoadAccounts {
+export class LoadAccounting {
   private readonly ledger = new ServiceAccounting({ memoryTokens: MEMORY_LOADS })
   private readonly waiting = new Map<string, string>()
 
@@ -20,7 +20,7 @@
    * @param endpoint - the engine
    * @param teams - the team of each adapter that waits for a load there
    */
-  waits (endpoint: string, teams: ReadonlyMap<string, string>): void {
+  setWaitingLoads (endpoint: string, teams: ReadonlyMap<string, string>): void {
     const prefix = `${endpoint} `
     for (const [key, team] of this.waiting) {
       if (!key.startsWith(prefix) || teams.has(key.slice(prefix.length))) continue
--- a/packages/entry/src/scheduling/loader.ts
+++ b/packages/entry/src/scheduling/loader.ts
@@ -4,7 +4,7 @@
 import type { EvictionPolicy, LoadAhead, LoadOrderingPolicy, SlotView, LoadCandidate } from '@limpetwinch/decisions'
 import type { LoadTurns } from '../loads/load-turns.js'
 import type { OwnerRights } from '../ownership/ownership.js'
-import type { LoadAccounts } from './load-accounts.js'
+import type { LoadAccounting } from './load-accounting.js'
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 import type { Slot } from './slot-table.js'
 
@@ -32,7 +32,7 @@
   /** Names that requests admitted by an earlier owner may use. */
   readonly earlierPins: () => ReadonlySet<LoadedName>
   readonly otherCopies: (adapter: string) => number
-  readonly accounts: LoadAccounts
+  readonly loadAccounting: LoadAccounting
   readonly loadAhead: LoadAhead
   /** @returns an adapter that the settings still name and this engine can serve */
   readonly servable: (adapter: string) => AdapterReference | undefined
@@ -49,7 +49,7 @@
 export class Loader {
   private readonly options: LoaderOptions
   private readonly failures = new Map<string, Failures>()
-  private wake: () => void = () => undefined
+  private endPause: () => void = () => undefined
   private readonly stopping = new AbortController()
 
   /** @param options - what it works with */
@@ -58,8 +58,8 @@
   }
 
   /** Looks for wanted loads soon. */
-  poke (): void {
-    this.wake()
+  wake (): void {
+    this.endPause()
   }
 
   /** Orders nothing more; an order under way is finished by {@link Loader.run}. */
@@ -75,16 +75,16 @@
   async run (signal: AbortSignal): Promise<void> {
     const either = AbortSignal.any([signal, this.stopping.signal])
     while (!either.aborted) {
-      const wanted = this.mostUrgent()
+      const wanted = this.mostUrgentLoad()
       if (wanted === undefined) await this.idle(either)
-      else await this.serve(wanted, either)
+      else await this.loadInTurn(wanted, either)
     }
   }
 
   /** @returns requests that one more load is expected to stall by its eviction, 0 while a slot is free */
   evictionCost (): number {
     const { scheduler, eviction, clock } = this.options
-    const wanted = scheduler.wantedAdapters().filter((adapter) => scheduler.slots.usable(adapter) === undefined).length
+    const wanted = scheduler.adaptersAwaitingLoad().filter((adapter) => scheduler.slots.usable(adapter) === undefined).length
     const beyondFree = wanted - scheduler.slots.freeSlots
     if (beyondFree < 0) return 0
     const cost = eviction.cost?.(this.evictable().map(({ view }) => view), beyondFree, clock.now()) ?? 0
@@ -96,12 +96,12 @@
     return scheduler.slots.evictable((adapter) => scheduler.waitingFor(adapter).size, otherCopies, earlierPins())
   }
 
-  private async serve (wanted: LoadCandidate, signal: AbortSignal): Promise<void> {
+  private async loadInTurn (wanted: LoadCandidate, signal: AbortSignal): Promise<void> {
     const release = await this.turn(wanted, signal)
     if (release === undefined) return
     try {
       // While it waited for the turn, another load may have become more urgent, or this one may not be wanted any more.
-      const now = this.mostUrgent()
+      const now = this.mostUrgentLoad()
       const progressed = now !== undefined && await this.loadOne(now)
       if (!progressed) await this.pause(RETRY_MILLISECONDS, signal)
     } finally {
@@ -147,8 +147,8 @@
     if (result.isOk()) {
       slot.state = 'loaded'
       this.failures.delete(slot.adapter)
-      this.options.accounts.loaded(reference.team)
-      scheduler.pump()
+      this.options.loadAccounting.loaded(reference.team)
+      scheduler.grantReady()
       return true
     }
     logger.warn('A load failed.', { endpoint: scheduler.engine.endpoint, adapter: slot.adapter, kind: result.error.kind, reason: result.error.message })
@@ -193,16 +193,16 @@
     return false
   }
 
-  private mostUrgent (): LoadCandidate | undefined {
+  private mostUrgentLoad (): LoadCandidate | undefined {
     const { scheduler, loadOrder, clock, rights } = this.options
     if (!rights().mayAdmit || !scheduler.knowsSlots) return undefined
-    const wanted = scheduler.wantedAdapters().map((adapter) => this.wantedLoad(adapter))
-    this.options.accounts.waits(scheduler.engine.endpoint, new Map(wanted.map(({ adapter, team }) => [adapter, team])))
+    const wanted = scheduler.adaptersAwaitingLoad().map((adapter) => this.wantedLoad(adapter))
+    this.options.loadAccounting.setWaitingLoads(scheduler.engine.endpoint, new Map(wanted.map(({ adapter, team }) => [adapter, team])))
     return loadOrder.next(wanted, clock.now())
   }
 
   private wantedLoad (adapter: string): LoadCandidate {
-    const { scheduler, accounts } = this.options
+    const { scheduler, loadAccounting: accounts } = this.options
     const waiting = [...scheduler.waitingFor(adapter)]
     const team = waiting[0]?.team ?? ''
     const failures = this.failures.get(adapter)
@@ -221,14 +221,14 @@
 
   private referenceOf (adapter: string): AdapterReference | undefined {
     for (const item of this.options.scheduler.waitingFor(adapter)) {
-      if (item.ask.adapter !== undefined && formatAdapter(item.ask.adapter) === adapter) return item.ask.adapter
+      if (item.request.adapter !== undefined && formatAdapter(item.request.adapter) === adapter) return item.request.adapter
     }
     return undefined
   }
 
   private async idle (signal: AbortSignal): Promise<void> {
     const { scheduler } = this.options
-    if (scheduler.wantedAdapters().length > 0) return await this.pause(RETRY_MILLISECONDS, signal)
+    if (scheduler.adaptersAwaitingLoad().length > 0) return await this.pause(RETRY_MILLISECONDS, signal)
     await this.pause(IDLE_MILLISECONDS, signal)
     if (!signal.aborted && scheduler.queued === 0) await this.loadAhead(signal)
   }
@@ -253,7 +253,7 @@
 
   private async pause (milliseconds: number, signal: AbortSignal): Promise<void> {
     const early = new AbortController()
-    this.wake = () => early.abort()
+    this.endPause = () => early.abort()
     await this.options.clock.sleep(milliseconds, AbortSignal.any([signal, early.signal]))
   }
 }
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -1,7 +1,7 @@
 /** The endpoints that this instance owns: a scheduler, a loader and a reporter for each, and the frames that reach them. */
 import { adapterOf, LimpetwinchError, parseModelName } from '@limpetwinch/core'
 import type { AdapterReference, AdmissionAskFrame, AdmissionDoneFrame, Clock, EndpointId, EngineClient, EngineReport, EngineSettings, InstanceId, LoadedName, Logger, OperatorSettings } from '@limpetwinch/core'
-import { ShareServiceLedger } from './share-service-ledger.js'
+import { DataCentreServiceAccounting } from './data-centre-service-accounting.js'
 import { OverloadGuard, PopularityLoadAhead, reservedPlacesFor, StallEvictionPolicy, StallLoadOrderingPolicy, VirtualTimeFairQueue } from '@limpetwinch/decisions'
 import type { EvictionPolicy, LoadAhead, LoadOrderingPolicy } from '@limpetwinch/decisions'
 import type { LoadTurns } from '../loads/load-turns.js'
@@ -71,20 +71,20 @@
   private readonly loadOrder: LoadOrderingPolicy = new StallLoadOrderingPolicy()
   private readonly loadAhead: LoadAhead = new PopularityLoadAhead()
   private readonly guard = new OverloadGuard<WaitingRequest>({ maximumQueued: MOST_QUEUED })
-  private readonly service: ShareServiceLedger
+  private readonly service: DataCentreServiceAccounting
   private readonly audit: PinAudit
-  private fullDigestsAt = 0
+  private nextFullDigestsAt = 0
   private connected: ReadonlySet<InstanceId> = new Set()
 
   /** @param options - what it works with */
   constructor (options: OwnedEndpointsOptions) {
     this.options = options
-    this.service = new ShareServiceLedger(options.network, options.membership)
+    this.service = new DataCentreServiceAccounting(options.network, options.membership)
     this.audit = new PinAudit(options.network, options.membership, options.clock)
     options.network.onCall('admission-ask', async (from, frame, signal) => await this.admit(from, frame, signal))
     options.network.onNotice('admission-done', (_from, frame) => this.done(frame))
-    options.network.onNotice('team-service', (from, frame) => this.service.hear(from, frame))
-    options.ownership.onChange(() => this.follow())
+    options.network.onNotice('team-service', (from, frame) => this.service.receive(from, frame))
+    options.ownership.onChange(() => this.reconcile())
   }
 
   /** @returns the endpoints that this instance owns now */
@@ -99,11 +99,11 @@
 
   /** @returns a team's recent service over its share; 1 is fair */
   shareUsed (team: string): number {
-    return this.service.ledger.shareUsedAmongActive(team)
+    return this.service.accounting.shareUsedAmongActive(team)
   }
 
   /** Takes up the records and settings in force. */
-  follow (): void {
+  reconcile (): void {
     const settings = this.options.settings()
     if (settings === undefined) return
     this.service.setWeights(settings)
@@ -120,7 +120,7 @@
       const engine = engines.get(endpoint)
       if (engine === undefined || this.owned.has(endpoint)) continue
       const earlier = before.get(endpoint)
-      this.take(engine, record, earlier?.scheduler.token === record.token ? earlier : undefined)
+      this.startOwning(engine, record, earlier?.scheduler.token === record.token ? earlier : undefined)
     }
   }
 
@@ -141,15 +141,15 @@
     if (owned === undefined) return
     owned.handingOver = false
     owned.loader = this.startLoader(owned)
-    this.follow()
+    this.reconcile()
   }
 
   /** Tells the data centre about all owned endpoints, again and again. */
   async broadcast (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const full = this.fullDigestsAreDue()
-      for (const owned of this.owned.values()) this.tell(owned, full)
-      this.service.tell()
+      for (const owned of this.owned.values()) this.sendDigest(owned, full)
+      this.service.broadcast()
       const members = this.options.membership.members().length
       await this.options.clock.sleep(Math.max(SHORTEST_DIGEST_MILLISECONDS, DIGEST_MILLISECONDS_PER_MEMBER * members), signal)
     }
@@ -167,10 +167,10 @@
   }
 
   /** @param earlier - the same ownership under other settings; all that it granted still runs */
-  private take (engine: EngineSettings, record: OwnershipRecord, earlier: OwnedEndpoint | undefined): void {
+  private startOwning (engine: EngineSettings, record: OwnershipRecord, earlier: OwnedEndpoint | undefined): void {
     const { clock, logger, ownership, clientOf, supervisor } = this.options
     const client = clientOf(engine)
-    const queue = new VirtualTimeFairQueue<WaitingRequest>({ accounting: this.service.ledger, reservedPlaces: this.reservedPlaces(engine) })
+    const queue = new VirtualTimeFairQueue<WaitingRequest>({ accounting: this.service.accounting, reservedPlaces: this.reservedPlaces(engine) })
     const scheduler = new EndpointScheduler({
       engine,
       record,
@@ -180,11 +180,11 @@
       loadMilliseconds: () => 1000 / (this.options.settings()?.policy.loadsPerSecond ?? 1),
       clock,
       logger,
-      onUsed: (adapter, team, tokens, now) => {
+      onAdapterRequested: (adapter, team, tokens, now) => {
         this.eviction.recordUse(adapter, team, tokens, now)
         this.loadAhead.recordUse(adapter, now)
       },
-      onWanted: () => this.owned.get(engine.endpoint)?.loader?.loader.poke(),
+      onLoadNeeded: () => this.owned.get(engine.endpoint)?.loader?.loader.wake(),
       onServed: (team, tokens) => this.service.served(team, tokens)
     })
     const owned: OwnedEndpoint = {
@@ -202,7 +202,7 @@
     this.owned.set(engine.endpoint, owned)
     if (earlier !== undefined) scheduler.takeOverPins(earlier.scheduler)
     owned.loader = this.startLoader(owned, earlier)
-    void supervisor.start(`reports ${engine.endpoint}`, async (signal) => await this.followReports(owned, signal), owned.controller.signal)
+    void supervisor.start(`reports ${engine.endpoint}`, async (signal) => await this.pollReports(owned, signal), owned.controller.signal)
     logger.info('An endpoint is owned here.', { endpoint: engine.endpoint, token: record.token, handedOverFrom: record.handedOverFrom })
   }
 
@@ -223,7 +223,7 @@
       rights: () => ownership.rights(scheduler.record),
       earlierPins: () => earlierPins(endpoint),
       otherCopies: (adapter) => directory.copiesElsewhere(adapter, endpoint),
-      accounts: this.service.loads,
+      loadAccounting: this.service.loads,
       loadAhead: this.loadAhead,
       servable: (adapter) => servableBy(this.options.settings(), scheduler.engine, adapter),
       clock,
@@ -238,28 +238,28 @@
     return { loader, ended }
   }
 
-  private async followReports (owned: OwnedEndpoint, signal: AbortSignal): Promise<void> {
+  private async pollReports (owned: OwnedEndpoint, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const report = await owned.client.report()
-      if (report.isOk()) this.takeReport(owned, report.value)
+      if (report.isOk()) this.applyReport(owned, report.value)
       else owned.missedReports += 1
-      await this.audit.look(owned.scheduler)
+      await this.audit.auditIfDue(owned.scheduler)
       const idle = owned.latestReport !== undefined && owned.scheduler.running.size === 0 && owned.scheduler.queued === 0
       await this.options.clock.sleep(idle ? IDLE_REPORT_MILLISECONDS : REPORT_MILLISECONDS, signal)
     }
   }
 
-  private takeReport (owned: OwnedEndpoint, report: EngineReport): void {
+  private applyReport (owned: OwnedEndpoint, report: EngineReport): void {
     const { settings } = this.options
     owned.missedReports = 0
     owned.latestReport = report
-    owned.scheduler.takeReport(report)
+    owned.scheduler.applyReport(report)
     owned.scheduler.expire()
     const longestRequest = 1000 * (settings()?.policy.longestRequestSeconds ?? Infinity)
-    owned.scheduler.dropEnded((instance) => this.audit.endedAt(instance), report, longestRequest)
+    owned.scheduler.dropEndedPins((instance) => this.audit.endedAt(instance), report, longestRequest)
   }
 
-  private tell (owned: OwnedEndpoint, full: boolean): void {
+  private sendDigest (owned: OwnedEndpoint, full: boolean): void {
     const { endpoint } = owned.scheduler.engine
     const leaving = this.options.membership.leavingEndpoints().has(endpoint)
     const healthy = owned.latestReport !== undefined && owned.missedReports < REPORTS_MISSED_BEFORE_UNHEALTHY
@@ -277,8 +277,8 @@
     const before = this.connected
     this.connected = new Set(network.connected())
     const joined = [...this.connected].some((peer) => !before.has(peer))
-    if (!joined && clock.now() < this.fullDigestsAt) return false
-    this.fullDigestsAt = clock.now() + FULL_DIGEST_MILLISECONDS
+    if (!joined && clock.now() < this.nextFullDigestsAt) return false
+    this.nextFullDigestsAt = clock.now() + FULL_DIGEST_MILLISECONDS
     return true
   }
 
--- a/packages/entry/src/scheduling/pin-audit.ts
+++ b/packages/entry/src/scheduling/pin-audit.ts
@@ -39,12 +39,12 @@
   }
 
   /** Asks the holders of old pins of one endpoint, now and then. */
-  async look (scheduler: EndpointScheduler): Promise<void> {
+  async auditIfDue (scheduler: EndpointScheduler): Promise<void> {
     const { endpoint } = scheduler.engine
     const now = this.clock.now()
     if (now < (this.nextAt.get(endpoint) ?? 0)) return
     this.nextAt.set(endpoint, now + AUDIT_MILLISECONDS)
-    const holders = [...scheduler.holdersSince(OLD_MILLISECONDS)]
+    const holders = [...scheduler.holdersOfPinsOlderThan(OLD_MILLISECONDS)]
     await Promise.all(holders.map(async (holder) => await this.ask(holder, scheduler)))
   }
 
@@ -53,6 +53,6 @@
     const { engine, token } = scheduler
     const answer = await this.network.call(holder, { kind: 'pins-ask', endpoint: engine.endpoint, token }, ANSWER_MILLISECONDS)
     if (answer.isErr() || answer.value.kind !== 'pins-report') return
-    scheduler.keepOnly(holder, new Set(answer.value.pins.map((pin) => pin.requestId as string)), asked)
+    scheduler.dropPinsNotHeld(holder, new Set(answer.value.pins.map((pin) => pin.requestId as string)), asked)
   }
 }
--- a/packages/entry/src/scheduling/scheduler-hand-over.ts
+++ b/packages/entry/src/scheduling/scheduler-hand-over.ts
@@ -32,7 +32,7 @@
   override state (endpoint: EndpointId): HandOverState {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return { loaded: [], pins: [] }
-    return { loaded: loadedNames(owned), pins: [...grantedPins(owned), ...this.answeredFor(endpoint)] }
+    return { loaded: loadedNames(owned), pins: [...grantedPins(owned), ...this.earlierOwnersPins(endpoint)] }
   }
 
   override release (endpoint: EndpointId, newOwner: InstanceId): void {
@@ -40,12 +40,12 @@
   }
 
   override adopt (endpoint: EndpointId, token: FencingToken, state: HandOverState): void {
-    this.owned.follow()
+    this.owned.reconcile()
     const owned = this.owned.get(endpoint)
     if (owned?.scheduler.token === token) owned.scheduler.adopt(state.loaded)
   }
 
-  private answeredFor (endpoint: EndpointId): HandedOverPin[] {
+  private earlierOwnersPins (endpoint: EndpointId): HandedOverPin[] {
     return this.earlierPins(endpoint).flatMap(({ requestId, instance, loadedName, team }) =>
       instance === undefined ? [] : [{ requestId, instance, loadedName, team: team ?? '' }])
   }
@@ -58,7 +58,7 @@
 }
 
 function grantedPins (owned: OwnedEndpoint): HandedOverPin[] {
-  return [...owned.scheduler.running.values()].map(({ ask, loadedName }) => ({
+  return [...owned.scheduler.running.values()].map(({ request: ask, loadedName }) => ({
     requestId: ask.requestId,
     instance: ask.from,
     loadedName,
--- a/packages/entry/src/scheduling/wait-forecaster.ts
+++ b/packages/entry/src/scheduling/wait-forecaster.ts
@@ -10,7 +10,7 @@
 const SMOOTHING = 0.05
 
 /** What a forecast is made for. */
-export interface ForecastQuestion {
+export interface ForecastInput {
   readonly maximumTokens: number
   /** Service that goes before it, tokens. */
   readonly costAhead: number
@@ -44,7 +44,7 @@
   }
 
   /** @returns what is expected */
-  forecast (question: ForecastQuestion): WaitForecast {
+  forecast (question: ForecastInput): WaitForecast {
     const queueing = question.costAhead / this.rate.rate
     const loading = question.loadsAhead * question.loadMilliseconds
     return {
--- a/packages/entry/test/delivery/delivery.failure.test.ts
+++ b/packages/entry/test/delivery/delivery.failure.test.ts
@@ -13,7 +13,7 @@
   return {
     router: { route: () => ok(ROUTE), isLeaving: () => false },
     admissions: { ask },
-    directory: { sent: () => undefined, moved: () => undefined },
+    directory: { sent: () => undefined, setOwner: () => undefined },
     explain: { begin: () => story },
     retryBudget: { deposit: () => undefined, withdraw: () => true },
     shareUsed: () => 1,
--- a/packages/entry/test/delivery/engine-answer.test.ts
+++ b/packages/entry/test/delivery/engine-answer.test.ts
@@ -26,7 +26,7 @@
 
 function answerOf (client: HttpEngineClient): EngineAnswer {
   const request = { requestId: 'request-1' as RequestId, adapter: ADAPTER, prompt: 'Why?', maximumTokens: TOKENS, priority: 5, seed: 7 }
-  return new EngineAnswer('engine-1' as EndpointId, client, request, { silenceMilliseconds: 300, resumesWithoutProgress: 3 })
+  return new EngineAnswer('engine-1' as EndpointId, client, request, { idleTimeoutMilliseconds: 300, resumesWithoutProgress: 3 })
 }
 
 async function collect (events: AsyncIterable<AnswerEvent>, onText: (tokens: number) => void = () => undefined): Promise<{ text: string, last: AnswerEvent | undefined }> {
--- a/packages/entry/test/delivery/stalled-run.failure.test.ts
+++ b/packages/entry/test/delivery/stalled-run.failure.test.ts
@@ -82,13 +82,13 @@
     return {
       router: { route: ({ avoid }: { avoid: ReadonlySet<EndpointId> }) => ok({ engine: { endpoint: this.choose(avoid) }, owner: 'one' }), isLeaving: () => false },
       admissions: { ask: async (route: { engine: EngineSettings }, _: unknown, signal: AbortSignal) => await this.ask(route.engine.endpoint, signal) },
-      directory: { sent: () => undefined, moved: () => undefined },
+      directory: { sent: () => undefined, setOwner: () => undefined },
       prefixes: { sent: () => undefined },
       clientOf: ({ endpoint }: EngineSettings) => this.clients[Number(endpoint.split('-')[1])],
       policy: () => ({ observe: (endpoint: EndpointId, result: string) => this.observed.push(`${endpoint} ${result}`) }),
       explain: { begin: () => ({ add: () => undefined }) },
       retryBudget: { deposit: () => undefined, withdraw: () => this.mayRetry },
-      streamLimits: { silenceMilliseconds: SILENCE_MILLISECONDS, resumesWithoutProgress: 1 },
+      streamLimits: { idleTimeoutMilliseconds: SILENCE_MILLISECONDS, resumesWithoutProgress: 1 },
       shareUsed: () => 1,
       clock: this.clock
     } as unknown as DeliveryOptions
--- a/packages/entry/test/load-turns.failure.test.ts
+++ b/packages/entry/test/load-turns.failure.test.ts
@@ -1,5 +1,5 @@
 import { SystemClock } from '@limpetwinch/core'
-import { ConductedLoadTurns, PacedLoadTurns, rendezvousRank } from '@limpetwinch/entry'
+import { CoordinatedLoadTurns, PacedLoadTurns, rendezvousRank } from '@limpetwinch/entry'
 import { afterEach, describe, expect, it } from 'vitest'
 import { Cluster, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
@@ -10,13 +10,13 @@
 
 afterEach(async () => { await cluster.end() })
 
-function turnsOf (instance: TestInstance): ConductedLoadTurns {
+function turnsOf (instance: TestInstance): CoordinatedLoadTurns {
   const { peers, membership } = instance
   const fallback = new PacedLoadTurns(() => 1_000, new SystemClock())
-  return new ConductedLoadTurns({ peers, membership, fallback, logger: cluster.logger, scope: 'data-centre', longestTurnMilliseconds: 3_600_000 })
+  return new CoordinatedLoadTurns({ peers, membership, fallback, logger: cluster.logger, scope: 'data-centre', longestTurnMilliseconds: 3_600_000 })
 }
 
-async function threeInstances (): Promise<ConductedLoadTurns[]> {
+async function threeInstances (): Promise<CoordinatedLoadTurns[]> {
   cluster = new Cluster()
   return (await cluster.startAll(['one', 'two', 'three'])).map(turnsOf)
 }
@@ -24,10 +24,10 @@
 describe('load turns', () => {
   // The caller waits less when it would stall longest: all instances share one turn, and the most urgent goes next.
   it('are held by one instance at a time, the most urgent first', async () => {
-    const [one, two, three] = await threeInstances() as [ConductedLoadTurns, ConductedLoadTurns, ConductedLoadTurns]
+    const [one, two, three] = await threeInstances() as [CoordinatedLoadTurns, CoordinatedLoadTurns, CoordinatedLoadTurns]
     const release = await one.acquire(1, NEVER)
     const order: string[] = []
-    const take = async (name: string, turns: ConductedLoadTurns, urgency: number): Promise<void> => {
+    const take = async (name: string, turns: CoordinatedLoadTurns, urgency: number): Promise<void> => {
       const done = await turns.acquire(urgency, NEVER)
       order.push(name)
       done()
@@ -40,7 +40,7 @@
     release()
     await Promise.all(all)
     expect(order).toEqual(['much', 'some', 'little'])
-    expect([one, two, three].map((turns) => turns.unconducted)).toEqual([0, 0, 0])
+    expect([one, two, three].map((turns) => turns.turnsWithoutCoordinator)).toEqual([0, 0, 0])
   })
 
   // The caller waits a moment longer. The holder of the turn is killed; its turn lapses with its connection, so that
@@ -49,7 +49,7 @@
     const turns = await threeInstances()
     const ranked = rendezvousRank('load-turns place', cluster.instances.map((instance) => instance.id))
     const [conductor, holder, other] = ranked.map((id) => cluster.instances.findIndex((instance) => instance.id === id)) as [number, number, number]
-    const turnsAt = (index: number): ConductedLoadTurns => turns[index] as ConductedLoadTurns
+    const turnsAt = (index: number): CoordinatedLoadTurns => turns[index] as CoordinatedLoadTurns
     await turnsAt(holder).acquire(1, NEVER)
     const afterHolder = turnsAt(other).acquire(1, NEVER)
     await cluster.instances[holder]?.kill()
--- a/packages/entry/test/outcomes/claims.test.ts
+++ b/packages/entry/test/outcomes/idempotency-claims.test.ts
@@ -2,16 +2,16 @@
 import { SystemClock } from '@limpetwinch/core'
 import type { IdempotencyKey, RequestId, TeamId } from '@limpetwinch/core'
 import { MemoryObjectStore } from '@limpetwinch/stand-ins'
-import { Claims } from '../../src/outcomes/claims.js'
+import { IdempotencyClaims } from '../../src/outcomes/idempotency-claims.js'
 
 const team = 'history' as TeamId
 const key = 'invoice-17' as IdempotencyKey
 const first = 'request-1' as RequestId
 const second = 'request-2' as RequestId
 
-function start (): { store: MemoryObjectStore, here: Claims, there: Claims } {
+function start (): { store: MemoryObjectStore, here: IdempotencyClaims, there: IdempotencyClaims } {
   const store = new MemoryObjectStore()
-  return { store, here: new Claims(store, new SystemClock()), there: new Claims(store, new SystemClock()) }
+  return { store, here: new IdempotencyClaims(store, new SystemClock()), there: new IdempotencyClaims(store, new SystemClock()) }
 }
 
 describe('claims of idempotency keys', () => {
--- a/packages/entry/test/recovery.failure.test.ts
+++ b/packages/entry/test/recovery.failure.test.ts
@@ -55,7 +55,7 @@
     paused.scheduler.paused = false
     await until(() => rightsOf(next).mayEvict)
     expect(next.recoveries.earlierPins(E0).map((pin) => pin.requestId)).toEqual(['r1'])
-    expect(paused.scheduler.honoured.get(E0)).toBe(next.ownership.recordOf(E0)?.token)
+    expect(paused.scheduler.lowestAcceptedTokens.get(E0)).toBe(next.ownership.recordOf(E0)?.token)
   })
 
   // The caller sees its answer go on. The owner runs a request of its own on the engine and is cut off, not ended: the
--- a/packages/entry/test/scheduling/owned-engine.test.ts
+++ b/packages/entry/test/scheduling/owned-engine.test.ts
@@ -59,7 +59,7 @@
     const engine = await start()
     expect((await engine.ask('first', 30_000)).isOk()).toBe(true)
     await new Promise((resolve) => setTimeout(resolve, 50))
-    engine.scheduler.dropEnded(() => undefined, await engine.report(), 10)
+    engine.scheduler.dropEndedPins(() => undefined, await engine.report(), 10)
     expect([...engine.scheduler.running.keys()]).toEqual(['request-1'])
   })
 
@@ -83,7 +83,7 @@
     // The next caller does not start the failing load again before its back-off is over.
     const again = await engine.ask('broken', 200)
     expect(again._unsafeUnwrapErr().kind).toBe('deadline-unreachable')
-    expect(engine.triedLoads(plainName('broken'))).toBe(3)
+    expect(engine.loadAttempts(plainName('broken'))).toBe(3)
   })
 
   // The caller's request after the restart is served by its adapter, loaded anew.
@@ -163,11 +163,11 @@
     expect((await engine.ask('essays')).isOk()).toBe(true)
     const report = await engine.report()
     const endedAt = report.madeAt + 500
-    engine.scheduler.dropEnded(() => endedAt, { ...report, madeAt: endedAt + 1_000 }, 600_000)
+    engine.scheduler.dropEndedPins(() => endedAt, { ...report, madeAt: endedAt + 1_000 }, 600_000)
     expect(engine.scheduler.slots.pinnedCount).toBe(1)
-    engine.scheduler.dropEnded(() => endedAt, { ...report, madeAt: endedAt + 3_000, queued: 1 }, 600_000)
+    engine.scheduler.dropEndedPins(() => endedAt, { ...report, madeAt: endedAt + 3_000, queued: 1 }, 600_000)
     expect(engine.scheduler.slots.pinnedCount).toBe(1)
-    engine.scheduler.dropEnded(() => endedAt, { ...report, madeAt: endedAt + 3_000 }, 600_000)
+    engine.scheduler.dropEndedPins(() => endedAt, { ...report, madeAt: endedAt + 3_000 }, 600_000)
     expect(engine.scheduler.slots.pinnedCount).toBe(0)
   })
 
@@ -177,10 +177,10 @@
     const engine = await start()
     expect((await engine.ask('essays')).isOk()).toBe(true)
     expect((await engine.ask('poems')).isOk()).toBe(true)
-    const [holder] = engine.scheduler.holdersSince(-1)
-    engine.scheduler.keepOnly(holder as InstanceId, new Set(['request-2']), performance.now() - 60_000)
+    const [holder] = engine.scheduler.holdersOfPinsOlderThan(-1)
+    engine.scheduler.dropPinsNotHeld(holder as InstanceId, new Set(['request-2']), performance.now() - 60_000)
     expect(engine.scheduler.slots.pinnedCount).toBe(2)
-    engine.scheduler.keepOnly(holder as InstanceId, new Set(['request-2']), performance.now() + 1)
+    engine.scheduler.dropPinsNotHeld(holder as InstanceId, new Set(['request-2']), performance.now() + 1)
     expect(engine.scheduler.slots.pinnedCount).toBe(1)
   })
 
--- a/packages/entry/test/scheduling/owned-engine.ts
+++ b/packages/entry/test/scheduling/owned-engine.ts
@@ -7,12 +7,12 @@
 import type { StandInEngineOptions } from '@limpetwinch/stand-ins'
 import type { Result } from 'neverthrow'
 import { LoadTurns } from '../../src/loads/load-turns.js'
-import type { AdmissionAsk, Grant, WaitingRequest } from '../../src/scheduling/admission.js'
+import type { IncomingAdmissionRequest, Grant, WaitingRequest } from '../../src/scheduling/admission.js'
 import { EndpointScheduler } from '../../src/scheduling/endpoint-scheduler.js'
-import { LoadAccounts } from '../../src/scheduling/load-accounts.js'
+import { LoadAccounting } from '../../src/scheduling/load-accounting.js'
 import { Loader } from '../../src/scheduling/loader.js'
 
-class NoTurns extends LoadTurns {
+class UnlimitedLoadTurns extends LoadTurns {
   override async acquire (): Promise<() => void> {
     return () => undefined
   }
@@ -62,7 +62,7 @@
   }
 
   /** @returns an ask that is not sent yet */
-  request (adapter: string, patience = 30_000, priority = 5): AdmissionAsk {
+  request (adapter: string, patience = 30_000, priority = 5): IncomingAdmissionRequest {
     this.requests += 1
     return {
       requestId: `request-${this.requests}` as RequestId,
@@ -82,7 +82,7 @@
     return await vi.waitFor(async () => {
       const report = (await this.client.report())._unsafeUnwrap()
       expect(report.madeAt).toBeGreaterThanOrEqual(made)
-      this.scheduler.takeReport(report)
+      this.scheduler.applyReport(report)
       return report
     }, { timeout: 10_000 })
   }
@@ -94,7 +94,7 @@
   }
 
   /** @returns how often the load of a name was ordered, carried out or not */
-  triedLoads (name: string): number {
+  loadAttempts (name: string): number {
     return this.engine.history.all().filter((event) => event.event === 'order' && event.order === 'load' && event.name === name).length
   }
 
@@ -130,8 +130,8 @@
       loadMilliseconds: () => 5,
       clock,
       logger,
-      onUsed: (...used) => eviction.recordUse(...used),
-      onWanted: () => this.loader?.poke(),
+      onAdapterRequested: (...used) => eviction.recordUse(...used),
+      onLoadNeeded: () => this.loader?.wake(),
       onServed: () => undefined
     })
     this.loader = new Loader({
@@ -139,11 +139,11 @@
       client: this.client,
       eviction,
       loadOrder: new StallLoadOrderingPolicy(),
-      loadTurns: new NoTurns(),
+      loadTurns: new UnlimitedLoadTurns(),
       rights,
       earlierPins: () => this.options.earlierPins ?? new Set(),
       otherCopies: () => 0,
-      accounts: new LoadAccounts(),
+      loadAccounting: new LoadAccounting(),
       loadAhead: new PopularityLoadAhead(),
       servable: () => undefined,
       clock,
--- a/packages/entry/test/support/scheduler-in-memory.ts
+++ b/packages/entry/test/support/scheduler-in-memory.ts
@@ -8,7 +8,7 @@
   readonly loaded = new Map<EndpointId, LoadedName[]>()
   readonly pins = new Map<EndpointId, HandedOverPin[]>()
   readonly releasedTo = new Map<EndpointId, InstanceId>()
-  readonly honoured = new Map<EndpointId, FencingToken>()
+  readonly lowestAcceptedTokens = new Map<EndpointId, FencingToken>()
   /** Requests of this instance on endpoints, which it answers pins-ask with. */
   readonly requests: { endpoint: EndpointId, requestId: RequestId, loadedName: LoadedName, team: string }[] = []
   /** A paused process answers nothing. */
@@ -18,7 +18,7 @@
     super()
     peers.onCall('pins-ask', async (_, frame) => {
       if (this.paused) return await new Promise(() => {})
-      this.honoured.set(frame.endpoint, frame.token)
+      this.lowestAcceptedTokens.set(frame.endpoint, frame.token)
       const pins = this.requests.filter((request) => request.endpoint === frame.endpoint)
       return { kind: 'pins-report', pins: pins.map(({ requestId, loadedName, team }) => ({ requestId, loadedName, team })) }
     })
--- a/packages/load/src/faults/mutants/claims-mutants.ts
+++ b/packages/load/src/faults/mutants/claims-mutants.ts
@@ -2,11 +2,11 @@
 import { ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { Clock, IdempotencyKey, LimpetwinchError, ObjectStore, RequestId, TeamId } from '@limpetwinch/core'
-import { Claims } from '@limpetwinch/entry'
+import { IdempotencyClaims } from '@limpetwinch/entry'
 import type { HeldClaim } from '@limpetwinch/entry'
 import { FaultRunParts } from '../fault-run-parts.js'
 
-type ClaimsClass = new (store: ObjectStore, clock: Clock) => Claims
+type ClaimsClass = new (store: ObjectStore, clock: Clock) => IdempotencyClaims
 
 /** Parts with other claims. */
 export class ForgetClaimsParts extends FaultRunParts {
@@ -18,13 +18,13 @@
     this.ClaimsClass = claimsClass
   }
 
-  override claims (store: ObjectStore, clock: Clock): Claims {
+  override claims (store: ObjectStore, clock: Clock): IdempotencyClaims {
     return new this.ClaimsClass(store, clock)
   }
 }
 
 /** Gives every key to whoever asks. */
-export class ForgetClaims extends Claims {
+export class ForgetClaims extends IdempotencyClaims {
   override async claim (team: TeamId, key: IdempotencyKey, requestId: RequestId): Promise<Result<HeldClaim, LimpetwinchError>> {
     const claim = await super.claim(team, key, requestId)
     return claim.isOk() ? claim : ok({ path: '/claims/lost', version: 0, requestId })
--- a/packages/load/src/faults/mutants/scheduling-mutants.ts
+++ b/packages/load/src/faults/mutants/scheduling-mutants.ts
@@ -6,8 +6,8 @@
 class IgnorePinsOwnedEndpoints extends OwnedEndpoints {
   private readonly changed = new WeakSet<OwnedEndpoint>()
 
-  override follow (): void {
-    super.follow()
+  override reconcile (): void {
+    super.reconcile()
     for (const owned of this.all()) {
       if (this.changed.has(owned)) continue
       this.changed.add(owned)
