--- a/packages/ingress/src/adapters/adapter-locations.ts
+++ b/packages/ingress/src/adapters/adapter-locations.ts
@@ -2,25 +2,25 @@
 import type { AdaptersHeldFrame, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { AdapterKey, Endpoint, HeldAdapter } from '../routes/configuration.js'
 import { InFlightLoads } from './in-flight-loads.js'
-import { mostCached } from './slot-ledger.js'
+import { mostCached } from './slot-reservations.js'
 
-interface Told {
+interface LastNotice {
   /**
    * A host that starts again goes on under its token, and its new process counts its statements from the beginning. By
    * their numbers alone they would pass for old ones, and callers would wait for adapters that have long come.
    */
-  readonly speaker: InstanceId
+  readonly sender: InstanceId
   readonly born: number
   readonly token: number
   readonly sequence: number
 }
 
 /** The line of one engine, as the one that orders its loads tells it. */
-export interface ToldLine {
+export interface ReportedQueue {
   readonly waiting: ReadonlySet<string>
   /** How long one more load would wait for its turn. */
   readonly waitMilliseconds: number
-  readonly heardAt: number
+  readonly receivedAt: number
 }
 
 /** Where adapters lie. */
@@ -30,50 +30,50 @@
   /** Adapters on their way to engines. */
   readonly inFlight = new InFlightLoads()
   /** Evicted adapters, the last one last, with the version that was held. */
-  private readonly cached = new Map<EndpointId, Map<AdapterKey, number>>()
-  private readonly told = new Map<EndpointId, Told>()
-  private readonly lines = new Map<EndpointId, ToldLine>()
+  private readonly recentlyEvicted = new Map<EndpointId, Map<AdapterKey, number>>()
+  private readonly lastNotices = new Map<EndpointId, LastNotice>()
+  private readonly lines = new Map<EndpointId, ReportedQueue>()
   /** Most adapters that an engine was seen to hold; what it caches goes by its slots. */
   private readonly mostHeld = new Map<EndpointId, number>()
   private readonly waiting = new Map<AdapterKey, Set<() => void>>()
 
   /** @returns engines that hold the adapter, with the version there */
   holders (key: AdapterKey): ReadonlyMap<EndpointId, number> {
-    return this.byAdapter.get(key) ?? NOBODY
+    return this.byAdapter.get(key) ?? NO_HOLDERS
   }
 
   /** @returns whether the engine held the adapter lately, not older than this, and so loads it without the weight store */
   isCached (endpoint: EndpointId, key: AdapterKey, leastVersion: number): boolean {
-    return (this.cached.get(endpoint)?.get(key) ?? -1) >= leastVersion
+    return (this.recentlyEvicted.get(endpoint)?.get(key) ?? -1) >= leastVersion
   }
 
   /** @returns the engine's line, as told last; undefined while nobody has spoken of it */
-  line (endpoint: EndpointId): ToldLine | undefined {
+  line (endpoint: EndpointId): ReportedQueue | undefined {
     return this.lines.get(endpoint)
   }
 
   /**
    * Takes what the one that orders an engine's loads says; words of an earlier life, token or moment change nothing.
    *
-   * @param speaker - the process that says it
+   * @param sender - the process that says it
    * @returns adapters that are offered there no more
    */
-  takeNotice (speaker: InstanceId, frame: AdaptersHeldFrame, now: number): readonly AdapterKey[] {
-    const before = this.told.get(frame.endpoint)
-    if (before !== undefined && !isNewer(speaker, frame, before)) return []
-    this.told.set(frame.endpoint, { speaker, born: frame.born, token: frame.token, sequence: frame.sequence })
+  applyNotice (sender: InstanceId, frame: AdaptersHeldFrame, now: number): readonly AdapterKey[] {
+    const before = this.lastNotices.get(frame.endpoint)
+    if (before !== undefined && !isNewer(sender, frame, before)) return []
+    this.lastNotices.set(frame.endpoint, { sender: sender, born: frame.born, token: frame.token, sequence: frame.sequence })
     const held = new Set(frame.held.map(([key]) => key))
     const isCached = (key: string): boolean => this.isCached(frame.endpoint, key as AdapterKey, 0)
     this.inFlight.replace(frame.endpoint, frame.inFlight, (key) => held.has(key), isCached, now)
-    this.lines.set(frame.endpoint, { waiting: new Set(frame.waiting), waitMilliseconds: frame.waitMilliseconds ?? 0, heardAt: now })
+    this.lines.set(frame.endpoint, { waiting: new Set(frame.waiting), waitMilliseconds: frame.waitMilliseconds ?? 0, receivedAt: now })
     return this.replace(frame.endpoint, frame.held.map(([key, version]) => ({ key: key as AdapterKey, version })))
   }
 
   /** Takes an engine's own statement, unless somebody who orders its loads has spoken in this life of it. */
-  takeStatement (endpoint: Endpoint): void {
-    const before = this.told.get(endpoint.id)
+  applyStatement (endpoint: Endpoint): void {
+    const before = this.lastNotices.get(endpoint.id)
     if (before !== undefined && before.born >= endpoint.born) return
-    this.told.delete(endpoint.id)
+    this.lastNotices.delete(endpoint.id)
     this.lines.delete(endpoint.id)
     this.inFlight.forget(endpoint.id)
     this.replace(endpoint.id, endpoint.adapters)
@@ -88,11 +88,11 @@
   /** The engine is gone. */
   remove (endpoint: EndpointId): void {
     this.replace(endpoint, [])
-    this.told.delete(endpoint)
+    this.lastNotices.delete(endpoint)
     this.lines.delete(endpoint)
     this.mostHeld.delete(endpoint)
     this.inFlight.forget(endpoint)
-    this.cached.delete(endpoint)
+    this.recentlyEvicted.delete(endpoint)
     this.byEndpoint.delete(endpoint)
   }
 
@@ -103,26 +103,26 @@
    * @param milliseconds - how long at most
    * @param signal - ends the wait as well
    */
-  async arrival (key: AdapterKey, milliseconds: number, signal: AbortSignal): Promise<void> {
+  async waitForArrival (key: AdapterKey, milliseconds: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) return
     await new Promise<void>((resolve) => {
-      const waiters = this.waiting.get(key) ?? new Set()
+      const waitingForKey = this.waiting.get(key) ?? new Set()
       const finish = (): void => {
         clearTimeout(timer)
         signal.removeEventListener('abort', finish)
-        waiters.delete(finish)
-        if (waiters.size === 0 && this.waiting.get(key) === waiters) this.waiting.delete(key)
+        waitingForKey.delete(finish)
+        if (waitingForKey.size === 0 && this.waiting.get(key) === waitingForKey) this.waiting.delete(key)
         resolve()
       }
       const timer = setTimeout(finish, milliseconds)
       signal.addEventListener('abort', finish)
-      waiters.add(finish)
-      this.waiting.set(key, waiters)
+      waitingForKey.add(finish)
+      this.waiting.set(key, waitingForKey)
     })
   }
 
   /** Wakes all that wait for the adapter, as when a load was refused. */
-  wake (key: AdapterKey): void {
+  wakeWaitingRequests (key: AdapterKey): void {
     for (const finish of [...this.waiting.get(key) ?? []]) finish()
   }
 
@@ -134,38 +134,38 @@
     this.mostHeld.set(endpoint, Math.max(after.size, this.mostHeld.get(endpoint) ?? 0))
     for (const key of before.keys()) {
       if (after.has(key)) continue
-      this.takeOut(endpoint, key)
-      this.keepCached(endpoint, key, before.get(key) ?? 0)
+      this.removeHolder(endpoint, key)
+      this.rememberEvicted(endpoint, key, before.get(key) ?? 0)
     }
     for (const [key, version] of after) {
       const holders = this.byAdapter.get(key) ?? new Map<EndpointId, number>()
       holders.set(endpoint, version)
       this.byAdapter.set(key, holders)
-      if (before.get(key) !== version) this.wake(key)
+      if (before.get(key) !== version) this.wakeWaitingRequests(key)
     }
     return [...before.keys()].filter((key) => !after.has(key))
   }
 
-  private keepCached (endpoint: EndpointId, key: AdapterKey, version: number): void {
-    const kept = this.cached.get(endpoint) ?? new Map<AdapterKey, number>()
-    this.cached.set(endpoint, kept)
+  private rememberEvicted (endpoint: EndpointId, key: AdapterKey, version: number): void {
+    const kept = this.recentlyEvicted.get(endpoint) ?? new Map<AdapterKey, number>()
+    this.recentlyEvicted.set(endpoint, kept)
     kept.delete(key)
     kept.set(key, version)
     const oldest = kept.keys().next().value
     if (kept.size > mostCached(this.mostHeld.get(endpoint) ?? 0) && oldest !== undefined) kept.delete(oldest)
   }
 
-  private takeOut (endpoint: EndpointId, key: AdapterKey): void {
+  private removeHolder (endpoint: EndpointId, key: AdapterKey): void {
     const holders = this.byAdapter.get(key)
     holders?.delete(endpoint)
     if (holders?.size === 0) this.byAdapter.delete(key)
   }
 }
 
-const NOBODY: ReadonlyMap<EndpointId, number> = new Map()
+const NO_HOLDERS: ReadonlyMap<EndpointId, number> = new Map()
 
-function isNewer (speaker: InstanceId, frame: AdaptersHeldFrame, before: Told): boolean {
+function isNewer (sender: InstanceId, frame: AdaptersHeldFrame, before: LastNotice): boolean {
   if (frame.born !== before.born) return frame.born > before.born
   if (frame.token !== before.token) return frame.token > before.token
-  return speaker !== before.speaker || frame.sequence > before.sequence
+  return sender !== before.sender || frame.sequence > before.sequence
 }
--- a/packages/ingress/src/adapters/adapter-seeker.ts
+++ b/packages/ingress/src/adapters/engine-finder.ts
@@ -7,29 +7,29 @@
 import type { AdapterLocations } from './adapter-locations.js'
 
 /** Between askings: a want that is not repeated is dropped, and another engine may have room by now. */
-const ASK_MILLISECONDS = 300
+const LOAD_REQUEST_INTERVAL_MILLISECONDS = 300
 /** A refusal says that the holder has changed; the news of it comes within this. */
-const REFUSAL_MILLISECONDS = 500
+const REFUSAL_VALID_MILLISECONDS = 500
 /** Between looks while no engine can be asked at all. */
-const NOBODY_MILLISECONDS = 100
+const NO_ENGINE_WAIT_MILLISECONDS = 100
 
 /**
  * A request that was refused and comes back before the line is shorter is refused again. No slot and no load comes free much
  * sooner than the first of these; told to wait for longer than the second, callers with a few seconds left would not come back.
  */
-const SOONEST_RETURN_MILLISECONDS = 400
-const LATEST_RETURN_MILLISECONDS = 1_500
+const SHORTEST_RETRY_AFTER_MILLISECONDS = 400
+const LONGEST_RETRY_AFTER_MILLISECONDS = 1_500
 
 /** What the seeker needs. */
-export interface AdapterSeekerParts {
+export interface EngineFinderDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly router: EngineRouter
   readonly locations: AdapterLocations
   /** @returns who orders the engine's loads */
-  readonly holderOf: (endpoint: EndpointId) => InstanceId | undefined
+  readonly loadOwnerOf: (endpoint: EndpointId) => InstanceId | undefined
   /** Tells the one that orders an engine's loads that an adapter is wanted. */
-  readonly ask: (to: InstanceId, frame: LoadAskFrame) => void
+  readonly requestLoad: (to: InstanceId, frame: LoadAskFrame) => void
   /** @returns the least adapter version that a new request may begin on */
   readonly leastVersion: (request: RequestFacts, now: number) => number
 }
@@ -40,7 +40,7 @@
 }
 
 /** What is looked for, and for how long. */
-export interface Search extends EngineQuestion {
+export interface EngineSearch extends EngineQuestion {
   /** Monotonic time after which an answer is late. */
   readonly onTimeUntil: number
   /** Monotonic time at which the search is given up. */
@@ -50,100 +50,100 @@
 }
 
 /** Why a search found nothing. */
-type SearchEnd = 'no engine may serve it' | 'its search took too long' | 'its request ended'
+type SearchFailure = 'no engine may serve it' | 'its search took too long' | 'its request ended'
 
 /** Finds engines. */
-export class AdapterSeeker {
-  private readonly parts: AdapterSeekerParts
+export class EngineFinder {
+  private readonly dependencies: EngineFinderDependencies
   private readonly refusals = new Map<string, number>()
 
-  constructor (parts: AdapterSeekerParts) {
-    this.parts = parts
+  constructor (dependencies: EngineFinderDependencies) {
+    this.dependencies = dependencies
   }
 
   /** A load was refused: those that wait for it look elsewhere. */
   refused (endpoint: EndpointId, key: string): void {
-    this.refusals.set(`${endpoint} ${key}`, this.parts.clock.now())
-    this.parts.locations.wake(key as Parameters<AdapterLocations['wake']>[0])
+    this.refusals.set(`${endpoint} ${key}`, this.dependencies.clock.now())
+    this.dependencies.locations.wakeWaitingRequests(key as Parameters<AdapterLocations['wakeWaitingRequests']>[0])
   }
 
   /** @returns an engine that holds the adapter, or undefined */
-  async seek (search: Search): Promise<FoundEngine | undefined> {
+  async find (search: EngineSearch): Promise<FoundEngine | undefined> {
     const { facts, until, signal } = search
-    const { clock, router } = this.parts
+    const { clock, router } = this.dependencies
     const startedAt = clock.now()
     const place = new QueuePosition()
     for (let askings = 0; !signal.aborted; askings++) {
       const now = clock.now()
       const choice = router.choose(search, now)
       if (choice !== undefined) {
-        this.askForCopy(search, choice, now)
+        this.requestCopy(search, choice, now)
         return { ...choice, stallMilliseconds: now - startedAt }
       }
       const isLate = now >= until
-      if (facts.adapter === undefined || (isLate && facts.adapter.name === undefined)) return this.foundNone(search, 'no engine may serve it', askings, now - startedAt)
-      if (isLate) return this.foundNone(search, 'its search took too long', askings, now - startedAt)
-      await this.haveLoaded(search, place)
+      if (facts.adapter === undefined || (isLate && facts.adapter.name === undefined)) return this.logNoEngine(search, 'no engine may serve it', askings, now - startedAt)
+      if (isLate) return this.logNoEngine(search, 'its search took too long', askings, now - startedAt)
+      await this.requestLoadAndWait(search, place)
     }
-    return this.foundNone(search, 'its request ended', undefined, clock.now() - startedAt)
+    return this.logNoEngine(search, 'its request ended', undefined, clock.now() - startedAt)
   }
 
   /** @returns when a request that found no engine is best sent again, seconds */
-  comeBackSeconds (service: Service): number {
-    const wait = this.parts.router.shortestWait(service, this.parts.clock.now())
-    return Math.min(LATEST_RETURN_MILLISECONDS, Math.max(SOONEST_RETURN_MILLISECONDS, wait)) / 1_000
+  retryAfterSeconds (service: Service): number {
+    const wait = this.dependencies.router.shortestWait(service, this.dependencies.clock.now())
+    return Math.min(LONGEST_RETRY_AFTER_MILLISECONDS, Math.max(SHORTEST_RETRY_AFTER_MILLISECONDS, wait)) / 1_000
   }
 
-  private foundNone ({ facts, excluded, onTimeUntil }: Search, reason: SearchEnd, askings: number | undefined, milliseconds: number): undefined {
-    this.parts.logger.debug('No engine was found.', {
-      request: facts.requestId, adapter: facts.adapter?.key, reason, milliseconds: Math.round(milliseconds), askings, excluded: [...excluded], late: this.parts.clock.now() >= onTimeUntil
+  private logNoEngine ({ facts, excluded, onTimeUntil }: EngineSearch, reason: SearchFailure, askings: number | undefined, milliseconds: number): undefined {
+    this.dependencies.logger.debug('No engine was found.', {
+      request: facts.requestId, adapter: facts.adapter?.key, reason, milliseconds: Math.round(milliseconds), askings, excluded: [...excluded], late: this.dependencies.clock.now() >= onTimeUntil
     })
     return undefined
   }
 
   /** Asks the best engine for the adapter and waits a while. */
-  private async haveLoaded (search: Search, place: QueuePosition): Promise<void> {
-    const { clock, router, locations } = this.parts
+  private async requestLoadAndWait (search: EngineSearch, place: QueuePosition): Promise<void> {
+    const { clock, router, locations } = this.dependencies
     const { facts, until, onTimeUntil, signal } = search
     const { adapter } = facts
     if (adapter === undefined) return
     const now = clock.now()
     // Whole models are not loaded for one request, but an engine that holds the model may come, or be let in again.
-    if (adapter.name === undefined) return await locations.arrival(adapter.key, Math.max(1, Math.min(NOBODY_MILLISECONDS, until - now)), signal)
-    const bias = (endpoint: EndpointId): number => place.bias(endpoint, locations.line(endpoint)?.heardAt, now)
-    const refusing = this.refusing(adapter.key, now)
+    if (adapter.name === undefined) return await locations.waitForArrival(adapter.key, Math.max(1, Math.min(NO_ENGINE_WAIT_MILLISECONDS, until - now)), signal)
+    const bias = (endpoint: EndpointId): number => place.bias(endpoint, locations.line(endpoint)?.receivedAt, now)
+    const recentlyRefusing = this.recentlyRefusing(adapter.key, now)
     // A load to an engine that this request may not use again serves others at best.
-    const load = router.chooseForLoad({ ...search, excluded: new Set([...refusing, ...search.excluded]) }, bias, now) ??
-      router.chooseForLoad({ ...search, excluded: refusing }, bias, now)
-    if (load === undefined) return await locations.arrival(adapter.key, Math.max(1, Math.min(NOBODY_MILLISECONDS, until - now)), signal)
+    const load = router.chooseForLoad({ ...search, excluded: new Set([...recentlyRefusing, ...search.excluded]) }, bias, now) ??
+      router.chooseForLoad({ ...search, excluded: recentlyRefusing }, bias, now)
+    if (load === undefined) return await locations.waitForArrival(adapter.key, Math.max(1, Math.min(NO_ENGINE_WAIT_MILLISECONDS, until - now)), signal)
     place.join(load.endpoint.id, now)
-    this.askFor(load, facts, { request: facts.requestId, onTimeMilliseconds: onTimeUntil - now }, now)
-    await locations.arrival(adapter.key, Math.max(1, Math.min(ASK_MILLISECONDS, until - now)), signal)
+    this.sendLoadRequest(load, facts, { request: facts.requestId, onTimeMilliseconds: onTimeUntil - now }, now)
+    await locations.waitForArrival(adapter.key, Math.max(1, Math.min(LOAD_REQUEST_INTERVAL_MILLISECONDS, until - now)), signal)
   }
 
   /** Engines whose loads the asked instance does not order; the holder that it believed in has changed. */
-  private refusing (key: string, now: number): Set<EndpointId> {
+  private recentlyRefusing (key: string, now: number): Set<EndpointId> {
     const engines = new Set<EndpointId>()
     for (const [what, refusedAt] of this.refusals) {
-      if (now - refusedAt > REFUSAL_MILLISECONDS) this.refusals.delete(what)
+      if (now - refusedAt > REFUSAL_VALID_MILLISECONDS) this.refusals.delete(what)
       else if (what.endsWith(` ${key}`)) engines.add(what.slice(0, what.indexOf(' ')) as EndpointId)
     }
     return engines
   }
 
-  private askForCopy (question: EngineQuestion, choice: EngineChoice, now: number): void {
-    const copy = this.parts.router.chooseForCopy(question, choice, now)
-    if (copy !== undefined) this.askFor(copy, question.facts, undefined, now)
+  private requestCopy (question: EngineQuestion, choice: EngineChoice, now: number): void {
+    const copy = this.dependencies.router.chooseForCopy(question, choice, now)
+    if (copy !== undefined) this.sendLoadRequest(copy, question.facts, undefined, now)
   }
 
-  private askFor ({ endpoint, costMilliseconds }: LoadChoice, facts: RequestFacts, waiter: Pick<LoadAskFrame, 'request' | 'onTimeMilliseconds'> | undefined, now: number): void {
-    const holder = this.parts.holderOf(endpoint.id)
+  private sendLoadRequest ({ endpoint, costMilliseconds }: LoadChoice, facts: RequestFacts, waiter: Pick<LoadAskFrame, 'request' | 'onTimeMilliseconds'> | undefined, now: number): void {
+    const holder = this.dependencies.loadOwnerOf(endpoint.id)
     if (holder === undefined || facts.adapter === undefined) return
-    const version = this.parts.leastVersion(facts, now)
+    const version = this.dependencies.leastVersion(facts, now)
     const waiting = waiter !== undefined
-    this.parts.logger.debug('A load was asked for.', {
+    this.dependencies.logger.debug('A load was asked for.', {
       request: facts.requestId, adapter: facts.adapter.key, endpoint: endpoint.id, of: holder, version, waiting, costMilliseconds: Math.round(costMilliseconds)
     })
-    this.parts.ask(holder, { kind: 'load-ask', endpoint: endpoint.id, key: facts.adapter.key, version, waiting, ...waiter })
+    this.dependencies.requestLoad(holder, { kind: 'load-ask', endpoint: endpoint.id, key: facts.adapter.key, version, waiting, ...waiter })
   }
 }
--- a/packages/ingress/src/adapters/engine-orders.ts
+++ b/packages/ingress/src/adapters/engine-orders.ts
@@ -6,7 +6,7 @@
 import type { EngineControl, EngineOrder, EngineReport, OrderAnswer } from './engine-control.js'
 
 /** What orders need. */
-export interface OrderSurroundings {
+export interface OrderDependencies {
   readonly control: EngineControl
   readonly clock: Clock
   readonly logger: Logger
@@ -18,12 +18,12 @@
 export class EngineOrders {
   private readonly endpoint: Endpoint
   private readonly token: FencingToken
-  private readonly around: OrderSurroundings
+  private readonly dependencies: OrderDependencies
 
-  constructor (endpoint: Endpoint, token: FencingToken, around: OrderSurroundings) {
+  constructor (endpoint: Endpoint, token: FencingToken, dependencies: OrderDependencies) {
     this.endpoint = endpoint
     this.token = token
-    this.around = around
+    this.dependencies = dependencies
   }
 
   /**
@@ -33,8 +33,8 @@
    *
    * @param want - what the order is for; it learns what held it up
    */
-  async give (order: EngineOrder, want: PendingLoad | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
-    const { control, holder, logger, clock } = this.around
+  async send (order: EngineOrder, want: PendingLoad | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
+    const { control, holder, logger, clock } = this.dependencies
     const { id, address } = this.endpoint
     const result = await control.order({ endpoint: id, address, holder, token: this.token }, order)
     const { operation, model, adapter = model, version, ifSequence } = order
@@ -56,9 +56,9 @@
   /** @returns what the engine says of itself; undefined when it says nothing */
   async report (): Promise<EngineReport | undefined> {
     const { id, address } = this.endpoint
-    const report = await this.around.control.report(id, address)
+    const report = await this.dependencies.control.report(id, address)
     if (report.isOk()) return report.value
-    this.around.logger.warn('An engine does not report.', { endpoint: id, reason: report.error.message })
+    this.dependencies.logger.warn('An engine does not report.', { endpoint: id, reason: report.error.message })
     return undefined
   }
 }
--- a/packages/ingress/src/adapters/evictions.ts
+++ b/packages/ingress/src/adapters/evictions.ts
@@ -2,31 +2,31 @@
 import type { LoadQueue, SlotView } from '@limpetwinch/decisions'
 import type { AdapterKey, Endpoint } from '../routes/configuration.js'
 import type { HiddenAdapters } from './hidden-adapters.js'
-import type { LoaderSurroundings } from './loader-surroundings.js'
-import type { OrderDesk } from './order-desk.js'
-import type { SlotLedger } from './slot-ledger.js'
-import type { LoaderStatements } from './loader-statements.js'
+import type { LoaderDependencies } from './loader-dependencies.js'
+import type { OrderDispatcher } from './order-dispatcher.js'
+import type { SlotReservations } from './slot-reservations.js'
+import type { HeldAdapterPublisher } from './held-adapter-publisher.js'
 
 /** A load is for requests that wait, and so is an adapter that is offered again; until peers have told that they run, nothing else may take its slot. */
-const SETTLE_MILLISECONDS = 250
+const REQUESTED_PIN_MILLISECONDS = 250
 
 /** What evictions are made with. */
-export interface EvictionParts {
+export interface EvictionDependencies {
   readonly endpoint: Endpoint
-  readonly ledger: SlotLedger
+  readonly reservations: SlotReservations
   readonly line: LoadQueue<AdapterKey>
   readonly hidden: HiddenAdapters
-  readonly desk: OrderDesk
-  readonly statements: LoaderStatements
-  readonly around: LoaderSurroundings
+  readonly dispatcher: OrderDispatcher
+  readonly publisher: HeldAdapterPublisher
+  readonly loaderDependencies: LoaderDependencies
 }
 
 /** The evictions of one engine. */
 export class Evictions {
-  private readonly parts: EvictionParts
+  private readonly dependencies: EvictionDependencies
 
-  constructor (parts: EvictionParts) {
-    this.parts = parts
+  constructor (dependencies: EvictionDependencies) {
+    this.dependencies = dependencies
   }
 
   /**
@@ -37,8 +37,8 @@
    * @returns whether one was hidden
    */
   hideVictim (most: number, now: number): boolean {
-    const { ledger, line, hidden, statements, around } = this.parts
-    const { inFlight, departing, held } = ledger
+    const { reservations: ledger, line, hidden, publisher: statements, loaderDependencies: around } = this.dependencies
+    const { inFlight, unloading: departing, held } = ledger
     const waiting = line.keys().filter((key) => !inFlight.has(key) && !departing.has(key) && !held.has(key))
     const coming = ledger.free + hidden.keys('eviction').length
     const [first] = waiting
@@ -53,10 +53,10 @@
 
   /** Unloads an adapter whose notice was heard, if nobody objects. @returns whether one was looked after */
   async evictHidden (now: number, signal: AbortSignal): Promise<boolean> {
-    const { endpoint, ledger, line, hidden, desk, statements, around } = this.parts
-    const due = hidden.keys('eviction').find((key) => !ledger.departing.has(key) && now >= (hidden.heardAt(key) ?? Infinity))
+    const { endpoint, reservations: ledger, line, hidden, dispatcher: desk, publisher: statements, loaderDependencies: around } = this.dependencies
+    const due = hidden.keys('eviction').find((key) => !ledger.unloading.has(key) && now >= (hidden.noticeReceivedAt(key) ?? Infinity))
     if (due === undefined) return false
-    if (!ledger.held.has(due) || around.board.running(endpoint.id, due, now) > 0) {
+    if (!ledger.held.has(due) || around.workTracker.running(endpoint.id, due, now) > 0) {
       // A request was on its way when the notice went out. An engine would let it end first, and its slot would block
       // the load for as long; another adapter makes way sooner.
       hidden.show(due)
@@ -67,20 +67,20 @@
     if (answer === 'holds') {
       ledger.unloaded(due, true)
       hidden.show(due)
-    } else if (answer === 'accepted') ledger.willUnload(due)
+    } else if (answer === 'accepted') ledger.unloadAccepted(due)
     // Whether it has left is not known without an answer: it stays hidden, and the order is given again.
     else if (answer === undefined) hidden.hide(due, 'eviction', around.clock.now())
-    else if (!ledger.departing.has(due)) hidden.show(due)
+    else if (!ledger.unloading.has(due)) hidden.show(due)
     statements.changed()
     return answer === 'holds' || answer === 'accepted'
   }
 
   /** Asks whether adapters have left that had to wait for their runs. */
   async confirmDepartures (signal: AbortSignal): Promise<void> {
-    const { endpoint, ledger, line, hidden, desk, statements, around } = this.parts
-    for (const key of [...ledger.departing]) {
+    const { endpoint, reservations: ledger, line, hidden, dispatcher: desk, publisher: statements, loaderDependencies: around } = this.dependencies
+    for (const key of [...ledger.unloading]) {
       if (signal.aborted || !around.mayOrder(endpoint.id)) return
-      if (around.board.running(endpoint.id, key, around.clock.now()) > 0) continue
+      if (around.workTracker.running(endpoint.id, key, around.clock.now()) > 0) continue
       if (await desk.unload(key, line.find(key), signal) !== 'holds') continue
       ledger.unloaded(key, false)
       hidden.show(key)
@@ -89,10 +89,10 @@
   }
 
   private slotViews (now: number): SlotView[] {
-    const { endpoint, ledger, line, hidden, around } = this.parts
+    const { endpoint, reservations: ledger, line, hidden, loaderDependencies: around } = this.dependencies
     return [...ledger.held].filter(([key]) => !hidden.has(key)).map(([key, slot]) => ({
       adapter: key,
-      pins: around.board.running(endpoint.id, key, now) + (now - slot.wantedAt < SETTLE_MILLISECONDS ? 1 : 0),
+      pins: around.workTracker.running(endpoint.id, key, now) + (now - slot.lastRequestedAt < REQUESTED_PIN_MILLISECONDS ? 1 : 0),
       loadedAt: slot.loadedAt,
       lastUsedAt: slot.lastUsedAt,
       waiting: line.find(key) === undefined ? 0 : 1,
--- a/packages/ingress/src/adapters/held-changes.ts
+++ b/packages/ingress/src/adapters/held-adapter-deltas.ts
@@ -8,7 +8,7 @@
 import type { AdaptersChangedFrame, AdaptersHeldFrame, EndpointId, InstanceId } from '@limpetwinch/core'
 
 /** @returns the change from one word to the next */
-export function changeOf (before: AdaptersHeldFrame, after: AdaptersHeldFrame): AdaptersChangedFrame {
+export function deltaBetween (before: AdaptersHeldFrame, after: AdaptersHeldFrame): AdaptersChangedFrame {
   const { endpoint, born, token, sequence, inFlight } = after
   const held = new Map(before.held)
   const still = new Set(after.held.map(([key]) => key))
@@ -28,7 +28,7 @@
 }
 
 /** @returns the word that the change leads to */
-export function applyChange (before: AdaptersHeldFrame, change: AdaptersChangedFrame): AdaptersHeldFrame {
+export function applyDelta (before: AdaptersHeldFrame, change: AdaptersChangedFrame): AdaptersHeldFrame {
   const { endpoint, born, token, sequence, inFlight, waitMilliseconds } = change
   const held = new Map(before.held)
   for (const key of change.removed) held.delete(key)
@@ -39,22 +39,22 @@
 }
 
 /** The last words of peers, which their changes go on from. */
-export class HeldWords {
+export class HeldAdapterBaselines {
   private readonly last = new Map<EndpointId, { readonly from: InstanceId, readonly frame: AdaptersHeldFrame }>()
 
   /** Keeps a whole word. */
-  take (from: InstanceId, frame: AdaptersHeldFrame): void {
+  setFull (from: InstanceId, frame: AdaptersHeldFrame): void {
     this.last.set(frame.endpoint, { from, frame })
   }
 
   /** @returns the word that a change leads to; undefined when the word before it was not heard, until the next whole one */
-  expand (from: InstanceId, change: AdaptersChangedFrame): AdaptersHeldFrame | undefined {
+  apply (from: InstanceId, change: AdaptersChangedFrame): AdaptersHeldFrame | undefined {
     const known = this.last.get(change.endpoint)
     if (known === undefined || known.from !== from) return undefined
     const { frame } = known
     if (frame.born !== change.born || frame.token !== change.token || frame.sequence !== change.sequence - 1) return undefined
-    const next = applyChange(frame, change)
-    this.take(from, next)
+    const next = applyDelta(frame, change)
+    this.setFull(from, next)
     return next
   }
 
--- a/packages/ingress/src/adapters/held-notices.ts
+++ b/packages/ingress/src/adapters/held-adapter-notices.ts
@@ -5,22 +5,22 @@
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { AdapterKey, Endpoint } from '../routes/configuration.js'
 import type { AdapterLocations } from './adapter-locations.js'
-import { changeOf } from './held-changes.js'
-import type { SlotLedger } from './slot-ledger.js'
+import { deltaBetween } from './held-adapter-deltas.js'
+import type { SlotReservations } from './slot-reservations.js'
 
 /**
  * One word in so many is whole. A peer that missed one, on a connection that broke, is told all at its next connection;
  * where two connections crossed it is at sea until the next whole word, about a second later on a busy engine.
  */
-const WHOLE_EVERY = 20
+const FULL_NOTICE_INTERVAL = 20
 
 /** What is told of one engine. */
-export interface HeldStatement {
+export interface HeldAdaptersUpdate {
   readonly endpoint: Endpoint
   readonly token: FencingToken
   /** Grows with each statement under one token. */
   readonly sequence: number
-  readonly ledger: SlotLedger
+  readonly reservations: SlotReservations
   /** Adapters that are held and not offered: they are about to leave or to be replaced. */
   readonly hidden: { readonly has: (key: AdapterKey) => boolean }
   /** Adapters that wait for their load. */
@@ -30,7 +30,7 @@
 }
 
 /** Sends statements, and the last ones again to whoever connects. */
-export class HeldNotices {
+export class HeldAdapterNotices {
   private readonly peers: Pick<PeerOverlay, 'broadcast'>
   private readonly locations: AdapterLocations
   private readonly metrics: IngressMetrics
@@ -48,16 +48,16 @@
   }
 
   /** Tells this instance and all peers. @param urgency - `urgent` when requests go elsewhere by it */
-  publish ({ endpoint, token, sequence, ledger, hidden, waiting, waitMilliseconds }: HeldStatement, urgency: Urgency): void {
+  publish ({ endpoint, token, sequence, reservations: ledger, hidden, waiting, waitMilliseconds }: HeldAdaptersUpdate, urgency: Urgency): void {
     const held = [...ledger.held].filter(([key]) => !hidden.has(key)).map(([key, slot]): [string, number] => [key, slot.version])
     const frame: AdaptersHeldFrame = {
       kind: 'adapters-held', endpoint: endpoint.id, born: endpoint.born, token, sequence, held, inFlight: [...ledger.inFlight.keys()], waiting, waitMilliseconds: Math.round(waitMilliseconds)
     }
     const before = this.last.get(endpoint.id)
     this.last.set(endpoint.id, frame)
-    this.locations.takeNotice(this.self, frame, this.clock.now())
+    this.locations.applyNotice(this.self, frame, this.clock.now())
     const goesOn = before !== undefined && before.born === frame.born && before.token === frame.token && before.sequence === sequence - 1
-    const word = goesOn && sequence % WHOLE_EVERY !== 0 ? changeOf(before, frame) : frame
+    const word = goesOn && sequence % FULL_NOTICE_INTERVAL !== 0 ? deltaBetween(before, frame) : frame
     this.metrics.adapterNotice('sent')
     this.peers.broadcast(word, urgency)
   }
--- a/packages/ingress/src/adapters/loader-statements.ts
+++ b/packages/ingress/src/adapters/held-adapter-publisher.ts
@@ -1,48 +1,48 @@
 /** Says what an engine holds: at once where requests depend on it, at a bounded pace for the rest. */
 import type { Clock } from '@limpetwinch/core'
 import type { Urgency } from '../overlay/notice-outbox.js'
-import type { HeldStatement } from './held-notices.js'
+import type { HeldAdaptersUpdate } from './held-adapter-notices.js'
 
 /** What is on its way and what waits is told no more often than this: each statement goes to all peers. */
-const STATEMENT_MILLISECONDS = 30
+const UPDATE_INTERVAL_MILLISECONDS = 30
 
 /** The statements on one engine. */
-export class LoaderStatements {
+export class HeldAdapterPublisher {
   private readonly clock: Clock
-  private readonly make: (now: number) => Omit<HeldStatement, 'sequence'>
-  private readonly send: (statement: HeldStatement, urgency: Urgency) => void
-  private published = 0
+  private readonly createUpdate: (now: number) => Omit<HeldAdaptersUpdate, 'sequence'>
+  private readonly send: (statement: HeldAdaptersUpdate, urgency: Urgency) => void
+  private publishedCount = 0
   private publishedAt = -Infinity
-  private hasNews = false
+  private hasChanges = false
 
   /**
    * @param clock - for the pace
-   * @param make - what there is to say
+   * @param createUpdate - what there is to say
    * @param send - tells all instances
    */
-  constructor (clock: Clock, make: (now: number) => Omit<HeldStatement, 'sequence'>, send: (statement: HeldStatement, urgency: Urgency) => void) {
+  constructor (clock: Clock, createUpdate: (now: number) => Omit<HeldAdaptersUpdate, 'sequence'>, send: (statement: HeldAdaptersUpdate, urgency: Urgency) => void) {
     this.clock = clock
-    this.make = make
+    this.createUpdate = createUpdate
     this.send = send
   }
 
   /** When what has changed may be told; Infinity while nothing has. */
   get dueAt (): number {
-    return this.hasNews ? this.publishedAt + STATEMENT_MILLISECONDS : Infinity
+    return this.hasChanges ? this.publishedAt + UPDATE_INTERVAL_MILLISECONDS : Infinity
   }
 
   /** Something has changed that may wait for a moment. */
   changed (): void {
-    this.hasNews = true
+    this.hasChanges = true
   }
 
   /** Tells at once. */
   publish (urgency: Urgency = 'urgent'): void {
     const now = this.clock.now()
-    this.published += 1
+    this.publishedCount += 1
     this.publishedAt = now
-    this.hasNews = false
-    this.send({ ...this.make(now), sequence: this.published }, urgency)
+    this.hasChanges = false
+    this.send({ ...this.createUpdate(now), sequence: this.publishedCount }, urgency)
   }
 
   /** Tells what has changed, unless something was told a moment ago. */
--- a/packages/ingress/src/adapters/hidden-adapters.ts
+++ b/packages/ingress/src/adapters/hidden-adapters.ts
@@ -2,21 +2,21 @@
 import type { AdapterKey } from '../routes/configuration.js'
 
 /** Why an adapter is hidden. */
-export type HidingReason = 'eviction' | 'replacement'
+export type HiddenReason = 'eviction' | 'replacement'
 
 interface Hidden {
-  readonly reason: HidingReason
+  readonly reason: HiddenReason
   readonly since: number
 }
 
 /** The hidden adapters of one engine. Several wait for their notice to be heard at the same time. */
 export class HiddenAdapters {
   private readonly byKey = new Map<AdapterKey, Hidden>()
-  private readonly noticeMilliseconds: () => number
+  private readonly noticeRoundTripMilliseconds: () => number
 
-  /** @param noticeMilliseconds - in which peers hear that an adapter leaves; a request that was on its way before has begun by then */
-  constructor (noticeMilliseconds: () => number) {
-    this.noticeMilliseconds = noticeMilliseconds
+  /** @param noticeRoundTripMilliseconds - in which peers hear that an adapter leaves; a request that was on its way before has begun by then */
+  constructor (noticeRoundTripMilliseconds: () => number) {
+    this.noticeRoundTripMilliseconds = noticeRoundTripMilliseconds
   }
 
   /** @returns whether requests are kept away from the adapter */
@@ -25,7 +25,7 @@
   }
 
   /** Keeps requests away from an adapter; its notice is young again. */
-  hide (key: AdapterKey, reason: HidingReason, now: number): void {
+  hide (key: AdapterKey, reason: HiddenReason, now: number): void {
     this.byKey.set(key, { reason, since: now })
   }
 
@@ -35,18 +35,18 @@
   }
 
   /** @returns why the adapter is hidden */
-  reasonOf (key: AdapterKey): HidingReason | undefined {
+  reasonOf (key: AdapterKey): HiddenReason | undefined {
     return this.byKey.get(key)?.reason
   }
 
   /** @returns when all peers have heard of it, monotonic milliseconds; undefined when it is not hidden */
-  heardAt (key: AdapterKey): number | undefined {
+  noticeReceivedAt (key: AdapterKey): number | undefined {
     const hidden = this.byKey.get(key)
-    return hidden === undefined ? undefined : hidden.since + this.noticeMilliseconds()
+    return hidden === undefined ? undefined : hidden.since + this.noticeRoundTripMilliseconds()
   }
 
   /** @returns adapters that are hidden for the reason */
-  keys (reason: HidingReason): readonly AdapterKey[] {
+  keys (reason: HiddenReason): readonly AdapterKey[] {
     return [...this.byKey].filter(([, hidden]) => hidden.reason === reason).map(([key]) => key)
   }
 }
--- a/packages/ingress/src/adapters/in-flight-loads.ts
+++ b/packages/ingress/src/adapters/in-flight-loads.ts
@@ -1,16 +1,16 @@
 /** Adapters on their way to engines, as those who order the loads tell it. */
 import type { EndpointId } from '@limpetwinch/core'
-import type { CompletedLoad } from './weight-store-pace.js'
+import type { CompletedLoad } from './weight-store-limiter.js'
 
 /** A load takes a quarter of a second, some times as long in a crowd. */
-const LONGEST_TRAVEL_MILLISECONDS = 1_000
+const LONGEST_LOAD_MILLISECONDS = 1_000
 
 interface InFlight {
-  readonly heardAt: number
+  readonly firstReportedAt: number
   /** Whether the engine loads it from its own cache; such loads say nothing about the weight store. */
   readonly cached: boolean
   /** Most loads on their way at any time since, itself left out. */
-  mostBeside: number
+  mostOthersInFlight: number
 }
 
 /** Loads by engine and adapter. */
@@ -26,11 +26,11 @@
   /** @returns whether the adapter is on its way to the engine, and for no longer than a load takes */
   has (endpoint: EndpointId, key: string, now: number): boolean {
     const load = this.byEndpoint.get(endpoint)?.get(key)
-    return load !== undefined && isTravelling(load, now)
+    return load !== undefined && isStillInFlight(load, now)
   }
 
   /** @returns adapters on their way to the engine */
-  countTo (endpoint: EndpointId): number {
+  countFor (endpoint: EndpointId): number {
     return this.byEndpoint.get(endpoint)?.size ?? 0
   }
 
@@ -43,7 +43,7 @@
   count (now: number): number {
     let sum = 0
     for (const loads of this.byEndpoint.values()) {
-      for (const load of loads.values()) if (isTravelling(load, now)) sum += 1
+      for (const load of loads.values()) if (isStillInFlight(load, now)) sum += 1
     }
     return sum
   }
@@ -56,14 +56,14 @@
    * @param isCached - whether the engine has an adapter in its cache
    */
   replace (endpoint: EndpointId, keys: readonly string[], arrived: (key: string) => boolean, isCached: (key: string) => boolean, now: number): void {
-    const before = this.byEndpoint.get(endpoint) ?? NONE
-    const after = new Map(keys.map((key) => [key, before.get(key) ?? { heardAt: now, cached: isCached(key), mostBeside: 0 }]))
+    const before = this.byEndpoint.get(endpoint) ?? NO_LOADS
+    const after = new Map(keys.map((key) => [key, before.get(key) ?? { firstReportedAt: now, cached: isCached(key), mostOthersInFlight: 0 }]))
     if (after.size === 0 && before.size === 0) return
     this.byEndpoint.set(endpoint, after)
-    this.notePeaks(now)
+    this.updatePeaks(now)
     for (const [key, load] of before) {
       if (after.has(key) || !arrived(key) || load.cached) continue
-      for (const listener of this.listeners) listener({ milliseconds: now - load.heardAt, mostInFlightBeside: load.mostBeside, now })
+      for (const listener of this.listeners) listener({ milliseconds: now - load.firstReportedAt, mostOthersInFlight: load.mostOthersInFlight, now })
     }
   }
 
@@ -73,16 +73,16 @@
   }
 
   /** A crowd's loads start and end together: the first and the last of them would look as if they had been alone. */
-  private notePeaks (now: number): void {
+  private updatePeaks (now: number): void {
     const beside = this.count(now) - 1
     for (const loads of this.byEndpoint.values()) {
-      for (const load of loads.values()) load.mostBeside = Math.max(load.mostBeside, beside)
+      for (const load of loads.values()) load.mostOthersInFlight = Math.max(load.mostOthersInFlight, beside)
     }
   }
 }
 
-const NONE: ReadonlyMap<string, InFlight> = new Map()
+const NO_LOADS: ReadonlyMap<string, InFlight> = new Map()
 
-function isTravelling (load: InFlight, now: number): boolean {
-  return now - load.heardAt < LONGEST_TRAVEL_MILLISECONDS
+function isStillInFlight (load: InFlight, now: number): boolean {
+  return now - load.firstReportedAt < LONGEST_LOAD_MILLISECONDS
 }
--- a/packages/ingress/src/adapters/loader-surroundings.ts
+++ b/packages/ingress/src/adapters/loader-dependencies.ts
@@ -6,30 +6,30 @@
 import type { LoadBoard } from '../routing/load-board.js'
 import type { AdapterLocations } from './adapter-locations.js'
 import type { OrderAnswer } from './engine-control.js'
-import type { OrderSurroundings } from './engine-orders.js'
-import type { HeldStatement } from './held-notices.js'
-import type { ModelLoadPace } from './model-load-pace.js'
-import type { WeightStorePace } from './weight-store-pace.js'
+import type { OrderDependencies } from './engine-orders.js'
+import type { HeldAdaptersUpdate } from './held-adapter-notices.js'
+import type { ModelLoadRateLimiter } from './model-load-rate-limiter.js'
+import type { WeightStoreLimiter } from './weight-store-limiter.js'
 
 /** What a loader needs. */
-export interface LoaderSurroundings extends OrderSurroundings {
+export interface LoaderDependencies extends OrderDependencies {
   readonly locations: AdapterLocations
-  readonly board: LoadBoard
+  readonly workTracker: LoadBoard
   readonly policy: EvictionPolicy
-  readonly pace: ModelLoadPace
-  readonly storePace: WeightStorePace
+  readonly modelLoadLimiter: ModelLoadRateLimiter
+  readonly storeLimiter: WeightStoreLimiter
   /** @returns the newest announced version; 0 for none */
-  readonly newestVersion: (key: AdapterKey) => number
+  readonly latestVersion: (key: AdapterKey) => number
   /** @returns whether one more engine with the model is worth a load from the weight store */
   readonly isModelNeeded: (endpoint: Endpoint, model: ModelName) => boolean
   /** @returns whether orders may be given now */
   readonly mayOrder: (endpoint: EndpointId) => boolean
   /** Tells all instances what the engine holds. */
-  readonly publish: (statement: HeldStatement, urgency: Urgency) => void
+  readonly publish: (statement: HeldAdaptersUpdate, urgency: Urgency) => void
   /** @returns milliseconds in which all instances have heard of it and answered */
-  readonly noticeMilliseconds: () => number
+  readonly noticeRoundTripMilliseconds: () => number
   /** Someone else orders this engine, or another one listens at its address. */
   readonly onLost: (endpoint: EndpointId, reason: OrderAnswer) => void
   /** The engine could not be reached. */
-  readonly onSilent: (endpoint: EndpointId, reason: string) => void
+  readonly onUnreachable: (endpoint: EndpointId, reason: string) => void
 }
--- a/packages/ingress/src/adapters/model-load-pace.ts
+++ b/packages/ingress/src/adapters/model-load-rate-limiter.ts
@@ -5,11 +5,11 @@
 const BURST = 1
 
 /** This instance's share of the rate. */
-export class ModelLoadPace {
+export class ModelLoadRateLimiter {
   private readonly clock: Clock
   private readonly instances: () => number
   private tokens = BURST
-  private filledAt: number
+  private refilledAt: number
 
   /**
    * @param clock - for the rate
@@ -18,18 +18,18 @@
   constructor (clock: Clock, instances: () => number) {
     this.clock = clock
     this.instances = instances
-    this.filledAt = clock.now()
+    this.refilledAt = clock.now()
   }
 
   /**
    * @param perSecond - the rate of all instances together
    * @returns whether one load may be ordered now; it is then counted
    */
-  take (perSecond: number): boolean {
+  tryTake (perSecond: number): boolean {
     const now = this.clock.now()
     const share = perSecond / this.instances()
-    this.tokens = Math.min(BURST, this.tokens + (now - this.filledAt) / 1_000 * share)
-    this.filledAt = now
+    this.tokens = Math.min(BURST, this.tokens + (now - this.refilledAt) / 1_000 * share)
+    this.refilledAt = now
     if (this.tokens < 1) return false
     this.tokens -= 1
     return true
--- a/packages/ingress/src/adapters/model-need.ts
+++ b/packages/ingress/src/adapters/model-need.ts
@@ -7,7 +7,7 @@
  */
 
 /** How much of an engine that holds the model is in use. */
-export interface EngineUse {
+export interface EngineUsage {
   readonly slots: number
   readonly adaptersInUse: number
 }
@@ -19,7 +19,7 @@
  * @param holders - the engines that hold the model and take work
  * @returns whether one more is worth a load from the weight store
  */
-export function isModelNeeded (holders: readonly EngineUse[]): boolean {
+export function isModelNeeded (holders: readonly EngineUsage[]): boolean {
   const slots = holders.reduce((sum, { slots: each }) => sum + each, 0)
   const inUse = holders.reduce((sum, { adaptersInUse }) => sum + adaptersInUse, 0)
   return slots === 0 || inUse >= slots * BUSY_SHARE
--- a/packages/ingress/src/adapters/order-desk.ts
+++ b/packages/ingress/src/adapters/order-dispatcher.ts
@@ -5,81 +5,81 @@
 import type { AdapterKey, Endpoint, ModelName } from '../routes/configuration.js'
 import type { EngineOrder, OrderAnswer } from './engine-control.js'
 import { EngineOrders } from './engine-orders.js'
-import type { LoaderSurroundings } from './loader-surroundings.js'
-import type { SlotLedger } from './slot-ledger.js'
+import type { LoaderDependencies } from './loader-dependencies.js'
+import type { SlotReservations } from './slot-reservations.js'
 import { UnansweredOrders } from './unanswered-orders.js'
 
 /** Reports are some hundred milliseconds old; one taken after this shows the last order. */
 const REPORT_LAG_MILLISECONDS = 250
 /** An engine that could not be connected to is left in peace for this. */
-const SILENT_MILLISECONDS = 300
+const UNREACHABLE_PAUSE_MILLISECONDS = 300
 /** An engine that is still at work on an order meets the next one with a conflict; it is done within a few of these. */
 const CONFLICT_PAUSE_MILLISECONDS = 25
 const MOST_CONFLICT_PAUSES = 2
 
 /** The orders of one engine under one token. */
-export class OrderDesk {
+export class OrderDispatcher {
   private readonly endpoint: Endpoint
-  private readonly ledger: SlotLedger
-  private readonly around: LoaderSurroundings
+  private readonly reservations: SlotReservations
+  private readonly dependencies: LoaderDependencies
   private readonly orders: EngineOrders
   private readonly unanswered = new UnansweredOrders()
   private readonly onReconciled: () => void
   private conflicts = 0
 
   /** @param onReconciled - called when the ledger has taken over what the engine reports */
-  constructor (endpoint: Endpoint, token: FencingToken, ledger: SlotLedger, around: LoaderSurroundings, onReconciled: () => void) {
+  constructor (endpoint: Endpoint, token: FencingToken, reservations: SlotReservations, dependencies: LoaderDependencies, onReconciled: () => void) {
     this.endpoint = endpoint
-    this.ledger = ledger
-    this.around = around
-    this.orders = new EngineOrders(endpoint, token, around)
+    this.reservations = reservations
+    this.dependencies = dependencies
+    this.orders = new EngineOrders(endpoint, token, dependencies)
     this.onReconciled = onReconciled
   }
 
-  /** @param version - 0 for the newest. @param want - what the load is for. @returns the engine's answer; undefined when it gave none */
-  async load (key: AdapterKey, version: number, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
-    return await this.give('load', key, version, want, signal)
+  /** @param version - 0 for the newest. @param pendingLoad - what the load is for. @returns the engine's answer; undefined when it gave none */
+  async load (key: AdapterKey, version: number, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+    return await this.sendAdapterOrder('load', key, version, pendingLoad, signal)
   }
 
   /** @returns the engine's answer; undefined when it gave none */
-  async unload (key: AdapterKey, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
-    return await this.give('unload', key, 0, want, signal)
+  async unload (key: AdapterKey, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+    return await this.sendAdapterOrder('unload', key, 0, pendingLoad, signal)
   }
 
   /** Orders a whole model; the engine takes no other order until it has come. @returns whether it was accepted */
   async loadModel (model: ModelName, signal: AbortSignal): Promise<boolean> {
-    const order: EngineOrder = { operation: 'load', model, adapter: undefined, version: undefined, ifSequence: this.ledger.sequence }
+    const order: EngineOrder = { operation: 'load', model, adapter: undefined, version: undefined, ifSequence: this.reservations.sequence }
     if (await this.send(order, undefined, undefined, signal) !== 'accepted') return false
-    this.ledger.sequence += 1
+    this.reservations.sequence += 1
     return true
   }
 
   /** Reads what the engine holds, late enough that the report shows the last order. @returns whether it was read */
   async reconcile (signal: AbortSignal): Promise<boolean> {
-    await this.around.clock.sleep(REPORT_LAG_MILLISECONDS, signal)
+    await this.dependencies.clock.sleep(REPORT_LAG_MILLISECONDS, signal)
     if (signal.aborted) return false
     const report = await this.orders.report()
     if (report === undefined) return false
-    this.unanswered.reported(report.sequence)
-    this.ledger.adopt(report, this.around.clock.now())
+    this.unanswered.sequenceReported(report.sequence)
+    this.reservations.applyReport(report, this.dependencies.clock.now())
     this.onReconciled()
     return true
   }
 
-  private async give (operation: 'load' | 'unload', key: AdapterKey, version: number, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  private async sendAdapterOrder (operation: 'load' | 'unload', key: AdapterKey, version: number, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     const adapter = key.slice(key.indexOf('/') + 1)
-    const order = { operation, model: modelOf(key), adapter, version: version === 0 ? undefined : version, ifSequence: this.ledger.sequence }
-    return await this.send(order, key, want, signal)
+    const order = { operation, model: modelOf(key), adapter, version: version === 0 ? undefined : version, ifSequence: this.reservations.sequence }
+    return await this.send(order, key, pendingLoad, signal)
   }
 
-  private async send (order: EngineOrder, key: AdapterKey | undefined, want: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
-    const { clock, onLost, onSilent } = this.around
+  private async send (order: EngineOrder, key: AdapterKey | undefined, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+    const { clock, onLost, onUnreachable: onSilent } = this.dependencies
     const { operation, version, ifSequence } = order
-    const result = await this.orders.give(order, want)
+    const result = await this.orders.send(order, pendingLoad)
     if (result.isErr()) {
       if (result.error.outcome === 'not_run') {
         onSilent(this.endpoint.id, result.error.message)
-        await clock.sleep(SILENT_MILLISECONDS, signal)
+        await clock.sleep(UNREACHABLE_PAUSE_MILLISECONDS, signal)
       } else if (key !== undefined) this.unanswered.add({ operation, key, version: version ?? 0, ifSequence })
       return undefined
     }
@@ -93,13 +93,13 @@
   }
 
   private async resolveConflict (signal: AbortSignal): Promise<void> {
-    const { clock, logger } = this.around
-    if (this.unanswered.isBeyondSlots(this.ledger)) {
+    const { clock, logger } = this.dependencies
+    if (this.unanswered.isBeyondSlots(this.reservations)) {
       await this.reconcile(signal)
       return
     }
-    if (this.unanswered.takeConflict(this.ledger, clock.now())) {
-      logger.debug('An order without an answer was carried out.', { endpoint: this.endpoint.id, ifSequence: this.ledger.sequence - 1 })
+    if (this.unanswered.assumeCarriedOut(this.reservations, clock.now())) {
+      logger.debug('An order without an answer was carried out.', { endpoint: this.endpoint.id, ifSequence: this.reservations.sequence - 1 })
       return
     }
     this.conflicts += 1
--- a/packages/ingress/src/adapters/slot-ledger.ts
+++ b/packages/ingress/src/adapters/slot-reservations.ts
@@ -3,11 +3,11 @@
 import type { EngineReport } from './engine-control.js'
 
 /** Evicted adapters that an engine caches, for each of its slots: five on the smallest engines known, six on larger ones. */
-const CACHED_FOR_SLOT = 5
+const CACHED_PER_SLOT = 5
 
 /** @returns evicted adapters that an engine with so many slots is taken to cache */
 export function mostCached (slots: number): number {
-  return CACHED_FOR_SLOT * slots
+  return CACHED_PER_SLOT * slots
 }
 
 /** An adapter in its slot. */
@@ -16,7 +16,7 @@
   loadedAt: number
   lastUsedAt: number
   /** When somebody last asked for it, who is about to use it. */
-  wantedAt: number
+  lastRequestedAt: number
 }
 
 /** A load that was accepted and is not complete. */
@@ -24,7 +24,7 @@
   readonly version: number
   readonly orderedAt: number
   /** When the engine was last asked whether it has come. */
-  askedAt: number
+  lastCheckedAt: number
 }
 
 /**
@@ -32,13 +32,13 @@
  * lost and which the engine carries out seconds later cannot take effect once a newer one has been accepted. Without
  * that, a late load would take a slot that was given away meanwhile, and an engine with too many adapters ends.
  */
-export class SlotLedger {
+export class SlotReservations {
   readonly held = new Map<AdapterKey, HeldSlot>()
   readonly inFlight = new Map<AdapterKey, InFlightLoad>()
   /** Adapters that leave once their last run has ended; they keep their slots until then. */
-  readonly departing = new Set<AdapterKey>()
+  readonly unloading = new Set<AdapterKey>()
   /** Adapters evicted of late: engines cache them and load them in a tenth of the time. */
-  readonly cached = new Set<AdapterKey>()
+  readonly recentlyEvicted = new Set<AdapterKey>()
   models: readonly ModelName[] = []
   cachedModels: readonly ModelName[] = []
   /** Orders that the engine has accepted. */
@@ -80,56 +80,56 @@
   /** Somebody asks for an adapter that is held. */
   wanted (key: AdapterKey, now: number): void {
     const slot = this.held.get(key)
-    if (slot !== undefined) slot.wantedAt = now
+    if (slot !== undefined) slot.lastRequestedAt = now
   }
 
   /** An order to load was accepted. */
   ordered (key: AdapterKey, version: number, now: number): void {
     this.sequence += 1
-    this.inFlight.set(key, { version, orderedAt: now, askedAt: now })
+    this.inFlight.set(key, { version, orderedAt: now, lastCheckedAt: now })
   }
 
   /** The engine holds the adapter, in this version or a newer one. */
   completed (key: AdapterKey, version: number, now: number): void {
     this.inFlight.delete(key)
-    this.cached.delete(key)
-    this.held.set(key, { version, loadedAt: now, lastUsedAt: now, wantedAt: now })
+    this.recentlyEvicted.delete(key)
+    this.held.set(key, { version, loadedAt: now, lastUsedAt: now, lastRequestedAt: now })
   }
 
   /** An order to unload was accepted; the adapter leaves when its runs have ended. */
-  willUnload (key: AdapterKey): void {
+  unloadAccepted (key: AdapterKey): void {
     this.sequence += 1
-    this.departing.add(key)
+    this.unloading.add(key)
   }
 
   /** An adapter left. @param counted - whether the engine counted the order that said so */
   unloaded (key: AdapterKey, counted: boolean): void {
     if (counted) this.sequence += 1
     this.held.delete(key)
-    this.departing.delete(key)
-    this.cached.delete(key)
-    this.cached.add(key)
-    const oldest = this.cached.values().next().value
-    if (this.cached.size > this.mostCached && oldest !== undefined) this.cached.delete(oldest)
+    this.unloading.delete(key)
+    this.recentlyEvicted.delete(key)
+    this.recentlyEvicted.add(key)
+    const oldest = this.recentlyEvicted.values().next().value
+    if (this.recentlyEvicted.size > this.mostCached && oldest !== undefined) this.recentlyEvicted.delete(oldest)
   }
 
   /** Takes over what the engine reports. */
-  adopt (report: EngineReport, now: number): void {
+  applyReport (report: EngineReport, now: number): void {
     this.sequence = report.sequence
     this.models = report.models
     this.cachedModels = report.cachedModels
     this.replaceHeld(report.held, now)
     for (const key of [...this.inFlight.keys()]) if (!report.inFlight.some((adapter) => adapter.key === key)) this.inFlight.delete(key)
-    for (const { key, version } of report.inFlight) this.inFlight.set(key, this.inFlight.get(key) ?? { version, orderedAt: now, askedAt: now })
+    for (const { key, version } of report.inFlight) this.inFlight.set(key, this.inFlight.get(key) ?? { version, orderedAt: now, lastCheckedAt: now })
   }
 
   private replaceHeld (held: readonly HeldAdapter[], now: number): void {
     const before = new Map(this.held)
     this.held.clear()
-    for (const key of [...this.departing]) if (!held.some((adapter) => adapter.key === key)) this.departing.delete(key)
+    for (const key of [...this.unloading]) if (!held.some((adapter) => adapter.key === key)) this.unloading.delete(key)
     for (const { key, version } of held) {
       const known = before.get(key)
-      this.held.set(key, { version, loadedAt: known?.loadedAt ?? now, lastUsedAt: known?.lastUsedAt ?? now, wantedAt: known?.wantedAt ?? now })
+      this.held.set(key, { version, loadedAt: known?.loadedAt ?? now, lastUsedAt: known?.lastUsedAt ?? now, lastRequestedAt: known?.lastRequestedAt ?? now })
     }
   }
 }
--- a/packages/ingress/src/adapters/store-flow.ts
+++ b/packages/ingress/src/adapters/store-throughput.ts
@@ -1,8 +1,8 @@
 /** How many loads the weight store hands out to all engines together, by what was seen of late. */
 
 /** Loads in a time, the older ones counting ever less. */
-export class StoreFlow {
-  private inMillisecond = 0
+export class StoreThroughput {
+  private loadsPerMillisecond = 0
   private lastAt = -Infinity
 
   /**
@@ -10,13 +10,13 @@
    *
    * @param memory - milliseconds after which what came before counts a third
    */
-  take (now: number, memory: number): void {
-    this.inMillisecond = this.inMillisecond * Math.exp(-Math.max(0, now - this.lastAt) / memory) + 1 / memory
+  record (now: number, memory: number): void {
+    this.loadsPerMillisecond = this.loadsPerMillisecond * Math.exp(-Math.max(0, now - this.lastAt) / memory) + 1 / memory
     this.lastAt = now
   }
 
   /** @returns loads that come within the time, as of the last one */
-  within (milliseconds: number): number {
-    return this.inMillisecond * milliseconds
+  expectedWithin (milliseconds: number): number {
+    return this.loadsPerMillisecond * milliseconds
   }
 }
--- a/packages/ingress/src/adapters/store-turn.ts
+++ b/packages/ingress/src/adapters/store-turn.ts
@@ -7,42 +7,42 @@
  *
  * So an engine also has its turn when loads enough have come to all engines since its last one, whatever the limit says.
  */
-import type { WeightStorePace } from './weight-store-pace.js'
+import type { WeightStoreLimiter } from './weight-store-limiter.js'
 
 /**
  * Loads that come to all engines between two turns of one of them, for each engine. With two, at most half of the loads
  * that begin do so by turn: a store that is too full empties, since the limit holds back the other half.
  */
-const LOADS_FOR_TURN = 2
+const LOADS_PER_TURN = 2
 /** An engine that has loaded nothing for long has no more than so many turns in a row. */
-const MOST_TURNS = 2
+const MOST_ACCUMULATED_TURNS = 2
 
 /** The turns of one engine. */
 export class StoreTurn {
-  private readonly pace: WeightStorePace
+  private readonly limiter: WeightStoreLimiter
   /** Loads handed out for which this engine has had its turns. */
-  private settled: number
+  private accountedLoads: number
 
-  /** @param pace - what is learnt of the store; its engines take turns */
-  constructor (pace: WeightStorePace) {
-    this.pace = pace
-    this.settled = pace.handedOut
+  /** @param limiter - what is learnt of the store; its engines take turns */
+  constructor (limiter: WeightStoreLimiter) {
+    this.limiter = limiter
+    this.accountedLoads = limiter.completedLoadCount
   }
 
   /** @param inFlight - loads on their way to all engines. @returns whether one more may begin here */
   mayBegin (inFlight: number): boolean {
-    return inFlight < this.pace.limit || this.pace.handedOut - this.settled >= this.loadsForTurn
+    return inFlight < this.limiter.limit || this.limiter.completedLoadCount - this.accountedLoads >= this.loadsPerTurn
   }
 
   /** A load from the store has begun here. */
-  began (): void {
-    const { handedOut } = this.pace
-    const earliest = handedOut - MOST_TURNS * this.loadsForTurn
+  loadBegan (): void {
+    const { completedLoadCount: handedOut } = this.limiter
+    const earliest = handedOut - MOST_ACCUMULATED_TURNS * this.loadsPerTurn
     // Loads come in bursts: what came beyond a turn counts for the next one.
-    this.settled = Math.min(handedOut, Math.max(this.settled, earliest) + this.loadsForTurn)
+    this.accountedLoads = Math.min(handedOut, Math.max(this.accountedLoads, earliest) + this.loadsPerTurn)
   }
 
-  private get loadsForTurn (): number {
-    return LOADS_FOR_TURN * this.pace.engineCount
+  private get loadsPerTurn (): number {
+    return LOADS_PER_TURN * this.limiter.engineCount
   }
 }
--- a/packages/ingress/src/adapters/unanswered-orders.ts
+++ b/packages/ingress/src/adapters/unanswered-orders.ts
@@ -3,7 +3,7 @@
  * those with the same count can have been carried out.
  */
 import type { AdapterKey } from '../routes/configuration.js'
-import type { SlotLedger } from './slot-ledger.js'
+import type { SlotReservations } from './slot-reservations.js'
 
 interface UnansweredOrder {
   readonly operation: 'load' | 'unload'
@@ -33,7 +33,7 @@
   }
 
   /** The engine reports its count: those with a lower one are settled by what it reports. */
-  reported (sequence: number): void {
+  sequenceReported (sequence: number): void {
     this.orders = this.orders.filter(({ ifSequence }) => ifSequence >= sequence)
   }
 
@@ -44,9 +44,9 @@
    *
    * @returns whether more loads are in doubt than there are slots for
    */
-  isBeyondSlots (ledger: SlotLedger): boolean {
-    const loads = this.inDoubt(ledger).filter(({ operation, key }) => operation === 'load' && !ledger.inFlight.has(key) && !ledger.held.has(key))
-    return new Set(loads.map(({ key }) => key)).size > ledger.free
+  isBeyondSlots (reservations: SlotReservations): boolean {
+    const loads = this.unsettled(reservations).filter(({ operation, key }) => operation === 'load' && !reservations.inFlight.has(key) && !reservations.held.has(key))
+    return new Set(loads.map(({ key }) => key)).size > reservations.free
   }
 
   /**
@@ -55,19 +55,19 @@
    *
    * @returns whether the conflict is explained
    */
-  takeConflict (ledger: SlotLedger, now: number): boolean {
-    const orders = this.inDoubt(ledger)
+  assumeCarriedOut (reservations: SlotReservations, now: number): boolean {
+    const orders = this.unsettled(reservations)
     this.orders = []
     if (orders.length === 0) return false
-    ledger.sequence += 1
+    reservations.sequence += 1
     for (const { operation, key, version } of orders) {
-      if (operation === 'unload') ledger.departing.add(key)
-      else if (!ledger.inFlight.has(key)) ledger.inFlight.set(key, { version, orderedAt: now, askedAt: now })
+      if (operation === 'unload') reservations.unloading.add(key)
+      else if (!reservations.inFlight.has(key)) reservations.inFlight.set(key, { version, orderedAt: now, lastCheckedAt: now })
     }
     return true
   }
 
-  private inDoubt (ledger: SlotLedger): readonly UnansweredOrder[] {
-    return this.orders.filter(({ ifSequence }) => ifSequence === ledger.sequence)
+  private unsettled (reservations: SlotReservations): readonly UnansweredOrder[] {
+    return this.orders.filter(({ ifSequence }) => ifSequence === reservations.sequence)
   }
 }
--- a/packages/ingress/src/adapters/weight-store-pace.ts
+++ b/packages/ingress/src/adapters/weight-store-limiter.ts
@@ -9,29 +9,29 @@
  * How long a load took is the weaker sign: it is as late as the news of it. How many loads come is the stronger one, since late news
  * is news all the same. So the limit never stays below what was seen to come within the time of one load.
  */
-import { StoreFlow } from './store-flow.js'
+import { StoreThroughput } from './store-throughput.js'
 
 /**
  * In flight for each engine, before anything is learnt: what one engine takes. Stores take a fraction of a load to some loads for
  * each engine at full speed. Begun too low, the store idles while a crowd waits, and the limit grows by a load at a
  * time; begun too high, the first loads of a crowd take longer, and they say at once how much room there is.
  */
-const FIRST_LIMIT_FOR_ENGINE = 4
+const INITIAL_LIMIT_PER_ENGINE = 4
 /** One engine takes four loads at once; below this a single engine could not fill its slots. */
 const LEAST_LIMIT = 4
 const MOST_LIMIT = 1_000
 /** Time of an adapter from an idle store before anything is learnt, milliseconds: an adapter of some tens of megabytes. */
-const FIRST_LOAD_MILLISECONDS = 250
+const INITIAL_LOAD_MILLISECONDS = 250
 /** Least weight of the newest load in the time of one; the first ones weigh more, since the first guess is only that. */
 const SMOOTHING = 0.1
 /** One load counts as no faster and no slower than this: an engine may have held the adapter in its cache, or hung. */
-const FASTEST_SHARE = 0.8
-const SLOWEST_SHARE = 2.5
+const FASTEST_LOAD_RATIO = 0.8
+const SLOWEST_LOAD_RATIO = 2.5
 /**
  * A load that took so many times the usual time met a full store. Arrival is asked for each 40 ms, so a load of an idle
  * store is seen up to a sixth late; a third beyond it is no accident, and costs a third of a load's time at most.
  */
-const CONGESTED_SHARE = 1.35
+const CONGESTED_LOAD_RATIO = 1.35
 /**
  * A full store slows all loads alike. One that is late alone was held up elsewhere: its order was carried out late, its engine
  * stood still, or the news of it came late. A few of these would cut the limit at each of them, and the store would idle
@@ -39,9 +39,9 @@
  */
 const RECENT_LOADS = 8
 const LEAST_RECENT_LOADS = 3
-const QUICK_SHARE = 0.25
+const LOWER_QUARTILE = 0.25
 /** Loads count as recent for so many times the time of one. */
-const RECENT_SHARE = 4
+const RECENT_LOAD_TIMES = 4
 /** Added after a load that was not slowed while the limit was reached, at most once in the time of a load. */
 const INCREASE = 0.25
 const INCREASE_SHARE = 0.05
@@ -49,21 +49,21 @@
  * A slowed load tells the room of the store: what was in flight, over how many times longer it took. The limit is set a
  * little above it, so that the store never idles between an arrival and the news of it, and by one load to no less than half.
  */
-const ABOVE_ROOM = 1.15
-const LEAST_SHARE_LEFT = 0.5
+const CAPACITY_MARGIN = 1.15
+const LEAST_REMAINING_SHARE = 0.5
 /**
  * The time of one load is learnt while no more than this part of the limit, and no more than so many for each engine, are
  * on their way: with a limit that stands too high, slowed loads would pass for usual ones, and it would stay there.
  */
 const IDLE_SHARE = 0.4
-const IDLE_FOR_ENGINE = 0.25
+const IDLE_PER_ENGINE = 0.25
 
 /** A load from the weight store that is complete. */
 export interface CompletedLoad {
   /** From the order until the engine said that it holds the adapter. */
   readonly milliseconds: number
   /** Most loads that were on their way to all engines at any time meanwhile, itself left out. */
-  readonly mostInFlightBeside: number
+  readonly mostOthersInFlight: number
   /** Monotonic milliseconds. */
   readonly now: number
 }
@@ -76,13 +76,13 @@
 }
 
 /** The limit and the time of one load, learnt from loads. */
-export class WeightStorePace {
+export class WeightStoreLimiter {
   private readonly engines: () => number
-  private learnt: number | undefined
-  private loadMilliseconds = FIRST_LOAD_MILLISECONDS
+  private learnedLimit: number | undefined
+  private loadMilliseconds = INITIAL_LOAD_MILLISECONDS
   private changedAt = -Infinity
-  private readonly flow = new StoreFlow()
-  private completedLoads = 0
+  private readonly throughput = new StoreThroughput()
+  private completedCount = 0
   private idleLoads = 0
   private recent: RecentLoad[] = []
 
@@ -97,8 +97,8 @@
   }
 
   /** Loads from the store that were seen to be complete, on all engines. */
-  get handedOut (): number {
-    return this.completedLoads
+  get completedLoadCount (): number {
+    return this.completedCount
   }
 
   /** Loads that may be on their way to all engines at once. */
@@ -114,58 +114,58 @@
   /** Learns from a load. */
   completed (load: CompletedLoad): void {
     const { exactLimit: before } = this
-    this.completedLoads += 1
-    this.flow.take(load.now, RECENT_SHARE * this.loadMilliseconds)
+    this.completedCount += 1
+    this.throughput.record(load.now, RECENT_LOAD_TIMES * this.loadMilliseconds)
     // At the least limit nothing more can be held back; a store that is slow for one load would else seem full for ever.
-    const idle = Math.max(LEAST_LIMIT, Math.min(before * IDLE_SHARE, this.engines() * IDLE_FOR_ENGINE))
-    if (load.mostInFlightBeside < idle) this.learnTime(load.milliseconds)
-    const quick = this.quickOfRecent(load)
+    const idle = Math.max(LEAST_LIMIT, Math.min(before * IDLE_SHARE, this.engines() * IDLE_PER_ENGINE))
+    if (load.mostOthersInFlight < idle) this.learnLoadTime(load.milliseconds)
+    const quick = this.lowerQuartileOfRecent(load)
     // All loads of one moment meet the same store; changed once for each of them, the limit would swing.
     if (load.now - this.changedAt < this.loadMilliseconds) return
-    const limit = Math.max(this.limitBy(load, quick, idle), this.flow.within(this.loadMilliseconds) * ABOVE_ROOM)
+    const limit = Math.max(this.limitFromLoadTimes(load, quick, idle), this.throughput.expectedWithin(this.loadMilliseconds) * CAPACITY_MARGIN)
     if (limit !== before) this.change(limit, load.now)
   }
 
   /** @returns the limit as the times of loads have it */
-  private limitBy (load: CompletedLoad, { slowness, mostInFlightBeside }: RecentLoad, idle: number): number {
+  private limitFromLoadTimes (load: CompletedLoad, { slowness, mostInFlightBeside }: RecentLoad, idle: number): number {
     const { exactLimit: limit } = this
-    if (slowness > CONGESTED_SHARE && mostInFlightBeside >= idle) {
+    if (slowness > CONGESTED_LOAD_RATIO && mostInFlightBeside >= idle) {
       if (this.recent.length < LEAST_RECENT_LOADS) return limit
-      const room = (mostInFlightBeside + 1) / slowness * ABOVE_ROOM
-      return Math.min(limit, Math.max(limit * LEAST_SHARE_LEFT, room))
+      const room = (mostInFlightBeside + 1) / slowness * CAPACITY_MARGIN
+      return Math.min(limit, Math.max(limit * LEAST_REMAINING_SHARE, room))
     }
     // Raised only where the limit held something back; else it would grow through any quiet hour.
-    const heldBack = slowness <= CONGESTED_SHARE && load.mostInFlightBeside + 1 >= Math.floor(limit)
+    const heldBack = slowness <= CONGESTED_LOAD_RATIO && load.mostOthersInFlight + 1 >= Math.floor(limit)
     return heldBack ? limit + INCREASE + INCREASE_SHARE * limit : limit
   }
 
   /** @returns the load that a quarter of the recent ones were not slower than */
-  private quickOfRecent ({ milliseconds, mostInFlightBeside, now }: CompletedLoad): RecentLoad {
+  private lowerQuartileOfRecent ({ milliseconds, mostOthersInFlight: mostInFlightBeside, now }: CompletedLoad): RecentLoad {
     const newest = { slowness: milliseconds / this.loadMilliseconds, mostInFlightBeside, now }
-    const since = now - RECENT_SHARE * this.loadMilliseconds
+    const since = now - RECENT_LOAD_TIMES * this.loadMilliseconds
     this.recent = [...this.recent.filter((load) => load.now >= since), newest].slice(-RECENT_LOADS)
     const bySlowness = this.recent.toSorted((left, right) => left.slowness - right.slowness)
-    return bySlowness[Math.floor(bySlowness.length * QUICK_SHARE)] ?? newest
+    return bySlowness[Math.floor(bySlowness.length * LOWER_QUARTILE)] ?? newest
   }
 
-  private get firstLimit (): number {
-    return Math.max(LEAST_LIMIT, this.engines() * FIRST_LIMIT_FOR_ENGINE)
+  private get initialLimit (): number {
+    return Math.max(LEAST_LIMIT, this.engines() * INITIAL_LIMIT_PER_ENGINE)
   }
 
   private get exactLimit (): number {
-    return this.learnt ?? this.firstLimit
+    return this.learnedLimit ?? this.initialLimit
   }
 
   private change (limit: number, now: number): void {
-    this.learnt = Math.min(MOST_LIMIT, Math.max(LEAST_LIMIT, limit))
+    this.learnedLimit = Math.min(MOST_LIMIT, Math.max(LEAST_LIMIT, limit))
     this.changedAt = now
     // What was loaded before met another limit.
     this.recent = []
   }
 
-  private learnTime (milliseconds: number): void {
+  private learnLoadTime (milliseconds: number): void {
     const before = this.loadMilliseconds
-    const bounded = Math.min(before * SLOWEST_SHARE, Math.max(before * FASTEST_SHARE, milliseconds))
+    const bounded = Math.min(before * SLOWEST_LOAD_RATIO, Math.max(before * FASTEST_LOAD_RATIO, milliseconds))
     this.idleLoads += 1
     this.loadMilliseconds = before + Math.max(SMOOTHING, 1 / (this.idleLoads + 1)) * (bounded - before)
   }
--- a/packages/ingress/src/beliefs/cluster-view.ts
+++ b/packages/ingress/src/beliefs/cluster-view.ts
@@ -1,6 +1,6 @@
 /** The product's own objects in the store as they are known here, read or told by a peer. */
 import { clusterPath, clusterVersion } from '../members/cluster-objects.js'
-import type { ClusterObject, LoadHolder, Member, StoredVerdict } from '../members/cluster-objects.js'
+import type { ClusterObject, LoadOwner, Member, StoredQuarantineDecision } from '../members/cluster-objects.js'
 
 /** Hears of each newer state. */
 export type ClusterListener = (objects: SortedClusterObjects, revision: number) => void
@@ -8,8 +8,8 @@
 /** All objects by their kind. */
 export interface SortedClusterObjects {
   readonly members: readonly Member[]
-  readonly holders: readonly LoadHolder[]
-  readonly verdicts: readonly StoredVerdict[]
+  readonly holders: readonly LoadOwner[]
+  readonly verdicts: readonly StoredQuarantineDecision[]
 }
 
 /** Members, holders and verdicts at one revision of the store; it never goes back. */
--- a/packages/ingress/src/endpoints/endpoint-directory.ts
+++ b/packages/ingress/src/endpoints/endpoint-directory.ts
@@ -20,20 +20,20 @@
 /** Hears of changes. */
 export type EndpointListener = (endpoint: Endpoint, change: 'arrived' | 'restarted' | 'leaving' | 'gone') => void
 
-interface Record {
+interface EndpointRecord {
   endpoint: Endpoint
   /** Monotonic time at which a lapsed entry counts as gone; undefined while it is listed. */
-  goneAt: number | undefined
+  removedAt: number | undefined
 }
 
 /** The endpoints known here. */
 export class EndpointDirectory {
-  private readonly records = new Map<EndpointId, Record>()
+  private readonly records = new Map<EndpointId, EndpointRecord>()
   private readonly byService = new Map<ServiceName, Endpoint[]>()
   private readonly listeners: EndpointListener[] = []
   private readonly listingListeners: ((endpoints: readonly Endpoint[]) => void)[] = []
   private readonly logger: Logger
-  private revisionSeen = 0
+  private appliedRevision = 0
 
   /** @param logger - hears of each change of belief */
   constructor (logger: Logger) {
@@ -42,7 +42,7 @@
 
   /** @returns the store's revision of the newest listing applied; 0 before the first */
   get revision (): number {
-    return this.revisionSeen
+    return this.appliedRevision
   }
 
   /** Calls the listener with each change of belief. */
@@ -79,8 +79,8 @@
   ids (): { readonly present: readonly EndpointId[], readonly lapsed: readonly EndpointId[] } {
     const ids = [...this.records.keys()]
     return {
-      present: ids.filter((id) => this.records.get(id)?.goneAt === undefined),
-      lapsed: ids.filter((id) => this.records.get(id)?.goneAt !== undefined)
+      present: ids.filter((id) => this.records.get(id)?.removedAt === undefined),
+      lapsed: ids.filter((id) => this.records.get(id)?.removedAt !== undefined)
     }
   }
 
@@ -92,12 +92,12 @@
    * @param now - monotonic time
    */
   apply (listing: EndpointListing, outageEndedAt: number | undefined, now: number): void {
-    if (listing.revision <= this.revisionSeen) return
-    this.revisionSeen = listing.revision
+    if (listing.revision <= this.appliedRevision) return
+    this.appliedRevision = listing.revision
     const listed = new Set(listing.endpoints.map((endpoint) => endpoint.id))
-    for (const endpoint of listing.endpoints) this.take(endpoint)
+    for (const endpoint of listing.endpoints) this.applyEntry(endpoint)
     for (const [id, record] of this.records) {
-      if (!listed.has(id)) this.miss(id, record, listing.lapsed?.has(id) === true ? now : outageEndedAt, now)
+      if (!listed.has(id)) this.handleMissing(id, record, listing.lapsed?.has(id) === true ? now : outageEndedAt, now)
     }
     this.rebuild()
     for (const listener of this.listingListeners) listener(this.all())
@@ -107,20 +107,20 @@
   expire (now: number): void {
     let changed = false
     for (const [id, record] of this.records) {
-      if (record.goneAt === undefined || record.goneAt > now) continue
-      this.drop(id, record, 'not back after the outage of the store')
+      if (record.removedAt === undefined || record.removedAt > now) continue
+      this.remove(id, record, 'not back after the outage of the store')
       changed = true
     }
     if (changed) this.rebuild()
   }
 
-  private take (endpoint: Endpoint): void {
+  private applyEntry (endpoint: Endpoint): void {
     const record = this.records.get(endpoint.id)
     if (record === undefined) {
-      this.records.set(endpoint.id, { endpoint, goneAt: undefined })
-      return this.tell(endpoint, 'arrived')
+      this.records.set(endpoint.id, { endpoint, removedAt: undefined })
+      return this.announce(endpoint, 'arrived')
     }
-    record.goneAt = undefined
+    record.removedAt = undefined
     const known = record.endpoint
     // A write that was held up on its way may arrive after newer ones. Taken at its word it would call an endpoint
     // ready that has said that it leaves, and new work would be cut off there. Lives and statements only grow.
@@ -128,26 +128,26 @@
     const restarted = endpoint.born > known.born
     const stillLeaving = !restarted && known.leaving
     record.endpoint = stillLeaving ? { ...endpoint, leaving: true } : endpoint
-    if (restarted) this.tell(endpoint, 'restarted')
-    else if (endpoint.leaving && !known.leaving) this.tell(endpoint, 'leaving')
+    if (restarted) this.announce(endpoint, 'restarted')
+    else if (endpoint.leaving && !known.leaving) this.announce(endpoint, 'leaving')
   }
 
-  private miss (id: EndpointId, record: Record, outageEndedAt: number | undefined, now: number): void {
-    if (record.goneAt !== undefined) return
-    if (outageEndedAt === undefined || record.endpoint.leaving) return this.drop(id, record, 'removed from the store')
-    record.goneAt = Math.max(now, outageEndedAt + LAPSE_GRACE_MILLISECONDS)
-    this.logger.info('An entry lapsed during the outage.', { endpoint: id, revision: this.revisionSeen })
+  private handleMissing (id: EndpointId, record: EndpointRecord, outageEndedAt: number | undefined, now: number): void {
+    if (record.removedAt !== undefined) return
+    if (outageEndedAt === undefined || record.endpoint.leaving) return this.remove(id, record, 'removed from the store')
+    record.removedAt = Math.max(now, outageEndedAt + LAPSE_GRACE_MILLISECONDS)
+    this.logger.info('An entry lapsed during the outage.', { endpoint: id, revision: this.appliedRevision })
   }
 
-  private drop (id: EndpointId, record: Record, reason: string): void {
+  private remove (id: EndpointId, record: EndpointRecord, reason: string): void {
     this.records.delete(id)
-    this.logger.info('An endpoint is gone.', { endpoint: id, reason, revision: this.revisionSeen })
+    this.logger.info('An endpoint is gone.', { endpoint: id, reason, revision: this.appliedRevision })
     for (const listener of this.listeners) listener(record.endpoint, 'gone')
   }
 
-  private tell (endpoint: Endpoint, change: 'arrived' | 'restarted' | 'leaving'): void {
+  private announce (endpoint: Endpoint, change: 'arrived' | 'restarted' | 'leaving'): void {
     const { id, service, address, born, leavesInMilliseconds } = endpoint
-    this.logger.info(CHANGE_LINES[change], { endpoint: id, service, address, born, revision: this.revisionSeen, leavesInMilliseconds })
+    this.logger.info(CHANGE_MESSAGES[change], { endpoint: id, service, address, born, revision: this.appliedRevision, leavesInMilliseconds })
     for (const listener of this.listeners) listener(endpoint, change)
   }
 
@@ -162,7 +162,7 @@
   }
 }
 
-const CHANGE_LINES = {
+const CHANGE_MESSAGES = {
   arrived: 'An endpoint arrived.',
   restarted: 'An endpoint started again.',
   leaving: 'An endpoint is leaving.'
--- a/packages/ingress/src/members/cluster-objects.ts
+++ b/packages/ingress/src/members/cluster-objects.ts
@@ -10,8 +10,8 @@
 export const CLUSTER_KIND = 'limpetwinch-cluster'
 
 const memberSchema = z.object({ instance: z.string(), address: z.string(), dataCentre: z.string(), cores: z.number().optional() })
-const holderSchema = z.object({ holder: z.string(), previous: z.string().optional(), claimedAt: z.number() })
-const verdictSchema = z.object({ crashes: z.number(), strikes: z.number(), certain: z.boolean(), untilWallTime: z.number() })
+const loadOwnerSchema = z.object({ holder: z.string(), previous: z.string().optional(), claimedAt: z.number() })
+const quarantineDecisionSchema = z.object({ crashes: z.number(), strikes: z.number(), certain: z.boolean(), untilWallTime: z.number() })
 
 /** An instance, as it wrote itself down at its start. */
 export interface Member {
@@ -28,7 +28,7 @@
 }
 
 /** Who orders an engine's loads. */
-export interface LoadHolder {
+export interface LoadOwner {
   readonly endpoint: EndpointId
   /** Name of the member. */
   readonly holder: string
@@ -41,7 +41,7 @@
 }
 
 /** A verdict on a request, as it stands in the store. */
-export interface StoredVerdict extends Omit<QuarantineDecision, 'until'> {
+export interface StoredQuarantineDecision extends Omit<QuarantineDecision, 'until'> {
   /** Wall clock, milliseconds. */
   readonly untilWallTime: number
   readonly version: number
@@ -50,13 +50,13 @@
 /** One object of the kind. */
 export type ClusterObject =
   | { readonly kind: 'member', readonly member: Member }
-  | { readonly kind: 'holder', readonly holder: LoadHolder }
-  | { readonly kind: 'verdict', readonly verdict: StoredVerdict }
+  | { readonly kind: 'holder', readonly holder: LoadOwner }
+  | { readonly kind: 'verdict', readonly verdict: StoredQuarantineDecision }
 
 /** @returns the path of an object */
 export function clusterPath (object: ClusterObject): string {
   if (object.kind === 'member') return memberPath(object.member.name)
-  return object.kind === 'holder' ? holderPath(object.holder.endpoint) : verdictPath(object.verdict.fingerprint)
+  return object.kind === 'holder' ? loadOwnerPath(object.holder.endpoint) : quarantineDecisionPath(object.verdict.fingerprint)
 }
 
 /** @returns the object's version, which is the store's revision of its last change */
@@ -71,12 +71,12 @@
 }
 
 /** @returns the path of an engine's holder object */
-export function holderPath (endpoint: EndpointId): string {
+export function loadOwnerPath (endpoint: EndpointId): string {
   return `${CLUSTER_KIND}/holder.${endpoint}`
 }
 
 /** @returns the path of a verdict's object */
-export function verdictPath (fingerprint: RequestFingerprint): string {
+export function quarantineDecisionPath (fingerprint: RequestFingerprint): string {
   return `${CLUSTER_KIND}/verdict.${fingerprint}`
 }
 
@@ -92,10 +92,10 @@
     return { kind: 'member', member: { name: subject, instance: instance as InstanceId, address, dataCentre: dataCentre as DataCentreId, cores, version: object.version } }
   }
   if (name.startsWith('verdict.')) {
-    const decoded = verdictSchema.safeParse(object.value)
+    const decoded = quarantineDecisionSchema.safeParse(object.value)
     return decoded.success ? { kind: 'verdict', verdict: { fingerprint: subject as RequestFingerprint, ...decoded.data, version: object.version } } : undefined
   }
-  const decoded = holderSchema.safeParse(object.value)
+  const decoded = loadOwnerSchema.safeParse(object.value)
   if (!decoded.success) return undefined
   const { holder, previous, claimedAt } = decoded.data
   return { kind: 'holder', holder: { endpoint: subject as EndpointId, holder, previous, claimedAt, token: object.version as FencingToken } }
--- a/packages/ingress/src/members/member-list.ts
+++ b/packages/ingress/src/members/member-list.ts
@@ -8,10 +8,10 @@
  * A member without a connection counts as gone after this: a connection that broke is made anew sooner. One that fell
  * silent was waited for already, for three heartbeats.
  */
-export const SUSPECT_MILLISECONDS = 1_200
+export const UNREACHABLE_AFTER_MILLISECONDS = 1_200
 /** A member that was not heard for so long has left without a word; its object is deleted. */
-const FORGET_MILLISECONDS = 60_000
-const LOOK_MILLISECONDS = 1_000
+const DELETE_LOST_AFTER_MILLISECONDS = 60_000
+const CHECK_MILLISECONDS = 1_000
 
 /** This instance, as its peers see it. */
 export interface SelfDescription {
@@ -35,9 +35,9 @@
   private readonly logger: Logger
   private readonly members = new Map<string, Member>()
   private readonly firstSeen = new Map<InstanceId, number>()
-  private readonly believedLive = new Set<string>()
-  private listed = false
-  private written: Member | undefined
+  private readonly loggedLive = new Set<string>()
+  private listingApplied = false
+  private ownRecord: Member | undefined
   private stopping = false
 
   constructor (self: SelfDescription, store: DeletingObjectStore, presence: MemberPresence, clock: Clock, logger: Logger) {
@@ -49,8 +49,8 @@
   }
 
   /** Whether the store has listed the members in this life. */
-  get known (): boolean {
-    return this.listed
+  get hasListing (): boolean {
+    return this.listingApplied
   }
 
   /** @returns the number of members written down, living or not; at least one */
@@ -64,7 +64,7 @@
    * @param revision - the store's, of the listing
    */
   apply (members: readonly Member[], revision: number): void {
-    this.listed = true
+    this.listingApplied = true
     const now = this.clock.now()
     this.members.clear()
     for (const member of members) {
@@ -72,7 +72,7 @@
       if (!this.firstSeen.has(member.instance)) this.firstSeen.set(member.instance, now)
     }
     // A listing that was made before this instance wrote itself down does not know of it; taken at its word, it would write again.
-    if (this.written !== undefined && this.written.version > revision) this.members.set(this.self.name, this.written)
+    if (this.ownRecord !== undefined && this.ownRecord.version > revision) this.members.set(this.self.name, this.ownRecord)
     this.presence.apply([...this.members.values()])
   }
 
@@ -82,17 +82,17 @@
   }
 
   /** @returns whether the member of this name is heard; one that leaves goes on with its duties until it has gone */
-  isHeard (name: string): boolean {
+  isReachable (name: string): boolean {
     if (name === this.self.name) return true
     const member = this.members.get(name)
-    return member !== undefined && this.silence(member) < SUSPECT_MILLISECONDS
+    return member !== undefined && this.millisecondsSinceContact(member) < UNREACHABLE_AFTER_MILLISECONDS
   }
 
   /** @returns whether the member of this name is heard and takes new duties */
   isLive (name: string): boolean {
     if (name === this.self.name) return !this.stopping
     const member = this.members.get(name)
-    return member !== undefined && !this.presence.isLeaving(member.instance) && this.isHeard(name)
+    return member !== undefined && !this.presence.isLeaving(member.instance) && this.isReachable(name)
   }
 
   /** @returns names of all members that are heard, this one included */
@@ -104,10 +104,10 @@
   /** Writes this instance down until it stands there, and looks after the objects of members that are gone. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.listed && !this.stopping) await this.register()
-      this.noteChanges()
-      await this.forgetLost()
-      await this.clock.sleep(this.members.has(this.self.name) ? LOOK_MILLISECONDS : 100, signal)
+      if (this.listingApplied && !this.stopping) await this.register()
+      this.logChanges()
+      await this.deleteLostMembers()
+      await this.clock.sleep(this.members.has(this.self.name) ? CHECK_MILLISECONDS : 100, signal)
     }
   }
 
@@ -128,37 +128,37 @@
     const { name, instance, address, dataCentre, cores } = this.self
     const present = this.members.get(name)
     if (present?.instance === instance) return
-    const written = await this.store.put({ path: memberPath(name), ifVersion: present?.version ?? 0, value: { instance, address, dataCentre, cores } })
-    if (written.isOk()) {
-      this.written = { name, instance, address, dataCentre, cores, version: written.value }
-      this.members.set(name, this.written)
+    const ownRecord = await this.store.put({ path: memberPath(name), ifVersion: present?.version ?? 0, value: { instance, address, dataCentre, cores } })
+    if (ownRecord.isOk()) {
+      this.ownRecord = { name, instance, address, dataCentre, cores, version: ownRecord.value }
+      this.members.set(name, this.ownRecord)
       this.presence.apply([...this.members.values()])
-      this.logger.info('This instance is written down.', { name, revision: written.value })
+      this.logger.info('This instance is written down.', { name, revision: ownRecord.value })
       return
     }
     // A conflict or a lost answer shows in the next step of the watch, which this loop reads.
-    this.logger.warn('This instance could not be written down yet.', { name, reason: written.error.message })
+    this.logger.warn('This instance could not be written down yet.', { name, reason: ownRecord.error.message })
   }
 
-  private silence (member: Member): number {
+  private millisecondsSinceContact (member: Member): number {
     if (this.presence.isPresent(member.instance)) return 0
     const heard = this.presence.lastPresent(member.instance) ?? this.firstSeen.get(member.instance) ?? -Infinity
     return this.clock.now() - heard
   }
 
-  private noteChanges (): void {
+  private logChanges (): void {
     for (const { name } of this.members.values()) {
       const live = this.isLive(name)
-      if (live === this.believedLive.has(name)) continue
-      if (live) this.believedLive.add(name)
-      else this.believedLive.delete(name)
+      if (live === this.loggedLive.has(name)) continue
+      if (live) this.loggedLive.add(name)
+      else this.loggedLive.delete(name)
       this.logger.info(live ? 'A member is heard.' : 'A member is not heard any more.', { name, instance: this.members.get(name)?.instance })
     }
   }
 
-  private async forgetLost (): Promise<void> {
+  private async deleteLostMembers (): Promise<void> {
     for (const member of [...this.members.values()]) {
-      if (member.name === this.self.name || this.silence(member) < FORGET_MILLISECONDS) continue
+      if (member.name === this.self.name || this.millisecondsSinceContact(member) < DELETE_LOST_AFTER_MILLISECONDS) continue
       const removed = await this.store.remove(memberPath(member.name), member.version)
       if (removed.isOk()) this.members.delete(member.name)
       this.logger.info('The object of a lost member is deleted.', { name: member.name, outcome: removed.isOk() ? 'done' : removed.error.kind })
--- a/packages/ingress/src/quarantine/quarantine-exchange.ts
+++ b/packages/ingress/src/quarantine/quarantine-exchange.ts
@@ -3,7 +3,7 @@
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import type { PeerLinks } from '@limpetwinch/entry'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
-import type { StoredVerdict } from '../members/cluster-objects.js'
+import type { StoredQuarantineDecision } from '../members/cluster-objects.js'
 import { CrashDetector } from './crash-detector.js'
 import { QuarantineRecords } from './quarantine-records.js'
 import { RequestQuarantine, verdictFrame } from './request-quarantine.js'
@@ -48,7 +48,7 @@
   }
 
   /** Takes the verdicts as the store lists them. */
-  apply (verdicts: readonly StoredVerdict[]): void {
+  apply (verdicts: readonly StoredQuarantineDecision[]): void {
     this.records.apply(verdicts)
   }
 
--- a/packages/ingress/src/quarantine/quarantine-records.ts
+++ b/packages/ingress/src/quarantine/quarantine-records.ts
@@ -1,8 +1,8 @@
 /** Verdicts in the platform's store: instances that start later, all of them perhaps, begin with what was known. */
 import type { Clock, DeletingObjectStore, Logger } from '@limpetwinch/core'
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
-import { verdictPath } from '../members/cluster-objects.js'
-import type { StoredVerdict } from '../members/cluster-objects.js'
+import { quarantineDecisionPath } from '../members/cluster-objects.js'
+import type { StoredQuarantineDecision } from '../members/cluster-objects.js'
 
 const LOOK_MILLISECONDS = 250
 /** A store that is away is asked again after this. */
@@ -29,7 +29,7 @@
   private readonly listener: QuarantineListener
   private readonly clock: Clock
   private readonly logger: Logger
-  private listed = new Map<RequestFingerprint, StoredVerdict>()
+  private listed = new Map<RequestFingerprint, StoredQuarantineDecision>()
   private readonly due = new Map<RequestFingerprint, DueVerdict>()
 
   constructor (store: DeletingObjectStore, listener: QuarantineListener, clock: Clock, logger: Logger) {
@@ -40,7 +40,7 @@
   }
 
   /** Takes the verdicts as the store lists them. One that was listed and is no more was taken back. */
-  apply (verdicts: readonly StoredVerdict[]): void {
+  apply (verdicts: readonly StoredQuarantineDecision[]): void {
     const { clock } = this
     const before = this.listed
     this.listed = new Map(verdicts.map((verdict) => [verdict.fingerprint, verdict]))
@@ -64,7 +64,7 @@
     this.due.delete(fingerprint)
     const listed = this.listed.get(fingerprint)
     if (listed === undefined) return
-    const removed = await this.store.remove(verdictPath(fingerprint), listed.version)
+    const removed = await this.store.remove(quarantineDecisionPath(fingerprint), listed.version)
     if (removed.isErr()) this.logger.warn('A verdict stays in the store.', { fingerprint, reason: removed.error.message })
   }
 
@@ -85,7 +85,7 @@
       return
     }
     const untilWallTime = Math.round(this.clock.wallTime() + until - this.clock.now())
-    const written = await this.store.put({ path: verdictPath(fingerprint), ifVersion: listed?.version ?? 0, value: { crashes, strikes, certain, untilWallTime } })
+    const written = await this.store.put({ path: quarantineDecisionPath(fingerprint), ifVersion: listed?.version ?? 0, value: { crashes, strikes, certain, untilWallTime } })
     if (written.isOk()) {
       this.due.delete(fingerprint)
       return
--- a/packages/ingress/src/relay/failover-search.ts
+++ b/packages/ingress/src/relay/failover-search.ts
@@ -1,5 +1,5 @@
 /** Looks for another engine for a stream whose engine says nothing. The stream stays where it is until one is found. */
-import type { FoundEngine } from '../adapters/adapter-seeker.js'
+import type { FoundEngine } from '../adapters/engine-finder.js'
 
 /** The searches of one try; one at a time. */
 export class FailoverSearch {
--- a/packages/ingress/src/relay/relayed-stream.ts
+++ b/packages/ingress/src/relay/relayed-stream.ts
@@ -2,7 +2,7 @@
 import type { EndpointId } from '@limpetwinch/core'
 import { LimpetwinchError } from '@limpetwinch/core'
 import { callerPatience, longestAdapterWait } from '@limpetwinch/decisions'
-import type { FoundEngine, Search } from '../adapters/adapter-seeker.js'
+import type { FoundEngine, EngineSearch } from '../adapters/engine-finder.js'
 import { FailoverSearch } from './failover-search.js'
 import { TryRecord } from './final-errors.js'
 import type { RelayOutcome } from './relay-outcome.js'
@@ -103,9 +103,9 @@
     return await this.seek({ excluded: new Set([...this.tried, ...quarantine.avoided(this.request)]), isolated: true })
   }
 
-  private async seek (choice: Partial<Search> = {}): Promise<FoundEngine | undefined> {
+  private async seek (choice: Partial<EngineSearch> = {}): Promise<FoundEngine | undefined> {
     const { service, facts, route, cameAt, signal } = this.request
-    return await this.parts.seeker.seek({
+    return await this.parts.seeker.find({
       service,
       facts,
       gapMilliseconds: route.gapMilliseconds,
@@ -157,7 +157,7 @@
   private mayRepeat (): boolean {
     const { clock, logger, budgets } = this.parts
     const { service, facts } = this.request
-    if (budgets.repeat(service.name, clock.now())) return true
+    if (budgets.tryRetry(service.name, clock.now())) return true
     logger.debug('A repeat is beyond the budget.', { request: facts.requestId, service: service.name, tries: this.sends })
     return false
   }
@@ -274,7 +274,7 @@
     const { exchange, signal, service } = this.request
     const common = { tries: this.sends, ...this.times() }
     if (exchange.left.aborted) return { outcome: 'caller-left', ...common }
-    const retryAfter = this.parts.seeker.comeBackSeconds(service)
+    const retryAfter = this.parts.seeker.retryAfterSeconds(service)
     const error = signal.aborted ? this.record.timeoutError(retryAfter) : this.finalError(retryAfter)
     const wasStarted = exchange.started
     exchange.refuse(error)
--- a/packages/ingress/src/relay/routed-listener.ts
+++ b/packages/ingress/src/relay/routed-listener.ts
@@ -6,7 +6,7 @@
 import type { AcceptedConfiguration, ConfigurationInForce } from '../beliefs/accepted-configuration.js'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
-import type { RepeatBudgets } from '../retries/repeat-budgets.js'
+import type { RetryBudgets } from '../retries/retry-budgets.js'
 import { pickTarget } from '../routes/route-table.js'
 import type { Route, Service } from '../routes/configuration.js'
 import { CallerExchange } from './caller-exchange.js'
@@ -37,7 +37,7 @@
   readonly logger: Logger
   readonly codec: RequestCodec
   readonly configuration: AcceptedConfiguration
-  readonly budgets: RepeatBudgets
+  readonly budgets: RetryBudgets
   readonly quarantine: RequestQuarantine
   readonly metrics: IngressMetrics
   readonly random: () => number
--- a/packages/ingress/src/relay/service-relay.ts
+++ b/packages/ingress/src/relay/service-relay.ts
@@ -2,7 +2,7 @@
 import type { Clock, EndpointId, LimpetwinchError, Logger } from '@limpetwinch/core'
 import type { ErrorRates } from '@limpetwinch/decisions'
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
-import type { RepeatBudgets } from '../retries/repeat-budgets.js'
+import type { RetryBudgets } from '../retries/retry-budgets.js'
 import type { Endpoint } from '../routes/configuration.js'
 import type { LoadBoard } from '../routing/load-board.js'
 import type { ServiceRouter } from '../routing/service-router.js'
@@ -30,7 +30,7 @@
   readonly board: LoadBoard
   readonly senders: EndpointSenders
   readonly errors: ErrorRates
-  readonly budgets: RepeatBudgets
+  readonly budgets: RetryBudgets
   readonly quarantine: RequestQuarantine
   readonly random: () => number
 }
@@ -120,7 +120,7 @@
     const { service, facts } = request
     const excluded = avoided.size === 0 ? tried : new Set([...tried, ...avoided])
     const endpoint = router.choose(service.name, excluded, random, clock.now())
-    if (endpoint === undefined || tried.size === 0 || budgets.repeat(service.name, clock.now())) return endpoint
+    if (endpoint === undefined || tried.size === 0 || budgets.tryRetry(service.name, clock.now())) return endpoint
     logger.debug('A repeat is beyond the budget.', { request: facts.requestId, service: service.name, tries: tried.size })
     return undefined
   }
--- a/packages/ingress/src/relay/stream-relay.ts
+++ b/packages/ingress/src/relay/stream-relay.ts
@@ -2,9 +2,9 @@
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { EngineSpeeds } from '@limpetwinch/decisions'
 import type { AdapterLocations } from '../adapters/adapter-locations.js'
-import type { AdapterSeeker } from '../adapters/adapter-seeker.js'
+import type { EngineFinder } from '../adapters/engine-finder.js'
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
-import type { RepeatBudgets } from '../retries/repeat-budgets.js'
+import type { RetryBudgets } from '../retries/retry-budgets.js'
 import type { FirstEventForecast } from '../routing/first-event-forecast.js'
 import type { LoadBoard } from '../routing/load-board.js'
 import type { PrefixMemory } from '../routing/prefix-memory.js'
@@ -17,14 +17,14 @@
 export interface StreamRelayParts {
   readonly clock: Clock
   readonly logger: Logger
-  readonly seeker: AdapterSeeker
+  readonly seeker: EngineFinder
   readonly locations: AdapterLocations
   readonly board: LoadBoard
   readonly forecast: FirstEventForecast
   readonly speeds: EngineSpeeds
   readonly prefixes: PrefixMemory
   readonly senders: EndpointSenders
-  readonly budgets: RepeatBudgets
+  readonly budgets: RetryBudgets
   readonly quarantine: RequestQuarantine
   /** @returns the version that engines are held to; undefined accepts any */
   readonly expectedVersion: (request: RoutedRequest, now: number) => number | undefined
--- a/packages/ingress/src/retries/repeat-budgets.ts
+++ b/packages/ingress/src/retries/retry-budgets.ts
@@ -13,7 +13,7 @@
  * One budget for each service. The bound is on all instances together: each takes its own requests' share of it and an
  * equal part of the slack, so that the sum keeps it without a word between them, also when they are cut off.
  */
-export class RepeatBudgets {
+export class RetryBudgets {
   private readonly settings: RepeatSettings
   private readonly instances: () => number
   private readonly budgets = new Map<ServiceName, ShareRetryBudget>()
@@ -33,7 +33,7 @@
   }
 
   /** @returns whether one more arrival of a request that was sent before is allowed; it is then counted */
-  repeat (service: ServiceName, now: number): boolean {
+  tryRetry (service: ServiceName, now: number): boolean {
     return this.budget(service).withdraw(now)
   }
 
--- a/packages/ingress/src/routing/engine-router.ts
+++ b/packages/ingress/src/routing/engine-router.ts
@@ -250,7 +250,7 @@
     const joins = line?.waiting.has(key) === true
     const storeWorth = joins ? 0 : STORE_LOAD_WORTH_MILLISECONDS
     const travel = locations.isCached(endpoint.id, key, leastVersion(key, now)) ? CACHED_LOAD_MILLISECONDS : storeMilliseconds + storeWorth
-    const idleSlots = shape.adapterSlots - board.adaptersInUse(endpoint.id, now) - locations.inFlight.countTo(endpoint.id)
+    const idleSlots = shape.adapterSlots - board.adaptersInUse(endpoint.id, now) - locations.inFlight.countFor(endpoint.id)
     const slots = idleSlots > 0 ? 0 : RUN_MILLISECONDS / shape.adapterSlots * (1 - idleSlots)
     const turn = Math.max(slots, line?.waitMilliseconds ?? 0)
     // It runs there and is not offered there: it is on its way out or being replaced, which waits for those runs.
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -4,13 +4,13 @@
 import { EngineSpeeds, ErrorRates, OutlierEjection, StallEvictionPolicy } from '@limpetwinch/decisions'
 import { Supervisor, TcpPeerNetwork } from '@limpetwinch/entry'
 import { AdapterLocations } from '../adapters/adapter-locations.js'
-import { AdapterSeeker } from '../adapters/adapter-seeker.js'
-import { HeldNotices } from '../adapters/held-notices.js'
-import { LoadDuty } from '../adapters/load-duty.js'
+import { EngineFinder } from '../adapters/engine-finder.js'
+import { HeldAdapterNotices } from '../adapters/held-adapter-notices.js'
+import { LoadOwnership } from '../adapters/load-ownership.js'
 import { isModelNeeded } from '../adapters/model-need.js'
-import type { EngineUse } from '../adapters/model-need.js'
-import { ModelLoadPace } from '../adapters/model-load-pace.js'
-import { WeightStorePace } from '../adapters/weight-store-pace.js'
+import type { EngineUsage } from '../adapters/model-need.js'
+import { ModelLoadRateLimiter } from '../adapters/model-load-rate-limiter.js'
+import { WeightStoreLimiter } from '../adapters/weight-store-limiter.js'
 import { AcceptedConfiguration } from '../beliefs/accepted-configuration.js'
 import { AdapterVersions } from '../beliefs/adapter-versions.js'
 import { BeliefExchange } from '../beliefs/belief-exchange.js'
@@ -26,7 +26,7 @@
 import { RoutedListener } from '../relay/routed-listener.js'
 import { ServiceRelay } from '../relay/service-relay.js'
 import { StreamRelay } from '../relay/stream-relay.js'
-import { RepeatBudgets } from '../retries/repeat-budgets.js'
+import { RetryBudgets } from '../retries/retry-budgets.js'
 import type { AdapterKey, Endpoint, ModelName, ServiceName } from '../routes/configuration.js'
 import { EngineRouter } from '../routing/engine-router.js'
 import { FirstEventForecast } from '../routing/first-event-forecast.js'
@@ -80,7 +80,7 @@
   private readonly exchange: BeliefExchange
   private readonly reading: StoreReading
   private readonly locations = new AdapterLocations()
-  private readonly storePace = new WeightStorePace(() => this.engineCount())
+  private readonly storePace = new WeightStoreLimiter(() => this.engineCount())
   private readonly board = new LoadBoard()
   private readonly speeds = new EngineSpeeds()
   private readonly forecast = new FirstEventForecast(this.speeds)
@@ -88,10 +88,10 @@
   private readonly ejection = new OutlierEjection(EJECTION)
   private readonly errors = new ErrorRates()
   private readonly policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 1_500, loadsPerSecond: 30 })
-  private readonly heldNotices: HeldNotices
+  private readonly heldNotices: HeldAdapterNotices
   private readonly digests: WorkDigests
-  private readonly duty: LoadDuty
-  private readonly seeker: AdapterSeeker
+  private readonly duty: LoadOwnership
+  private readonly seeker: EngineFinder
   private readonly talk: PeerTalk
   private readonly quarantine: QuarantineExchange
   private readonly senders: EndpointSenders
@@ -141,7 +141,7 @@
     // that it holds no more.
     const isNeeded = (): boolean => !settings.fencedEndpoints || this.exchange.needsStore
     this.reading = new StoreReading(this.followerParts(), { isNeeded, knowsMembers: () => this.cluster.revision > 0 }, this.clock, logger.part('store'))
-    this.heldNotices = new HeldNotices(this.overlay, this.locations, this.metrics, this.clock, this.instance)
+    this.heldNotices = new HeldAdapterNotices(this.overlay, this.locations, this.metrics, this.clock, this.instance)
     this.digests = new WorkDigests(this.overlay, this.board, () => this.members.count, this.clock)
     this.duty = this.makeDuty()
     const router = new EngineRouter({
@@ -155,15 +155,15 @@
       dataCentre: settings.dataCentre,
       leastVersion: (key, now) => this.versions.leastUsable(key, now),
       loadMilliseconds: () => this.storePace.expectedMilliseconds(this.locations.inFlight.count(this.clock.now())),
-      isOrdered: (endpoint) => this.duty.holderOf(endpoint) !== undefined
+      isOrdered: (endpoint) => this.duty.loadOwnerOf(endpoint) !== undefined
     })
-    this.seeker = new AdapterSeeker({
+    this.seeker = new EngineFinder({
       clock: this.clock,
       logger: logger.part('relay'),
       router,
       locations: this.locations,
-      holderOf: (endpoint) => this.duty.holderOf(endpoint),
-      ask: (to, frame) => this.overlay.notify(to, frame),
+      loadOwnerOf: (endpoint) => this.duty.loadOwnerOf(endpoint),
+      requestLoad: (to, frame) => this.overlay.notify(to, frame),
       leastVersion: (facts, now) => facts.adapter === undefined ? 0 : this.versions.leastUsable(facts.adapter.key, now)
     })
     this.talk = new PeerTalk({
@@ -240,7 +240,7 @@
     await this.listener.listen(callerAddress.slice(0, at), Number(callerAddress.slice(at + 1)))
   }
 
-  private makeDuty (): LoadDuty {
+  private makeDuty (): LoadOwnership {
     const parts = {
       store: this.platform.store,
       health: this.health,
@@ -252,24 +252,24 @@
       leaseMilliseconds: this.settings.leaseMilliseconds,
       fencedEndpoints: this.settings.fencedEndpoints
     }
-    return new LoadDuty(parts, {
+    return new LoadOwnership(parts, {
       control: this.platform.control,
       clock: this.clock,
       logger: this.logger.part('loads'),
       locations: this.locations,
-      board: this.board,
+      workTracker: this.board,
       policy: this.policy,
-      pace: new ModelLoadPace(this.clock, () => this.members.count),
-      storePace: this.storePace,
-      newestVersion: (key) => this.versions.newest(key) ?? 0,
+      modelLoadLimiter: new ModelLoadRateLimiter(this.clock, () => this.members.count),
+      storeLimiter: this.storePace,
+      latestVersion: (key) => this.versions.newest(key) ?? 0,
       isModelNeeded: (endpoint, model) => isModelNeeded(this.enginesWith(endpoint, model)),
       publish: (statement, urgency) => this.heldNotices.publish(statement, urgency),
-      noticeMilliseconds: () => this.overlay.noticeMilliseconds,
-      onSilent: (endpoint, reason) => this.senders.observe(endpoint, 'failed', reason)
+      noticeRoundTripMilliseconds: () => this.overlay.noticeMilliseconds,
+      onUnreachable: (endpoint, reason) => this.senders.observe(endpoint, 'failed', reason)
     })
   }
 
-  private enginesWith (endpoint: Endpoint, model: ModelName): EngineUse[] {
+  private enginesWith (endpoint: Endpoint, model: ModelName): EngineUsage[] {
     const slots = this.configuration.current?.services.get(endpoint.service)?.engine?.adapterSlots ?? 0
     const now = this.clock.now()
     return this.directory.servable(endpoint.service)
@@ -303,7 +303,7 @@
   private makeListener (): RoutedListener {
     const { clock, board, senders, metrics } = this
     const { quarantine } = this.quarantine
-    const budgets = new RepeatBudgets(this.settings.repeats, () => this.members.count)
+    const budgets = new RetryBudgets(this.settings.repeats, () => this.members.count)
     const logger = this.logger.part('relay')
     const services = new ServiceRelay({
       clock,
@@ -364,9 +364,9 @@
     this.directory.onChange((endpoint, change) => this.endpointChanged(endpoint, change))
     this.directory.onListing(() => { this.engines = undefined })
     this.configuration.onChange(() => { this.engines = undefined })
-    this.directory.onListing((endpoints) => { for (const endpoint of endpoints) this.locations.takeStatement(endpoint) })
+    this.directory.onListing((endpoints) => { for (const endpoint of endpoints) this.locations.applyStatement(endpoint) })
     this.locations.inFlight.onCompleted((load) => this.storePace.completed(load))
-    this.versions.onNewer((key, version) => this.duty.newer(key, version))
+    this.versions.onNewer((key, version) => this.duty.versionAnnounced(key, version))
     this.board.onUse((_endpoint, key) => this.policy.recordUse(key, '', 1, this.clock.now()))
     this.talk.connect()
   }
--- a/packages/ingress/src/runtime/peer-talk.ts
+++ b/packages/ingress/src/runtime/peer-talk.ts
@@ -5,10 +5,10 @@
 import type { OverlayRole } from '../overlay/notice-router.js'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import type { AdapterLocations } from '../adapters/adapter-locations.js'
-import type { AdapterSeeker } from '../adapters/adapter-seeker.js'
-import { HeldWords } from '../adapters/held-changes.js'
-import type { HeldNotices } from '../adapters/held-notices.js'
-import type { LoadDuty } from '../adapters/load-duty.js'
+import type { EngineFinder } from '../adapters/engine-finder.js'
+import { HeldAdapterBaselines } from '../adapters/held-adapter-deltas.js'
+import type { HeldAdapterNotices } from '../adapters/held-adapter-notices.js'
+import type { LoadOwnership } from '../adapters/load-ownership.js'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { AdapterKey } from '../routes/configuration.js'
 import type { LoadBoard } from '../routing/load-board.js'
@@ -23,16 +23,16 @@
   readonly board: LoadBoard
   readonly digests: WorkDigests
   readonly locations: AdapterLocations
-  readonly heldNotices: HeldNotices
-  readonly duty: LoadDuty
-  readonly seeker: AdapterSeeker
+  readonly heldNotices: HeldAdapterNotices
+  readonly duty: LoadOwnership
+  readonly seeker: EngineFinder
   readonly metrics: IngressMetrics
 }
 
 /** The notices of one instance. */
 export class PeerTalk {
   private readonly parts: PeerTalkParts
-  private readonly heldWords = new HeldWords()
+  private readonly heldWords = new HeldAdapterBaselines()
 
   constructor (parts: PeerTalkParts) {
     this.parts = parts
@@ -44,14 +44,14 @@
     board.onReleased((endpoint) => this.tellRelease(endpoint))
     network.onNotice('relay-load', (from, frame) => {
       board.take(from, frame.loads, clock.now())
-      duty.released()
+      duty.runsEnded()
     })
     network.onNotice('adapters-held', (from, frame) => {
-      this.heldWords.take(from, frame)
+      this.heldWords.setFull(from, frame)
       this.takeHeld(from, frame)
     })
     network.onNotice('adapters-changed', (from, change) => {
-      const frame = this.heldWords.expand(from, change)
+      const frame = this.heldWords.apply(from, change)
       if (frame !== undefined) this.takeHeld(from, frame)
     })
     network.onNotice('load-ask', (from, frame) => this.takeAsk(from, frame))
@@ -79,13 +79,13 @@
     const { endpoint, key, version } = frame
     const loader = duty.loader(endpoint)
     if (loader === undefined) return overlay.notify(from, { kind: 'load-refused', endpoint, key, reason: 'this instance does not order its loads' })
-    loader.want(key as AdapterKey, version, waiterOf(frame, from))
+    loader.requestLoad(key as AdapterKey, version, waiterOf(frame, from))
   }
 
   private takeHeld (from: InstanceId, frame: AdaptersHeldFrame): void {
     const { metrics, locations, clock } = this.parts
     metrics.adapterNotice('taken')
-    const hidden = locations.takeNotice(from, frame, clock.now())
+    const hidden = locations.applyNotice(from, frame, clock.now())
     this.objectToEviction(from, frame.endpoint, hidden)
   }
 
@@ -102,8 +102,8 @@
   /** A slot may be free where loads wait for one. */
   private tellRelease (endpoint: EndpointId): void {
     const { locations, duty, digests, self } = this.parts
-    const holder = locations.line(endpoint)?.waiting.size === 0 ? undefined : duty.holderOf(endpoint)
-    if (holder === self) duty.loader(endpoint)?.released()
+    const holder = locations.line(endpoint)?.waiting.size === 0 ? undefined : duty.loadOwnerOf(endpoint)
+    if (holder === self) duty.loader(endpoint)?.runsEnded()
     else if (holder !== undefined) digests.tellSoon(holder)
   }
 }
--- a/packages/ingress/test/adapter-locations.failure.test.ts
+++ b/packages/ingress/test/adapter-locations.failure.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest'
 import type { AdaptersHeldFrame, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import { AdapterLocations } from '../src/adapters/adapter-locations.js'
-import { endpoint, key, SPEAKER } from './support/samples.js'
+import { endpoint, key, LOAD_OWNER } from './support/samples.js'
 
 function notice (sample: Partial<AdaptersHeldFrame>): AdaptersHeldFrame {
   return { kind: 'adapters-held', endpoint: 'a' as EndpointId, born: 100, token: 5 as FencingToken, sequence: 1, held: [], inFlight: [], ...sample }
@@ -13,25 +13,25 @@
 describe('adapter locations', () => {
   it('count a load as travelling for no longer than a load takes', () => {
     const locations = new AdapterLocations()
-    for (const id of ['a', 'b', 'c']) locations.takeNotice(SPEAKER, notice({ endpoint: id as EndpointId, inFlight: ['base/1', 'base/2', 'base/3', 'base/4'] }), 1_000)
+    for (const id of ['a', 'b', 'c']) locations.applyNotice(LOAD_OWNER, notice({ endpoint: id as EndpointId, inFlight: ['base/1', 'base/2', 'base/3', 'base/4'] }), 1_000)
     expect([1_900, 2_000].map((now) => locations.inFlight.count(now))).toEqual([12, 0])
   })
 
   it('date a load from the first notice of it', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice(SPEAKER, notice({ sequence: 1, inFlight: ['base/1'] }), 1_000)
-    locations.takeNotice(SPEAKER, notice({ sequence: 2, inFlight: ['base/1', 'base/2'] }), 1_800)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 1, inFlight: ['base/1'] }), 1_000)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 2, inFlight: ['base/1', 'base/2'] }), 1_800)
     expect(locations.inFlight.count(2_100)).toBe(1)
   })
 
   it('believe the newest life, holder and notice', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice(SPEAKER, notice({ token: 7 as FencingToken, held: [[key('new'), 1]] }), 0)
-    locations.takeNotice(SPEAKER, notice({ token: 6 as FencingToken, sequence: 99, held: [[key('old'), 1]] }), 0)
-    locations.takeNotice(SPEAKER, notice({ born: 50, token: 9 as FencingToken, held: [[key('older'), 1]] }), 0)
-    locations.takeStatement(endpoint('a', { adapters: [{ key: key('said'), version: 1 }] }))
+    locations.applyNotice(LOAD_OWNER, notice({ token: 7 as FencingToken, held: [[key('new'), 1]] }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ token: 6 as FencingToken, sequence: 99, held: [[key('old'), 1]] }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ born: 50, token: 9 as FencingToken, held: [[key('older'), 1]] }), 0)
+    locations.applyStatement(endpoint('a', { adapters: [{ key: key('said'), version: 1 }] }))
     expect(['new', 'old', 'older', 'said'].map((name) => locations.holders(key(name)).size)).toEqual([1, 0, 0, 0])
-    locations.takeStatement(endpoint('a', { born: 200 }))
+    locations.applyStatement(endpoint('a', { born: 200 }))
     expect(locations.holders(key('new')).size).toBe(0)
   })
 
@@ -40,15 +40,15 @@
   // nobody there, and callers would be refused beside adapters that have come.
   it('believe a new process of the same holder from its first statement', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice('before' as InstanceId, notice({ sequence: 300, held: [[key('x'), 1]] }), 0)
-    locations.takeNotice('after' as InstanceId, notice({ sequence: 1, held: [[key('y'), 1]] }), 10)
+    locations.applyNotice('before' as InstanceId, notice({ sequence: 300, held: [[key('x'), 1]] }), 0)
+    locations.applyNotice('after' as InstanceId, notice({ sequence: 1, held: [[key('y'), 1]] }), 10)
     expect([key('x'), key('y')].map((each) => locations.holders(each).size)).toEqual([0, 1])
   })
 
   it('remember what an engine caches, until the engine is gone', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice(SPEAKER, notice({ sequence: 1, held: [[key('x'), 1]] }), 0)
-    locations.takeNotice(SPEAKER, notice({ sequence: 2 }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 1, held: [[key('x'), 1]] }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 2 }), 0)
     const before = locations.isCached('a' as EndpointId, key('x'), 0)
     locations.remove('a' as EndpointId)
     expect([before, locations.isCached('a' as EndpointId, key('x'), 0)]).toEqual([true, false])
@@ -56,8 +56,8 @@
 
   it('wake those that wait when the adapter arrives', async () => {
     const locations = new AdapterLocations()
-    const arrived = locations.arrival(key('x'), 60_000, new AbortController().signal)
-    locations.takeNotice(SPEAKER, notice({ held: [[key('x'), 1]] }), 0)
+    const arrived = locations.waitForArrival(key('x'), 60_000, new AbortController().signal)
+    locations.applyNotice(LOAD_OWNER, notice({ held: [[key('x'), 1]] }), 0)
     await arrived
     expect([...locations.holders(key('x')).keys()]).toEqual(['a'])
   })
@@ -66,14 +66,14 @@
 describe('a load that was lost', () => {
   it('draws no further requests to its engine once it takes longer than any load', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice(SPEAKER, notice({ inFlight: ['base/x'] }), 1_000)
+    locations.applyNotice(LOAD_OWNER, notice({ inFlight: ['base/x'] }), 1_000)
     expect([1_500, 2_100].map((now) => locations.inFlight.has('a' as EndpointId, key('x'), now))).toEqual([true, false])
   })
 
   it('of an older version does not count as cached', () => {
     const locations = new AdapterLocations()
-    locations.takeNotice(SPEAKER, notice({ sequence: 1, held: [[key('x'), 1]] }), 0)
-    locations.takeNotice(SPEAKER, notice({ sequence: 2 }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 1, held: [[key('x'), 1]] }), 0)
+    locations.applyNotice(LOAD_OWNER, notice({ sequence: 2 }), 0)
     expect([0, 1, 2].map((version) => locations.isCached('a' as EndpointId, key('x'), version))).toEqual([true, true, false])
   })
 })
--- a/packages/ingress/test/belief-exchange.failure.test.ts
+++ b/packages/ingress/test/belief-exchange.failure.test.ts
@@ -10,7 +10,7 @@
 import { ClusterView } from '../src/beliefs/cluster-view.js'
 import { StoreHealth } from '../src/beliefs/store-health.js'
 import { EndpointDirectory } from '../src/endpoints/endpoint-directory.js'
-import type { LoadHolder } from '../src/members/cluster-objects.js'
+import type { LoadOwner } from '../src/members/cluster-objects.js'
 import { LinkWorld } from './support/simulated-links.js'
 import type { SimulatedInstance } from './support/simulated-links.js'
 import { ManualClock } from './support/manual-clock.js'
@@ -26,7 +26,7 @@
   readonly health: StoreHealth
   readonly cluster: ClusterView
   readonly exchange: BeliefExchange
-  readonly holders: Map<EndpointId, LoadHolder>
+  readonly holders: Map<EndpointId, LoadOwner>
 }
 
 let world: LinkWorld
@@ -41,7 +41,7 @@
 function believer ({ links, overlay }: SimulatedInstance): Believer {
   const logger = silentLogger()
   const [directory, health] = [new EndpointDirectory(logger), new StoreHealth(logger)]
-  const holders = new Map<EndpointId, LoadHolder>()
+  const holders = new Map<EndpointId, LoadOwner>()
   const cluster = new ClusterView(({ holders: listed }) => {
     holders.clear()
     for (const holder of listed) holders.set(holder.endpoint, holder)
@@ -74,7 +74,7 @@
 describe('beliefs of a leaf', () => {
   it('follow those of its hub, by what has changed', async () => {
     const { hub, leaf } = await fleet()
-    const holder = (name: string, token: number): LoadHolder => ({ endpoint: name as EndpointId, holder: 'h', previous: undefined, claimedAt: 0, token: token as FencingToken })
+    const holder = (name: string, token: number): LoadOwner => ({ endpoint: name as EndpointId, holder: 'h', previous: undefined, claimedAt: 0, token: token as FencingToken })
     hub.health.answered(world.clock.now())
     hub.directory.apply({ revision: 5, endpoints: [endpoint('a', { revision: 2 }), endpoint('b', { revision: 5 })] }, undefined, world.clock.now())
     hub.cluster.apply([{ kind: 'holder', holder: holder('a', 3) }, { kind: 'holder', holder: holder('b', 4) }], 5)
--- a/packages/ingress/test/endpoint-loader.failure.test.ts
+++ b/packages/ingress/test/endpoint-loader.failure.test.ts
@@ -10,13 +10,13 @@
 import { StallEvictionPolicy } from '@limpetwinch/decisions'
 import { AdapterLocations } from '../src/adapters/adapter-locations.js'
 import { EndpointLoader } from '../src/adapters/endpoint-loader.js'
-import { ModelLoadPace } from '../src/adapters/model-load-pace.js'
-import { WeightStorePace } from '../src/adapters/weight-store-pace.js'
+import { ModelLoadRateLimiter } from '../src/adapters/model-load-rate-limiter.js'
+import { WeightStoreLimiter } from '../src/adapters/weight-store-limiter.js'
 import { LoadBoard } from '../src/routing/load-board.js'
 import { SimulatedEngine } from './support/simulated-engine.js'
 import type { OrderFate } from './support/simulated-engine.js'
 import { SimulatedEngineControl } from './support/simulated-engine-control.js'
-import { endpoint, engineShape, key, SPEAKER } from './support/samples.js'
+import { endpoint, engineShape, key, LOAD_OWNER } from './support/samples.js'
 
 /** Peers hear of an eviction within this. */
 const NOTICE_MILLISECONDS = 30
@@ -52,7 +52,7 @@
 /** More runs by hand. */
 const CROWD_RUNS = Number(process.env['CROWD_RUNS'] ?? 8)
 
-function start (engine: SimulatedEngine, newest: ReadonlyMap<string, number> = new Map(), adapterSlots = 2, storePace = new WeightStorePace(() => ENGINES)): Run {
+function start (engine: SimulatedEngine, newest: ReadonlyMap<string, number> = new Map(), adapterSlots = 2, storePace = new WeightStoreLimiter(() => ENGINES)): Run {
   const clock = new SystemClock()
   const locations = new AdapterLocations()
   const board = new LoadBoard()
@@ -62,21 +62,21 @@
     clock,
     logger: silentLogger(),
     locations,
-    board,
+    workTracker: board,
     policy: new StallEvictionPolicy(),
-    pace: new ModelLoadPace(clock, () => 1),
-    storePace,
+    modelLoadLimiter: new ModelLoadRateLimiter(clock, () => 1),
+    storeLimiter: storePace,
     holder: 'me',
-    newestVersion: (name) => newest.get(name) ?? 0,
+    latestVersion: (name) => newest.get(name) ?? 0,
     isModelNeeded: () => true,
     mayOrder: () => true,
-    noticeMilliseconds: () => NOTICE_MILLISECONDS,
-    publish: ({ token, sequence, ledger, hidden }) => {
+    noticeRoundTripMilliseconds: () => NOTICE_MILLISECONDS,
+    publish: ({ token, sequence, reservations: ledger, hidden }) => {
       const held = [...ledger.held].filter(([name]) => !hidden.has(name)).map(([name, slot]): [string, number] => [name, slot.version])
-      locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: subject.id, born: 100, token, sequence, held, inFlight: [...ledger.inFlight.keys()] }, clock.now())
+      locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: subject.id, born: 100, token, sequence, held, inFlight: [...ledger.inFlight.keys()] }, clock.now())
     },
     onLost: () => {},
-    onSilent: () => {}
+    onUnreachable: () => {}
   })
   const ending = new AbortController()
   const running = loader.run(clock.now(), ending.signal)
@@ -84,9 +84,9 @@
 }
 
 /** @returns the pace of an instance that was short of processor time: all loads that it heard of seemed three times as long as they were */
-function paceOfOneThatHearsLate (): WeightStorePace {
-  const storePace = new WeightStorePace(() => ENGINES)
-  for (let now = -60_000; now < 0; now += 100) storePace.completed({ milliseconds: 3 * OTHER_LOAD_MILLISECONDS, mostInFlightBeside: 30, now })
+function paceOfOneThatHearsLate (): WeightStoreLimiter {
+  const storePace = new WeightStoreLimiter(() => ENGINES)
+  for (let now = -60_000; now < 0; now += 100) storePace.completed({ milliseconds: 3 * OTHER_LOAD_MILLISECONDS, mostOthersInFlight: 30, now })
   return storePace
 }
 
@@ -96,9 +96,9 @@
     const told = { kind: 'adapters-held' as const, endpoint: endpoint(`other-${index}`).id, born: 100, token: 1 as FencingToken }
     const now = (): number => performance.now()
     for (let load = 0; !signal.aborted; load += 1) {
-      locations.takeNotice(SPEAKER, { ...told, sequence: 2 * load, held: [], inFlight: [key(`other-${load}`)] }, now())
+      locations.applyNotice(LOAD_OWNER, { ...told, sequence: 2 * load, held: [], inFlight: [key(`other-${load}`)] }, now())
       await sleep(OTHER_LOAD_MILLISECONDS)
-      locations.takeNotice(SPEAKER, { ...told, sequence: 2 * load + 1, held: [[key(`other-${load}`), 0]], inFlight: [] }, now())
+      locations.applyNotice(LOAD_OWNER, { ...told, sequence: 2 * load + 1, held: [[key(`other-${load}`), 0]], inFlight: [] }, now())
     }
   }))
 }
@@ -114,7 +114,7 @@
 
 async function wanted (run: Run, name: string): Promise<boolean> {
   return await until(() => {
-    run.loader.want(key(name), 0, { request: 'r', onTimeMilliseconds: undefined })
+    run.loader.requestLoad(key(name), 0, { request: 'r', onTimeMilliseconds: undefined })
     return run.locations.holders(key(name)).size > 0
   })
 }
@@ -133,7 +133,7 @@
     await wanted(run, 'y')
     run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
     const ticket = run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('y') })
-    run.loader.want(key('z'), 0, { request: 'r', onTimeMilliseconds: undefined })
+    run.loader.requestLoad(key('z'), 0, { request: 'r', onTimeMilliseconds: undefined })
     await sleep(300)
     const held = run.engine.held()
     ticket.ended()
@@ -148,7 +148,7 @@
     await wanted(run, 'x')
     const ticket = run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
     newest.set(key('x'), 2)
-    run.loader.newer(key('x'), 2)
+    run.loader.versionAnnounced(key('x'), 2)
     await sleep(1_100)
     const during = { version: run.engine.versionOf('x'), offered: run.locations.holders(key('x')).size }
     ticket.ended()
@@ -177,13 +177,13 @@
     const engine = new SimulatedEngine({ slots: 4 })
     const run = start(engine, new Map(), 4)
     await wanted(run, 'a')
-    const reports = engine.reports
+    const reports = engine.reportCount
     for (const name of ['b', 'c', 'd', 'e', 'f']) {
       engine.next = ['lost']
       await wanted(run, name)
     }
     await run.stop()
-    expect({ asked: engine.reports - reports, most: engine.mostOccupied }).toEqual({ asked: 0, most: 4 })
+    expect({ asked: engine.reportCount - reports, most: engine.mostOccupied }).toEqual({ asked: 0, most: 4 })
   })
 
   // An engine takes no order for a moment, and two loads for its last free slot stay without an answer, one after the other. Only
@@ -196,8 +196,8 @@
     run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
     engine.next = ['silent', 'lost']
     // More requests ask for the second adapter while the first order waits for its answer, so that its load comes next.
-    engine.afterNext = () => { for (const request of ['r2', 'r3', 'r4', 'r5']) run.loader.want(key('z'), 0, { request, onTimeMilliseconds: 600 }) }
-    run.loader.want(key('y'), 0, { request: 'r1', onTimeMilliseconds: undefined })
+    engine.afterNext = () => { for (const request of ['r2', 'r3', 'r4', 'r5']) run.loader.requestLoad(key('z'), 0, { request, onTimeMilliseconds: 600 }) }
+    run.loader.requestLoad(key('y'), 0, { request: 'r1', onTimeMilliseconds: undefined })
     const brought = await wanted(run, 'z')
     await sleep(400)
     await run.stop()
@@ -229,11 +229,11 @@
     await sleep(300)
     const offered = (name: string): boolean => run.locations.holders(key(name)).size > 0
     const waits = { request: 'other', onTimeMilliseconds: undefined }
-    run.loader.want(key('z'), 0, waits)
+    run.loader.requestLoad(key('z'), 0, waits)
     await until(() => !offered('x') || !offered('y'))
     const [again, other] = offered('x') ? ['y', 'x'] : ['x', 'y']
-    run.loader.want(key(again), 0, { request: 'r', onTimeMilliseconds: undefined })
-    await until(() => { run.loader.want(key('z'), 0, waits); return offered('z') })
+    run.loader.requestLoad(key(again), 0, { request: 'r', onTimeMilliseconds: undefined })
+    await until(() => { run.loader.requestLoad(key('z'), 0, waits); return offered('z') })
     await run.stop()
     expect({ unloaded: engine.unloaded, held: engine.held().toSorted() }).toEqual({ unloaded: [other], held: [again, 'z'] })
   })
@@ -246,7 +246,7 @@
     await wanted(run, 'x')
     await sleep(300)
     engine.use('x')
-    run.loader.want(key('y'), 0, { request: 'r', onTimeMilliseconds: undefined })
+    run.loader.requestLoad(key('y'), 0, { request: 'r', onTimeMilliseconds: undefined })
     await until(() => engine.orderCount('unload') > 0)
     const before = engine.orderCount('unload')
     await sleep(500)
@@ -265,7 +265,7 @@
     for (const name of ['a', 'b', 'c', 'd']) await wanted(run, name)
     await sleep(300)
     const asked = performance.now()
-    for (const name of ['e', 'f', 'g', 'h']) run.loader.want(key(name), 0, { request: name, onTimeMilliseconds: 600 })
+    for (const name of ['e', 'f', 'g', 'h']) run.loader.requestLoad(key(name), 0, { request: name, onTimeMilliseconds: 600 })
     await until(() => engine.unloaded.length === 4)
     const milliseconds = performance.now() - asked
     await run.stop()
@@ -278,7 +278,7 @@
       const engine = new SimulatedEngine({ slots: 2, next })
       const run = start(engine)
       for (const name of ['a', 'b', 'c', 'd']) {
-        await until(() => { run.loader.want(key(name), 0, { request: 'r', onTimeMilliseconds: undefined }); return run.locations.holders(key(name)).size > 0 }, 600)
+        await until(() => { run.loader.requestLoad(key(name), 0, { request: 'r', onTimeMilliseconds: undefined }); return run.locations.holders(key(name)).size > 0 }, 600)
         engine.carryOutLate()
       }
       await run.stop()
@@ -295,7 +295,7 @@
       const engine = new SimulatedEngine({ slots: 2, next })
       const run = start(engine)
       for (const { name, waiters, pause } of asked) {
-        for (let waiter = 0; waiter < waiters; waiter += 1) run.loader.want(key(name), 0, { request: `${name}${waiter}`, onTimeMilliseconds: waiter % 2 === 0 ? 600 : undefined })
+        for (let waiter = 0; waiter < waiters; waiter += 1) run.loader.requestLoad(key(name), 0, { request: `${name}${waiter}`, onTimeMilliseconds: waiter % 2 === 0 ? 600 : undefined })
         await sleep(pause)
       }
       await sleep(600)
--- a/packages/ingress/test/engine-router.test.ts
+++ b/packages/ingress/test/engine-router.test.ts
@@ -14,7 +14,7 @@
 import { LoadBoard } from '../src/routing/load-board.js'
 import { PrefixMemory } from '../src/routing/prefix-memory.js'
 import type { RequestFacts } from '../src/relay/request-codec.js'
-import { endpoint, engineShape, key, service, SPEAKER } from './support/samples.js'
+import { endpoint, engineShape, key, service, LOAD_OWNER } from './support/samples.js'
 
 const NOW = 10_000
 const SHAPE = engineShape({ adapterSlots: 2, batchSlots: 64, memoryTokens: 200_000 })
@@ -58,7 +58,7 @@
     if (toRead > 0) board.begin(id, { prefillTokens: toRead, memoryTokens: toRead, adapter: key('read') })
     for (let stream = 0; stream < 5; stream += 1) speeds.recordEventSpacing(id, spacing)
     const notice = (sequence: number, held: readonly (readonly [string, number])[], coming: readonly string[]): void => {
-      locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: id, born: 100, token: 1 as FencingToken, sequence, held, inFlight: coming, waitMilliseconds: waits }, NOW)
+      locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: id, born: 100, token: 1 as FencingToken, sequence, held, inFlight: coming, waitMilliseconds: waits }, NOW)
     }
     if (caches) notice(1, [[WANTED, 1]], [])
     notice(2, holds > 0 ? [[WANTED, 1]] : [], Array.from({ length: inFlight }, (_, index) => key(`coming${index}`)))
--- a/packages/ingress/test/held-changes.failure.test.ts
+++ b/packages/ingress/test/held-adapter-deltas.failure.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { AdaptersHeldFrame, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
-import { applyChange, changeOf, HeldWords } from '../src/adapters/held-changes.js'
+import { applyDelta, deltaBetween, HeldAdapterBaselines } from '../src/adapters/held-adapter-deltas.js'
 
 const PEER = 'peer' as InstanceId
 
@@ -22,18 +22,18 @@
   it('leads from any word to any other', () => {
     fc.assert(fc.property(holdings, holdings, names, names, (held, next, waiting, nextWaiting) => {
       const [before, after] = [word(1, held, waiting), word(2, next, nextWaiting, ['x'])]
-      expect(sorted(applyChange(before, changeOf(before, after)))).toEqual(sorted(after))
+      expect(sorted(applyDelta(before, deltaBetween(before, after)))).toEqual(sorted(after))
     }), { seed: 11 })
   })
 
   it('is passed over when the word before it was not heard, or came from another process, until the next whole word', () => {
-    const words = new HeldWords()
+    const words = new HeldAdapterBaselines()
     const [first, second, third] = [word(1, { a: 1 }), word(2, { a: 1, b: 1 }), word(3, { b: 1 })]
-    words.take(PEER, first)
-    const skipped = words.expand(PEER, changeOf(second, third))
-    const foreign = words.expand('other' as InstanceId, changeOf(first, second))
-    words.take(PEER, second)
-    const taken = words.expand(PEER, changeOf(second, third))
+    words.setFull(PEER, first)
+    const skipped = words.apply(PEER, deltaBetween(second, third))
+    const foreign = words.apply('other' as InstanceId, deltaBetween(first, second))
+    words.setFull(PEER, second)
+    const taken = words.apply(PEER, deltaBetween(second, third))
     expect([skipped, foreign, taken?.held]).toEqual([undefined, undefined, [['b', 1]]])
   })
 })
--- a/packages/ingress/test/load-duty.failure.test.ts
+++ b/packages/ingress/test/load-ownership.failure.test.ts
@@ -10,13 +10,13 @@
 import type { Result, ResultAsync } from 'neverthrow'
 import { AdapterLocations } from '../src/adapters/adapter-locations.js'
 import type { EngineControl, EngineOrder, OrderAnswer, OrderTarget } from '../src/adapters/engine-control.js'
-import { LoadDuty } from '../src/adapters/load-duty.js'
-import { ModelLoadPace } from '../src/adapters/model-load-pace.js'
-import { WeightStorePace } from '../src/adapters/weight-store-pace.js'
+import { LoadOwnership } from '../src/adapters/load-ownership.js'
+import { ModelLoadRateLimiter } from '../src/adapters/model-load-rate-limiter.js'
+import { WeightStoreLimiter } from '../src/adapters/weight-store-limiter.js'
 import { AcceptedConfiguration } from '../src/beliefs/accepted-configuration.js'
 import { StoreHealth } from '../src/beliefs/store-health.js'
 import { EndpointDirectory } from '../src/endpoints/endpoint-directory.js'
-import { CLUSTER_KIND, decodeClusterObject, holderPath } from '../src/members/cluster-objects.js'
+import { CLUSTER_KIND, decodeClusterObject, loadOwnerPath } from '../src/members/cluster-objects.js'
 import type { MemberList } from '../src/members/member-list.js'
 import { LoadBoard } from '../src/routing/load-board.js'
 import { ManualClock } from './support/manual-clock.js'
@@ -69,7 +69,7 @@
 }
 
 interface Instance {
-  readonly duty: LoadDuty
+  readonly duty: LoadOwnership
   readonly health: StoreHealth
   /** Reads the store, as a follower would. */
   readonly look: () => Promise<void>
@@ -91,22 +91,22 @@
   const placeOf = (each: string): DataCentreId => (places.get(each) ?? HERE) as DataCentreId
   const live = (): { name: string, dataCentre: DataCentreId }[] => [...heard].map((each) => ({ name: each, dataCentre: placeOf(each) }))
   const members = {
-    self: { name, instance: name as InstanceId, address: '', dataCentre: placeOf(name) }, known: true, live, isLive: (each: string) => heard.has(each), isHeard: (each: string) => heard.has(each), find: (each: string) => ({ dataCentre: placeOf(each) })
+    self: { name, instance: name as InstanceId, address: '', dataCentre: placeOf(name) }, hasListing: true, live, isLive: (each: string) => heard.has(each), isReachable: (each: string) => heard.has(each), find: (each: string) => ({ dataCentre: placeOf(each) })
   } as unknown as MemberList
-  const duty = new LoadDuty({ store: store as unknown as DeletingObjectStore, health, clock, logger, members, directory, configuration, leaseMilliseconds: LEASE, fencedEndpoints }, {
+  const duty = new LoadOwnership({ store: store as unknown as DeletingObjectStore, health, clock, logger, members, directory, configuration, leaseMilliseconds: LEASE, fencedEndpoints }, {
     control: seenBy(name, engines, apart),
     clock,
     logger,
     locations: new AdapterLocations(),
-    board: new LoadBoard(),
+    workTracker: new LoadBoard(),
     policy: new StallEvictionPolicy(),
-    pace: new ModelLoadPace(clock, () => 1),
-    storePace: new WeightStorePace(() => 13),
-    newestVersion: () => 0,
+    modelLoadLimiter: new ModelLoadRateLimiter(clock, () => 1),
+    storeLimiter: new WeightStoreLimiter(() => 13),
+    latestVersion: () => 0,
     isModelNeeded: () => true,
     publish: () => {},
-    noticeMilliseconds: () => 30,
-    onSilent: () => {}
+    noticeRoundTripMilliseconds: () => 30,
+    onUnreachable: () => {}
   })
   const look = async (): Promise<void> => {
     const listing = await store.list(`${CLUSTER_KIND}/`)
@@ -120,7 +120,7 @@
   }
   void duty.run(new AbortController().signal)
   let wanted = 0
-  const want = (): void => duty.loader(endpoint('e').id)?.want(key(`${name}${wanted++}`), 0, { request: name, onTimeMilliseconds: undefined })
+  const want = (): void => duty.loader(endpoint('e').id)?.requestLoad(key(`${name}${wanted++}`), 0, { request: name, onTimeMilliseconds: undefined })
   return { duty, health, look, want }
 }
 
@@ -270,7 +270,7 @@
   it.each([[true, 'sooner'], [false, 'later']])('is gone on with by a new process of its host, where tokens are checked (%s) %s than after a lease', async (fenced, when) => {
     const around = world(fenced)
     around.heard.delete('two')
-    await around.store.put({ path: holderPath(endpoint('e').id), ifVersion: 0, value: { holder: 'one', previous: 'two', claimedAt: Date.now() - 3_000 } })
+    await around.store.put({ path: loadOwnerPath(endpoint('e').id), ifVersion: 0, value: { holder: 'one', previous: 'two', claimedAt: Date.now() - 3_000 } })
     const startedAt = around.clock.now()
     const one = instance('one', around, fenced)
     await pass(7_000, around, one)
--- a/packages/ingress/test/member-list.failure.test.ts
+++ b/packages/ingress/test/member-list.failure.test.ts
@@ -53,6 +53,6 @@
     const absent = new Map([['i-moment' as InstanceId, clock.now() - SUSPECT_MILLISECONDS + 1], ['i-long' as InstanceId, clock.now() - SUSPECT_MILLISECONDS]])
     const members = new MemberList(SELF, new CountingStore() as unknown as DeletingObjectStore, presence(absent), clock, silentLogger())
     members.apply([other('moment'), other('long'), other('there')], 1)
-    expect(['moment', 'long', 'there'].map((name) => members.isHeard(name))).toEqual([true, false, true])
+    expect(['moment', 'long', 'there'].map((name) => members.isReachable(name))).toEqual([true, false, true])
   })
 })
--- a/packages/ingress/test/relay.failure.test.ts
+++ b/packages/ingress/test/relay.failure.test.ts
@@ -8,7 +8,7 @@
 import type { Behind } from './support/ingress-under-test.js'
 import { chunk, endStream, framed, RawEndpoint, silence, stream } from './support/raw-endpoint.js'
 import type { RawAnswer } from './support/raw-endpoint.js'
-import { endpoint, key, route, SPEAKER } from './support/samples.js'
+import { endpoint, key, route, LOAD_OWNER } from './support/samples.js'
 
 const ending: { stop: () => void }[] = []
 
@@ -212,7 +212,7 @@
     const asking = under.ask('/', { 'x-adapter': 'rare' })
     await expect.poll(() => under.asked.length).toBeGreaterThan(0)
     const [ask] = under.asked
-    under.locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: ask?.endpoint ?? ('' as never), born: 100, token: 1 as never, sequence: 1, held: [['base/rare', 1]], inFlight: [] }, 0)
+    under.locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: ask?.endpoint ?? ('' as never), born: 100, token: 1 as never, sequence: 1, held: [['base/rare', 1]], inFlight: [] }, 0)
     expect({ asked: ask?.key, ids: ids((await asking).body) }).toEqual({ asked: 'base/rare', ids: ['1'] })
   })
 
@@ -360,7 +360,7 @@
     const [one, two] = [await raw(slow, stream([1], endStream)), await raw(silence)]
     const under = await ingress({ routes: [PATIENT], repeats: 0, endpoints: [{ id: 'a', raw: one, adapters: held }, { id: 'b', raw: two, adapters: held }] })
     const first = await under.ask('/', { 'x-adapter': 'poem' })
-    under.locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: endpointId('b'), born: 100, token: 1 as never, sequence: 1, held: [], inFlight: [] }, 0)
+    under.locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: endpointId('b'), born: 100, token: 1 as never, sequence: 1, held: [], inFlight: [] }, 0)
     const next = await under.ask('/', { 'x-adapter': 'poem' })
     expect([first.status, next.status]).toEqual([200, 200])
   }, 15_000)
@@ -372,7 +372,7 @@
     const asking = under.ask('/', { 'x-adapter': 'poem' })
     await expect.poll(() => under.asked.length).toBeGreaterThan(0)
     const [first] = under.asked
-    under.locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: first?.endpoint ?? endpointId(''), born: 100, token: 1 as never, sequence: 1, held: [['base/poem', 1]], inFlight: [] }, 0)
+    under.locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: first?.endpoint ?? endpointId(''), born: 100, token: 1 as never, sequence: 1, held: [['base/poem', 1]], inFlight: [] }, 0)
     expect({ status: (await asking).status, asked: first?.endpoint }).toEqual({ status: 200, asked: 'b' })
   })
 
@@ -435,5 +435,5 @@
 
 /** The one that orders an engine's loads says which adapters it holds now. */
 function hold (under: IngressUnderTest, id: string, held: [string, number][], sequence = 1): void {
-  under.locations.takeNotice(SPEAKER, { kind: 'adapters-held', endpoint: endpointId(id), born: 100, token: 1 as never, sequence, held, inFlight: [] }, 0)
+  under.locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: endpointId(id), born: 100, token: 1 as never, sequence, held, inFlight: [] }, 0)
 }
--- a/packages/ingress/test/support/ingress-under-test.ts
+++ b/packages/ingress/test/support/ingress-under-test.ts
@@ -7,7 +7,7 @@
 import type { EndpointId, InstanceId, LoadAskFrame } from '@limpetwinch/core'
 import { EngineSpeeds, ErrorRates, OutlierEjection } from '@limpetwinch/decisions'
 import { AdapterLocations } from '../../src/adapters/adapter-locations.js'
-import { AdapterSeeker } from '../../src/adapters/adapter-seeker.js'
+import { EngineFinder } from '../../src/adapters/engine-finder.js'
 import { AcceptedConfiguration } from '../../src/beliefs/accepted-configuration.js'
 import { EndpointDirectory } from '../../src/endpoints/endpoint-directory.js'
 import { IngressMetrics } from '../../src/observability/ingress-metrics.js'
@@ -18,7 +18,7 @@
 import { RoutedListener } from '../../src/relay/routed-listener.js'
 import { ServiceRelay } from '../../src/relay/service-relay.js'
 import { StreamRelay } from '../../src/relay/stream-relay.js'
-import { RepeatBudgets } from '../../src/retries/repeat-budgets.js'
+import { RetryBudgets } from '../../src/retries/retry-budgets.js'
 import { EngineRouter } from '../../src/routing/engine-router.js'
 import { FirstEventForecast } from '../../src/routing/first-event-forecast.js'
 import { LoadBoard } from '../../src/routing/load-board.js'
@@ -87,10 +87,10 @@
     })
     this.senders = new EndpointSenders(codec, ejection, clock, logger, metrics, quarantine)
     const { senders } = this
-    const budgets = new RepeatBudgets({ share: 0, slack: (behind.repeats ?? 100) / 0.8, windowMilliseconds: 10_000 }, () => 1)
+    const budgets = new RetryBudgets({ share: 0, slack: (behind.repeats ?? 100) / 0.8, windowMilliseconds: 10_000 }, () => 1)
     const router = new EngineRouter({ directory, locations, board, forecast, speeds, prefixes, ejection, dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, isOrdered: () => true })
-    const seeker = new AdapterSeeker({
-      clock, logger, router, locations, holderOf: () => 'holder' as InstanceId, ask: (_to, frame) => { this.asked.push(frame) }, leastVersion: () => 0
+    const seeker = new EngineFinder({
+      clock, logger, router, locations, loadOwnerOf: () => 'holder' as InstanceId, requestLoad: (_to, frame) => { this.asked.push(frame) }, leastVersion: () => 0
     })
     const errors = new ErrorRates()
     const services = new ServiceRelay({ clock, logger, board, senders, errors, budgets, quarantine, random, router: new ServiceRouter(directory, board, ejection, errors, 'here') })
@@ -98,7 +98,7 @@
     this.listener = new RoutedListener({ clock, logger, codec, configuration: this.configuration, budgets, quarantine, metrics, random, streams, services })
     if (behind.routes.length > 0) this.configure(behind.routes)
     directory.apply({ revision: 1, endpoints: behind.endpoints.map((each) => this.sample(each)) }, undefined, 0)
-    for (const each of directory.all()) locations.takeStatement(each)
+    for (const each of directory.all()) locations.applyStatement(each)
   }
 
   /** Starts a listener on a free port. */
--- a/packages/ingress/test/support/samples.ts
+++ b/packages/ingress/test/support/samples.ts
@@ -68,4 +68,4 @@
 }
 
 /** The process that orders an engine's loads and says what it holds. */
-export const SPEAKER = 'speaker' as InstanceId
+export const LOAD_OWNER = 'speaker' as InstanceId
--- a/packages/ingress/test/support/simulated-engine.ts
+++ b/packages/ingress/test/support/simulated-engine.ts
@@ -8,7 +8,7 @@
 /** What becomes of an order: done and answered, done without an answer, never seen, or carried out on call. */
 export type OrderFate = 'done' | 'lost' | 'silent' | 'late'
 
-const TRAVEL_MILLISECONDS = 30
+const LOAD_MILLISECONDS = 30
 
 /** One engine that holds the model `base`. */
 export class SimulatedEngine {
@@ -20,7 +20,7 @@
   mostOccupied = 0
   readonly unloaded: string[] = []
   /** How often it was asked what it holds. */
-  reports = 0
+  reportCount = 0
   private readonly slots: number
   private readonly adapters = new Map<string, 'held' | 'inFlight'>()
   private readonly versions = new Map<string, number>()
@@ -81,7 +81,7 @@
 
   /** @returns the engine's own account */
   report (): Result<EngineReport, LimpetwinchError> {
-    this.reports += 1
+    this.reportCount += 1
     const inState = (wanted: string): EngineReport['held'] => [...this.adapters].filter(([, state]) => state === wanted).map(([name]) => ({ key: key(name), version: this.versions.get(name) ?? 1 }))
     return ok({ sequence: this.sequence, busy: false, models: ['base' as ModelName], cachedModels: [], held: inState('held'), inFlight: inState('inFlight') })
   }
@@ -98,7 +98,7 @@
     this.adapters.set(name, 'inFlight')
     this.mostOccupied = Math.max(this.mostOccupied, this.adapters.size)
     if (this.adapters.size > this.slots) throw new Error('the engine ended: more adapters than slots')
-    setTimeout(() => { if (this.adapters.has(name)) this.adapters.set(name, 'held') }, TRAVEL_MILLISECONDS)
+    setTimeout(() => { if (this.adapters.has(name)) this.adapters.set(name, 'held') }, LOAD_MILLISECONDS)
     return 'accepted'
   }
 
--- a/packages/ingress/test/weight-store-pace.test.ts
+++ b/packages/ingress/test/weight-store-limiter.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { StoreTurn } from '../src/adapters/store-turn.js'
-import { WeightStorePace } from '../src/adapters/weight-store-pace.js'
+import { WeightStoreLimiter } from '../src/adapters/weight-store-limiter.js'
 
 /** What a run against a store came to. */
 interface Outcome {
@@ -55,7 +55,7 @@
 }
 
 /** @returns engines, spread over the instances that order their loads */
-function crowdEngines (engines: number, paces: readonly WeightStorePace[]): CrowdEngine[] {
+function crowdEngines (engines: number, paces: readonly WeightStoreLimiter[]): CrowdEngine[] {
   const spread = Array.from({ length: Math.ceil(engines / paces.length) }, () => [...paces.entries()]).flat().slice(0, engines)
   return spread.map(([instance, pace]) => ({ instance, turn: new StoreTurn(pace), begun: 0 }))
 }
@@ -69,7 +69,7 @@
  * it in proportion. Instances order loads in turn, and each hears of the loads of all.
  */
 function crowd ({ capacity, milliseconds, engines, instances, seconds, lateOneIn = Infinity, firstHears = 1 }: Crowd): Outcome {
-  const paces = Array.from({ length: instances }, () => new WeightStorePace(() => engines))
+  const paces = Array.from({ length: instances }, () => new WeightStoreLimiter(() => engines))
   const loaders = crowdEngines(engines, paces)
   let inFlight: CrowdLoad[] = []
   let handedOut = 0
@@ -85,7 +85,7 @@
     inFlight = inFlight.filter((load) => !done.includes(load))
     for (const { orderedAt, most } of done) {
       for (const [index, pace] of paces.entries()) {
-        pace.completed({ milliseconds: (now - orderedAt) * (index === 0 ? firstHears : 1), mostInFlightBeside: most, now })
+        pace.completed({ milliseconds: (now - orderedAt) * (index === 0 ? firstHears : 1), mostOthersInFlight: most, now })
       }
       if (now < seconds * 500) continue
       handedOut += 1
@@ -99,7 +99,7 @@
         if (next === undefined) break
         // Those that have just loaded come last.
         loaders.push(...loaders.splice(loaders.indexOf(next), 1))
-        next.turn.began()
+        next.turn.loadBegan()
         if (now >= seconds * 500) next.begun += 1
         ordered += 1
         const startsAt = ordered % lateOneIn === 0 ? now + LATE_MILLISECONDS : now
@@ -149,9 +149,9 @@
   // An instance that lacks processor time for a while hears of all loads late and takes the store for full. Its callers wait for loads that
   // it holds back, also long after that, since its limit grows by a load or two in a second.
   it('bears what the store hands out again as soon as the news comes in time', () => {
-    const pace = new WeightStorePace(() => 78)
+    const pace = new WeightStoreLimiter(() => 78)
     const hear = (from: number, to: number, milliseconds: number): void => {
-      for (let now = from; now < to; now += 1_000 / 150) pace.completed({ milliseconds, mostInFlightBeside: 45, now })
+      for (let now = from; now < to; now += 1_000 / 150) pace.completed({ milliseconds, mostOthersInFlight: 45, now })
     }
     hear(0, 4_000, 3_000)
     hear(4_000, 5_000, 280)
@@ -168,20 +168,20 @@
   })
 
   it('does not grow while nothing is held back', () => {
-    const pace = new WeightStorePace(() => 13)
+    const pace = new WeightStoreLimiter(() => 13)
     const before = pace.limit
-    for (let now = 0; now < 600_000; now += 500) pace.completed({ milliseconds: 260, mostInFlightBeside: 3, now })
+    for (let now = 0; now < 600_000; now += 500) pace.completed({ milliseconds: 260, mostOthersInFlight: 3, now })
     expect(pace.limit).toBe(before)
   })
 
   it('is lowered once by loads that were slowed together', () => {
-    const pace = new WeightStorePace(() => 50)
-    for (let load = 0; load < 30; load += 1) pace.completed({ milliseconds: 500, mostInFlightBeside: 201, now: 1_000 + load })
+    const pace = new WeightStoreLimiter(() => 50)
+    for (let load = 0; load < 30; load += 1) pace.completed({ milliseconds: 500, mostOthersInFlight: 201, now: 1_000 + load })
     expect(pace.limit).toBe(116)
   })
 
   it('expects a load beyond the limit to take longer', () => {
-    const pace = new WeightStorePace(() => 16)
+    const pace = new WeightStoreLimiter(() => 16)
     expect(pace.expectedMilliseconds(3)).toBe(250)
     expect(pace.expectedMilliseconds(128)).toBeCloseTo(250 * 128 / 64)
   })
