--- a/packages/ingress/src/adapters/engine-finder.ts
+++ b/packages/ingress/src/adapters/engine-finder.ts
@@ -3,7 +3,7 @@
 import type { Clock, EndpointId, InstanceId, LoadAskFrame, Logger } from '@limpetwinch/core'
 import type { RequestFacts } from '../relay/request-codec.js'
 import type { Service } from '../routes/configuration.js'
-import type { EngineChoice, EngineQuestion, EngineRouter, LoadChoice } from '../routing/engine-router.js'
+import type { EngineChoice, EngineQuery, EngineRouter, LoadChoice } from '../routing/engine-router.js'
 import type { AdapterLocations } from './adapter-locations.js'
 
 /** Between askings: a want that is not repeated is dropped, and another engine may have room by now. */
@@ -40,7 +40,7 @@
 }
 
 /** What is looked for, and for how long. */
-export interface EngineSearch extends EngineQuestion {
+export interface EngineSearch extends EngineQuery {
   /** Monotonic time after which an answer is late. */
   readonly onTimeUntil: number
   /** Monotonic time at which the search is given up. */
@@ -131,7 +131,7 @@
     return engines
   }
 
-  private requestCopy (question: EngineQuestion, choice: EngineChoice, now: number): void {
+  private requestCopy (question: EngineQuery, choice: EngineChoice, now: number): void {
     const copy = this.dependencies.router.chooseForCopy(question, choice, now)
     if (copy !== undefined) this.sendLoadRequest(copy, question.facts, undefined, now)
   }
--- a/packages/ingress/src/adapters/loader-dependencies.ts
+++ b/packages/ingress/src/adapters/loader-dependencies.ts
@@ -3,7 +3,7 @@
 import type { EvictionPolicy } from '@limpetwinch/decisions'
 import type { AdapterKey, Endpoint, ModelName } from '../routes/configuration.js'
 import type { Urgency } from '../overlay/notice-outbox.js'
-import type { LoadBoard } from '../routing/load-board.js'
+import type { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
 import type { AdapterLocations } from './adapter-locations.js'
 import type { OrderAnswer } from './engine-control.js'
 import type { OrderDependencies } from './engine-orders.js'
@@ -14,7 +14,7 @@
 /** What a loader needs. */
 export interface LoaderDependencies extends OrderDependencies {
   readonly locations: AdapterLocations
-  readonly workTracker: LoadBoard
+  readonly workTracker: EndpointWorkTracker
   readonly policy: EvictionPolicy
   readonly modelLoadLimiter: ModelLoadRateLimiter
   readonly storeLimiter: WeightStoreLimiter
--- a/packages/ingress/src/quarantine/crash-detector.ts
+++ b/packages/ingress/src/quarantine/crash-detector.ts
@@ -7,15 +7,15 @@
 import type { Endpoint } from '../routes/configuration.js'
 
 /** A crashed process closes its connections one by one, the one it listens on among them; the second look is for slow ends. */
-const LOOKS_MILLISECONDS = [40, 160] as const
+const PROBE_DELAYS_MILLISECONDS = [40, 160] as const
 /** As long as any new connection to an endpoint may take. */
 const CONNECT_MILLISECONDS = 250
 /** A listing that is older than the crash still names the endpoint; breaks in this time belong to the same crash. */
-const REMEMBERED_MILLISECONDS = 10_000
+const CRASH_MEMORY_MILLISECONDS = 10_000
 const REFUSED = 'ECONNREFUSED'
 
 /** One life of an endpoint that crashed. */
-export interface CrashedEndpoint {
+export interface EndpointIncarnation {
   readonly endpoint: Endpoint
   /** The endpoint and its start: an endpoint may start again under its id. */
   readonly life: string
@@ -32,7 +32,7 @@
   private readonly clock: Clock
   private readonly logger: Logger
   private readonly probe: ConnectionProbe
-  private readonly looks = new Map<string, Promise<boolean>>()
+  private readonly probes = new Map<string, Promise<boolean>>()
 
   /**
    * @param clock - monotonic time
@@ -46,15 +46,15 @@
   }
 
   /** An answer broke off. Breaks at the same time share one look. @returns whether the endpoint crashed */
-  async hasCrashed ({ endpoint, life }: CrashedEndpoint): Promise<boolean> {
-    const look = this.looks.get(life) ?? this.look(endpoint, life)
-    this.looks.set(life, look)
+  async hasCrashed ({ endpoint, life }: EndpointIncarnation): Promise<boolean> {
+    const look = this.probes.get(life) ?? this.look(endpoint, life)
+    this.probes.set(life, look)
     return await look
   }
 
   private async look (endpoint: Endpoint, life: string): Promise<boolean> {
     let seen: ProbeResult = 'unknown'
-    for (const pause of LOOKS_MILLISECONDS) {
+    for (const pause of PROBE_DELAYS_MILLISECONDS) {
       await this.clock.sleep(pause)
       seen = await this.probe(endpoint.address)
       if (seen === 'refused') break
@@ -62,18 +62,18 @@
     const crashed = seen === 'refused'
     if (crashed) this.logger.warn('An endpoint crashed.', { endpoint: endpoint.id, service: endpoint.service, address: endpoint.address, born: endpoint.born })
     else this.logger.info('Answers broke off at an endpoint that did not crash.', { endpoint: endpoint.id, service: endpoint.service, probe: seen })
-    setTimeout(() => this.looks.delete(life), crashed ? REMEMBERED_MILLISECONDS : 0).unref()
+    setTimeout(() => this.probes.delete(life), crashed ? CRASH_MEMORY_MILLISECONDS : 0).unref()
     return crashed
   }
 }
 
 /** @returns the life of an endpoint, equal at all instances */
-export function lifeOf ({ id, born }: Endpoint): string {
+export function incarnationOf ({ id, born }: Endpoint): string {
   return `${id}/${born}`
 }
 
 /** @returns the endpoint of a life */
-export function endpointOf (life: string): EndpointId {
+export function endpointOfIncarnation (life: string): EndpointId {
   return life.slice(0, life.lastIndexOf('/')) as EndpointId
 }
 
--- a/packages/ingress/src/quarantine/trial-claims.ts
+++ b/packages/ingress/src/quarantine/isolated-run-claims.ts
@@ -7,7 +7,7 @@
 import type { RequestFingerprint } from '@limpetwinch/decisions'
 
 /** What the claims need. */
-export interface TrialClaimsParts {
+export interface IsolatedRunClaimsDependencies {
   readonly self: InstanceId
   readonly clock: Clock
   /** Tells all other instances. */
@@ -30,11 +30,11 @@
 }
 
 /** The claims that this instance has made or heard of. */
-export class TrialClaims {
-  private readonly parts: TrialClaimsParts
+export class IsolatedRunClaims {
+  private readonly parts: IsolatedRunClaimsDependencies
   private readonly claims = new Map<RequestFingerprint, Claim>()
 
-  constructor (parts: TrialClaimsParts) {
+  constructor (parts: IsolatedRunClaimsDependencies) {
     this.parts = parts
   }
 
@@ -55,7 +55,7 @@
     await clock.sleep(noticeMilliseconds())
     if (this.claims.get(fingerprint) !== own) {
       // Others may have heard this claim last.
-      this.tellOver(fingerprint)
+      this.announceEnd(fingerprint)
       return 'taken'
     }
     if (!isShared && this.mustYield(fingerprint, endpoint)) {
@@ -77,7 +77,7 @@
   over (fingerprint: RequestFingerprint): void {
     if (this.current(fingerprint)?.instance !== this.parts.self) return
     this.claims.delete(fingerprint)
-    this.tellOver(fingerprint)
+    this.announceEnd(fingerprint)
   }
 
   /** @returns endpoints on which other suspected requests run */
@@ -86,7 +86,7 @@
   }
 
   /** Takes the word of another instance. */
-  take (from: InstanceId, { fingerprint: text, state, endpoint, milliseconds }: RequestTrialFrame): void {
+  applyFrame (from: InstanceId, { fingerprint: text, state, endpoint, milliseconds }: RequestTrialFrame): void {
     const fingerprint = text as RequestFingerprint
     const present = this.current(fingerprint)
     if (endpoint === undefined) {
@@ -100,7 +100,7 @@
     this.claims.set(fingerprint, { instance: from, endpoint, until: this.parts.clock.now() + milliseconds, isEstablished: state !== 'claimed' })
   }
 
-  private tellOver (fingerprint: RequestFingerprint): void {
+  private announceEnd (fingerprint: RequestFingerprint): void {
     this.parts.broadcast({ kind: 'request-trial', fingerprint, state: 'over', milliseconds: 0 })
   }
 
--- a/packages/ingress/src/quarantine/quarantine-exchange.ts
+++ b/packages/ingress/src/quarantine/quarantine-exchange.ts
@@ -6,14 +6,14 @@
 import type { StoredQuarantineDecision } from '../members/cluster-objects.js'
 import { CrashDetector } from './crash-detector.js'
 import { QuarantineRecords } from './quarantine-records.js'
-import { RequestQuarantine, verdictFrame } from './request-quarantine.js'
-import type { QuarantineNews, RequestQuarantineParts } from './request-quarantine.js'
-import { TrialClaims } from './trial-claims.js'
+import { RequestQuarantine, decisionFrame } from './request-quarantine.js'
+import type { QuarantineAnnouncer, RequestQuarantineDependencies } from './request-quarantine.js'
+import { IsolatedRunClaims } from './isolated-run-claims.js'
 
 const EXPIRE_MILLISECONDS = 10_000
 
 /** What the exchange needs. */
-export interface QuarantineExchangeParts extends Pick<RequestQuarantineParts, 'metrics' | 'findEndpoint' | 'endpointCount' | 'newestVersion'> {
+export interface QuarantineExchangeDependencies extends Pick<RequestQuarantineDependencies, 'metrics' | 'findEndpoint' | 'endpointCount' | 'newestVersion'> {
   readonly self: InstanceId
   readonly clock: Clock
   readonly logger: Logger
@@ -25,23 +25,23 @@
 /** The quarantine of one instance among those of the others. */
 export class QuarantineExchange {
   readonly quarantine: RequestQuarantine
-  private readonly parts: QuarantineExchangeParts
-  private readonly claims: TrialClaims
+  private readonly parts: QuarantineExchangeDependencies
+  private readonly claims: IsolatedRunClaims
   private readonly records: QuarantineRecords
 
-  constructor (parts: QuarantineExchangeParts) {
+  constructor (parts: QuarantineExchangeDependencies) {
     this.parts = parts
     const { self, clock, logger, overlay, store } = parts
-    this.claims = new TrialClaims({
+    this.claims = new IsolatedRunClaims({
       self,
       clock,
       broadcast: (frame) => overlay.broadcast(frame),
       notify: (to, frame) => overlay.notify(to, frame),
       noticeMilliseconds: () => overlay.noticeMilliseconds
     })
-    this.quarantine = new RequestQuarantine({ ...parts, claims: this.claims, detector: new CrashDetector(clock, logger), news: this.news() })
+    this.quarantine = new RequestQuarantine({ ...parts, claims: this.claims, detector: new CrashDetector(clock, logger), announcer: this.announcer() })
     this.records = new QuarantineRecords(store, {
-      takeVerdict: (verdict, source) => this.quarantine.takeVerdict(verdict, source),
+      applyDecision: (verdict, source) => this.quarantine.applyDecision(verdict, source),
       release: (fingerprint, by) => this.quarantine.release(fingerprint, by)
     }, clock, logger)
     this.connect()
@@ -64,45 +64,45 @@
     }
   }
 
-  private news (): QuarantineNews {
+  private announcer (): QuarantineAnnouncer {
     const { overlay, clock } = this.parts
     return {
       crashed: (frame) => overlay.broadcast(frame),
       convicted: (verdict, isOwn) => {
-        if (isOwn) overlay.broadcast(verdictFrame(verdict, clock.now()))
+        if (isOwn) overlay.broadcast(decisionFrame(verdict, clock.now()))
         this.records.keep(verdict, isOwn)
       },
       cleared: (fingerprint) => {
         overlay.broadcast({ kind: 'request-trial', fingerprint, state: 'completed', milliseconds: 0 })
-        void this.records.drop(fingerprint)
+        void this.records.removeRecord(fingerprint)
       }
     }
   }
 
   private connect (): void {
     const { network, overlay, self } = this.parts
-    network.onNotice('endpoint-crash', (_from, frame) => this.takeCrash(frame))
-    network.onNotice('request-trial', (from, frame) => this.takeTrial(from, frame))
-    network.onNotice('request-verdict', (_from, frame) => this.quarantine.takeVerdict(this.verdictOf(frame), 'peer'))
+    network.onNotice('endpoint-crash', (_from, frame) => this.applyCrashFrame(frame))
+    network.onNotice('request-trial', (from, frame) => this.applyTrialFrame(from, frame))
+    network.onNotice('request-verdict', (_from, frame) => this.quarantine.applyDecision(this.decisionFromFrame(frame), 'peer'))
     overlay.onNeighbour((neighbour) => {
-      const { crashes, verdicts } = this.quarantine.knowledge()
+      const { crashes, verdicts } = this.quarantine.framesForNewNeighbour()
       overlay.retell(neighbour, [...verdicts, ...crashes].map((frame) => [self, frame]))
     })
   }
 
-  private takeCrash ({ life, service, millisecondsAgo, aboard }: EndpointCrashFrame): void {
+  private applyCrashFrame ({ life, service, millisecondsAgo, aboard }: EndpointCrashFrame): void {
     const crash = { life, service, at: this.parts.clock.now() - millisecondsAgo }
     const requests = aboard.map(([fingerprint, milliseconds, isolated]) => ({ fingerprint: fingerprint as RequestFingerprint, milliseconds, isolated }))
-    this.quarantine.takeCrash(crash, requests)
+    this.quarantine.applyPeerCrash(crash, requests)
   }
 
-  private takeTrial (from: InstanceId, frame: RequestTrialFrame): void {
-    this.claims.take(from, frame)
-    if (frame.state === 'sent') this.quarantine.takeSent(frame.fingerprint as RequestFingerprint)
+  private applyTrialFrame (from: InstanceId, frame: RequestTrialFrame): void {
+    this.claims.applyFrame(from, frame)
+    if (frame.state === 'sent') this.quarantine.applyPeerSent(frame.fingerprint as RequestFingerprint)
     if (frame.state === 'completed') this.quarantine.release(frame.fingerprint as RequestFingerprint, 'peer')
   }
 
-  private verdictOf ({ fingerprint, crashes, strikes, certain, remainingMilliseconds }: RequestVerdictFrame): QuarantineDecision {
+  private decisionFromFrame ({ fingerprint, crashes, strikes, certain, remainingMilliseconds }: RequestVerdictFrame): QuarantineDecision {
     return { fingerprint: fingerprint as RequestFingerprint, crashes, strikes, certain, until: this.parts.clock.now() + remainingMilliseconds }
   }
 }
--- a/packages/ingress/src/quarantine/quarantine-records.ts
+++ b/packages/ingress/src/quarantine/quarantine-records.ts
@@ -4,21 +4,21 @@
 import { quarantineDecisionPath } from '../members/cluster-objects.js'
 import type { StoredQuarantineDecision } from '../members/cluster-objects.js'
 
-const LOOK_MILLISECONDS = 250
+const CHECK_MILLISECONDS = 250
 /** A store that is away is asked again after this. */
 const RETRY_MILLISECONDS = 1_000
 /** Instances that come to the same verdict leave it to the one that saw the last crash to write it down. */
-const OTHERS_WAIT_MILLISECONDS = 3_000
+const NON_DECIDER_DELAY_MILLISECONDS = 3_000
 /** A verdict whose time is long over, and whose request never came again. */
-const FORGET_MILLISECONDS = 3_600_000
+const RETENTION_MILLISECONDS = 3_600_000
 
 /** Hears of what the store says. */
 export interface QuarantineListener {
-  readonly takeVerdict: (verdict: QuarantineDecision, source: 'store') => void
+  readonly applyDecision: (verdict: QuarantineDecision, source: 'store') => void
   readonly release: (fingerprint: RequestFingerprint, by: 'store') => void
 }
 
-interface DueVerdict {
+interface PendingWrite {
   readonly verdict: QuarantineDecision
   readonly dueAt: number
 }
@@ -30,7 +30,7 @@
   private readonly clock: Clock
   private readonly logger: Logger
   private listed = new Map<RequestFingerprint, StoredQuarantineDecision>()
-  private readonly due = new Map<RequestFingerprint, DueVerdict>()
+  private readonly pendingWrites = new Map<RequestFingerprint, PendingWrite>()
 
   constructor (store: DeletingObjectStore, listener: QuarantineListener, clock: Clock, logger: Logger) {
     this.store = store
@@ -46,22 +46,22 @@
     this.listed = new Map(verdicts.map((verdict) => [verdict.fingerprint, verdict]))
     for (const fingerprint of before.keys()) {
       if (this.listed.has(fingerprint)) continue
-      this.due.delete(fingerprint)
+      this.pendingWrites.delete(fingerprint)
       this.listener.release(fingerprint, 'store')
     }
     for (const { untilWallTime, version: _version, ...verdict } of verdicts) {
-      this.listener.takeVerdict({ ...verdict, until: clock.now() + untilWallTime - clock.wallTime() }, 'store')
+      this.listener.applyDecision({ ...verdict, until: clock.now() + untilWallTime - clock.wallTime() }, 'store')
     }
   }
 
   /** Has a verdict written down. @param isFirst - whether this instance saw the crash that decided it */
   keep (verdict: QuarantineDecision, isFirst: boolean): void {
-    this.due.set(verdict.fingerprint, { verdict, dueAt: this.clock.now() + (isFirst ? 0 : OTHERS_WAIT_MILLISECONDS) })
+    this.pendingWrites.set(verdict.fingerprint, { verdict, dueAt: this.clock.now() + (isFirst ? 0 : NON_DECIDER_DELAY_MILLISECONDS) })
   }
 
   /** Takes a verdict back. */
-  async drop (fingerprint: RequestFingerprint): Promise<void> {
-    this.due.delete(fingerprint)
+  async removeRecord (fingerprint: RequestFingerprint): Promise<void> {
+    this.pendingWrites.delete(fingerprint)
     const listed = this.listed.get(fingerprint)
     if (listed === undefined) return
     const removed = await this.store.remove(quarantineDecisionPath(fingerprint), listed.version)
@@ -71,9 +71,9 @@
   /** Writes verdicts down until the signal ends it. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(LOOK_MILLISECONDS, signal)
-      for (const { verdict, dueAt } of [...this.due.values()]) if (dueAt <= this.clock.now()) await this.write(verdict)
-      await this.forgetOld()
+      await this.clock.sleep(CHECK_MILLISECONDS, signal)
+      for (const { verdict, dueAt } of [...this.pendingWrites.values()]) if (dueAt <= this.clock.now()) await this.write(verdict)
+      await this.removeExpired()
     }
   }
 
@@ -81,23 +81,23 @@
     const { fingerprint, crashes, strikes, certain, until } = verdict
     const listed = this.listed.get(fingerprint)
     if (listed !== undefined && listed.strikes >= strikes) {
-      this.due.delete(fingerprint)
+      this.pendingWrites.delete(fingerprint)
       return
     }
     const untilWallTime = Math.round(this.clock.wallTime() + until - this.clock.now())
     const written = await this.store.put({ path: quarantineDecisionPath(fingerprint), ifVersion: listed?.version ?? 0, value: { crashes, strikes, certain, untilWallTime } })
     if (written.isOk()) {
-      this.due.delete(fingerprint)
+      this.pendingWrites.delete(fingerprint)
       return
     }
     // After a conflict or a lost answer the next listing shows whether it stands there.
     this.logger.warn('A verdict is not in the store yet.', { fingerprint, reason: written.error.message })
-    this.due.set(fingerprint, { verdict, dueAt: this.clock.now() + RETRY_MILLISECONDS })
+    this.pendingWrites.set(fingerprint, { verdict, dueAt: this.clock.now() + RETRY_MILLISECONDS })
   }
 
-  private async forgetOld (): Promise<void> {
+  private async removeExpired (): Promise<void> {
     for (const { fingerprint, untilWallTime } of this.listed.values()) {
-      if (this.clock.wallTime() - untilWallTime > FORGET_MILLISECONDS) await this.drop(fingerprint)
+      if (this.clock.wallTime() - untilWallTime > RETENTION_MILLISECONDS) await this.removeRecord(fingerprint)
     }
   }
 }
--- a/packages/ingress/src/quarantine/request-quarantine.ts
+++ b/packages/ingress/src/quarantine/request-quarantine.ts
@@ -9,18 +9,18 @@
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { RoutedRequest } from '../relay/routed-request.js'
 import type { AdapterKey, Endpoint } from '../routes/configuration.js'
-import { endpointOf, lifeOf } from './crash-detector.js'
+import { endpointOfIncarnation, incarnationOf } from './crash-detector.js'
 import type { CrashDetector } from './crash-detector.js'
 import { fingerprintOf, fingerprintPrefix } from './fingerprint.js'
-import type { TrialClaims } from './trial-claims.js'
+import type { IsolatedRunClaims } from './isolated-run-claims.js'
 
 /** A run of the copy that is tried takes about this long. */
-const TRIAL_RETRY_SECONDS = 1
+const ISOLATED_RUN_RETRY_SECONDS = 1
 /** While suspected requests run on more than this part of a service's endpoints, they cannot be kept apart. */
-const MOST_OCCUPIED_SHARE = 0.5
+const MAXIMUM_OCCUPIED_SHARE = 0.5
 
 /** All instances that had requests aboard at a crash have said so within this. */
-const REPORTED_MILLISECONDS = 300
+const REPORT_WINDOW_MILLISECONDS = 300
 
 /** Whether and how a request may be sent. */
 export type Admission =
@@ -30,7 +30,7 @@
   | { readonly kind: 'refused', readonly error: LimpetwinchError }
 
 /** Tells other instances and the store what was found here. */
-export interface QuarantineNews {
+export interface QuarantineAnnouncer {
   readonly crashed: (frame: EndpointCrashFrame) => void
   /** @param isOwn - whether this instance saw the crash that decided it */
   readonly convicted: (verdict: QuarantineDecision, isOwn: boolean) => void
@@ -38,13 +38,13 @@
 }
 
 /** What the quarantine needs. */
-export interface RequestQuarantineParts {
+export interface RequestQuarantineDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly metrics: IngressMetrics
   readonly detector: CrashDetector
-  readonly claims: TrialClaims
-  readonly news: QuarantineNews
+  readonly claims: IsolatedRunClaims
+  readonly announcer: QuarantineAnnouncer
   /** @returns the endpoint as it is listed; undefined when it is gone */
   readonly findEndpoint: (endpoint: EndpointId) => Endpoint | undefined
   readonly endpointCount: (service: string) => number
@@ -52,7 +52,7 @@
   readonly newestVersion: (key: AdapterKey) => number | undefined
 }
 
-interface Boarding {
+interface PendingCrashReport {
   readonly crash: EndpointCrash
   readonly aboard: InFlightRequest[]
   readonly recorded: Promise<void>
@@ -63,36 +63,36 @@
 
 /** The quarantine of one instance. */
 export class RequestQuarantine {
-  private readonly parts: RequestQuarantineParts
-  private readonly ledger: CrashTracker
+  private readonly parts: RequestQuarantineDependencies
+  private readonly crashTracker: CrashTracker
   private readonly prefixes = new WeakMap<RoutedRequest, FingerprintPrefix>()
   private readonly fingerprints = new WeakMap<RoutedRequest, RequestFingerprint>()
-  private readonly trials = new Map<RoutedRequest, RequestFingerprint>()
+  private readonly isolatedRuns = new Map<RoutedRequest, RequestFingerprint>()
   /** What is still to be found out of a request's last try. */
-  private readonly settling = new WeakMap<RoutedRequest, Promise<void>>()
+  private readonly examinations = new WeakMap<RoutedRequest, Promise<void>>()
   /** Endpoints whose connections a request has lost. */
-  private readonly lossCounts = new WeakMap<RoutedRequest, number>()
-  private readonly boardings = new Map<string, Boarding>()
+  private readonly connectionLossCounts = new WeakMap<RoutedRequest, number>()
+  private readonly pendingReports = new Map<string, PendingCrashReport>()
   /** Crashes under requests of this instance that are not judged yet. */
-  private readonly ownCrashes = new Set<string>()
-  private readonly judgements = new Map<string, Promise<void>>()
-  private readonly versionsRefused = new Map<RequestFingerprint, number>()
+  private readonly undecidedOwnCrashes = new Set<string>()
+  private readonly pendingDecisions = new Map<string, Promise<void>>()
+  private readonly refusedVersions = new Map<RequestFingerprint, number>()
 
-  constructor (parts: RequestQuarantineParts) {
+  constructor (parts: RequestQuarantineDependencies) {
     this.parts = parts
-    this.ledger = new CrashTracker(parts.endpointCount)
+    this.crashTracker = new CrashTracker(parts.endpointCount)
   }
 
   /** Requests that crashes speak against, and verdicts. */
-  get counts (): { readonly accused: number, readonly verdicts: number } {
-    return { accused: this.ledger.implicatedCount, verdicts: this.ledger.quarantineCount }
+  get counts (): { readonly implicated: number, readonly verdicts: number } {
+    return { implicated: this.crashTracker.implicatedCount, verdicts: this.crashTracker.quarantineCount }
   }
 
   /** @returns the error for a request that must not reach endpoints; undefined for all others */
   refusal (request: RoutedRequest): LimpetwinchError | undefined {
-    const fingerprint = this.known(request)
+    const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || this.standing(request, fingerprint) !== 'quarantined') return undefined
-    const verdict = this.ledger.verdict(fingerprint)
+    const verdict = this.crashTracker.verdict(fingerprint)
     const seconds = Math.ceil(((verdict?.until ?? 0) - this.parts.clock.now()) / 1_000)
     this.parts.metrics.quarantined('refused')
     return new LimpetwinchError('request-quarantined', { crashes: verdict?.crashes, fingerprint, reason: 'it crashes endpoints' }, { retryAfterSeconds: Math.max(1, seconds) })
@@ -100,13 +100,13 @@
 
   /** @returns whether the request may be sent to a second endpoint while the first one still has it */
   isUnsuspected (request: RoutedRequest): boolean {
-    const fingerprint = this.known(request)
+    const fingerprint = this.implicatedFingerprint(request)
     return fingerprint === undefined || this.standing(request, fingerprint) === 'unsuspected'
   }
 
   /** @returns endpoints that the request must keep away from: other suspected ones run there, or they have just crashed */
-  avoided (request: RoutedRequest): ReadonlySet<EndpointId> {
-    const fingerprint = this.known(request)
+  endpointsToAvoid (request: RoutedRequest): ReadonlySet<EndpointId> {
+    const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || this.standing(request, fingerprint) === 'unsuspected') return NONE
     return new Set([...this.occupied(request, fingerprint), ...this.crashed()])
   }
@@ -114,8 +114,8 @@
   /** To be asked right before each try. @param endpoint - where the request is to be sent */
   async admit (request: RoutedRequest, endpoint: EndpointId): Promise<Admission> {
     // A request goes on elsewhere at once when it has lost its first endpoint; knowing whether that crashed would take too long.
-    if (this.known(request) !== undefined || this.losses(request) > 1) await this.settling.get(request)
-    const fingerprint = this.known(request)
+    if (this.implicatedFingerprint(request) !== undefined || this.losses(request) > 1) await this.examinations.get(request)
+    const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined) return GRANTED
     const standing = this.standing(request, fingerprint)
     if (standing === 'unsuspected') return GRANTED
@@ -125,78 +125,78 @@
   /** Its connection was lost: finds out whether the endpoint crashed. @param milliseconds - how long the request was there */
   lost (request: RoutedRequest, endpoint: Endpoint, milliseconds: number): void {
     const examined = this.examine(request, endpoint, milliseconds)
-    const before = this.settling.get(request)
-    this.settling.set(request, before === undefined ? examined : before.then(async () => await examined))
-    this.lossCounts.set(request, this.losses(request) + 1)
+    const before = this.examinations.get(request)
+    this.examinations.set(request, before === undefined ? examined : before.then(async () => await examined))
+    this.connectionLossCounts.set(request, this.losses(request) + 1)
   }
 
   /** The request has reached its endpoint, whatever comes of it. */
   sent (request: RoutedRequest): void {
-    const fingerprint = this.trials.get(request)
+    const fingerprint = this.isolatedRuns.get(request)
     if (fingerprint === undefined) return
-    this.ledger.sent(fingerprint, this.parts.clock.now())
+    this.crashTracker.sent(fingerprint, this.parts.clock.now())
     this.parts.claims.sent(fingerprint)
   }
 
   /** The try has ended, however it did. */
-  tried (request: RoutedRequest): void {
-    const fingerprint = this.trials.get(request)
+  attemptFinished (request: RoutedRequest): void {
+    const fingerprint = this.isolatedRuns.get(request)
     if (fingerprint === undefined) return
-    const settled = this.settling.get(request) ?? Promise.resolve()
-    this.settling.set(request, settled.then(() => {
-      if (this.trials.delete(request)) this.parts.claims.over(fingerprint)
+    const settled = this.examinations.get(request) ?? Promise.resolve()
+    this.examinations.set(request, settled.then(() => {
+      if (this.isolatedRuns.delete(request)) this.parts.claims.over(fingerprint)
     }))
   }
 
   /** The endpoint came to the end of the request, whatever its answer: the request crashes nothing. */
   completed (request: RoutedRequest): void {
-    const fingerprint = this.known(request)
-    if (fingerprint === undefined || !this.ledger.completed(fingerprint)) return
+    const fingerprint = this.implicatedFingerprint(request)
+    if (fingerprint === undefined || !this.crashTracker.completed(fingerprint)) return
     this.parts.logger.info('A suspected request came to its end.', { request: request.facts.requestId, fingerprint })
     this.parts.metrics.quarantined('cleared')
-    this.parts.news.cleared(fingerprint)
+    this.parts.announcer.cleared(fingerprint)
   }
 
   /** Another instance saw a crash. */
-  takeCrash (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
-    for (const verdict of this.ledger.record(crash, aboard)) this.noteVerdict(verdict, 'crashes seen elsewhere')
+  applyPeerCrash (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
+    for (const verdict of this.crashTracker.record(crash, aboard)) this.logDecision(verdict, 'crashes seen elsewhere')
     void this.judgement(crash.life)
   }
 
   /** Another instance sends a suspected request to an endpoint. */
-  takeSent (fingerprint: RequestFingerprint): void {
-    this.ledger.sent(fingerprint, this.parts.clock.now())
+  applyPeerSent (fingerprint: RequestFingerprint): void {
+    this.crashTracker.sent(fingerprint, this.parts.clock.now())
   }
 
   /** Another instance, or the store, tells a verdict. */
-  takeVerdict (verdict: QuarantineDecision, source: 'peer' | 'store'): void {
-    if ((this.ledger.verdict(verdict.fingerprint)?.strikes ?? 0) >= verdict.strikes) return
-    this.ledger.quarantine(verdict)
-    this.noteVerdict(verdict, source)
+  applyDecision (verdict: QuarantineDecision, source: 'peer' | 'store'): void {
+    if ((this.crashTracker.verdict(verdict.fingerprint)?.strikes ?? 0) >= verdict.strikes) return
+    this.crashTracker.quarantine(verdict)
+    this.logDecision(verdict, source)
   }
 
   /** Another instance saw the request come to its end, or an operator released it. */
   release (fingerprint: RequestFingerprint, by: 'peer' | 'store'): void {
-    if (this.ledger.completed(fingerprint)) this.parts.logger.info('A request may reach endpoints again.', { fingerprint, by })
-    this.versionsRefused.delete(fingerprint)
+    if (this.crashTracker.completed(fingerprint)) this.parts.logger.info('A request may reach endpoints again.', { fingerprint, by })
+    this.refusedVersions.delete(fingerprint)
   }
 
   /** @returns what an instance that has heard nothing has to be told */
-  knowledge (): { readonly crashes: readonly EndpointCrashFrame[], readonly verdicts: readonly RequestVerdictFrame[] } {
+  framesForNewNeighbour (): { readonly crashes: readonly EndpointCrashFrame[], readonly verdicts: readonly RequestVerdictFrame[] } {
     const now = this.parts.clock.now()
     return {
-      crashes: this.ledger.unexplainedCrashes().map(({ aboard, ...crash }) => crashFrame(crash, aboard, now)),
-      verdicts: this.ledger.allDecisions().map((verdict) => verdictFrame(verdict, now))
+      crashes: this.crashTracker.unexplainedCrashes().map(({ aboard, ...crash }) => crashFrame(crash, aboard, now)),
+      verdicts: this.crashTracker.allDecisions().map((verdict) => decisionFrame(verdict, now))
     }
   }
 
   /** Forgets what is too old to matter. */
   expire (): void {
-    this.ledger.expire(this.parts.clock.now())
+    this.crashTracker.expire(this.parts.clock.now())
   }
 
   private losses (request: RoutedRequest): number {
-    return this.lossCounts.get(request) ?? 0
+    return this.connectionLossCounts.get(request) ?? 0
   }
 
   private refused (request: RoutedRequest): Admission | undefined {
@@ -206,14 +206,14 @@
 
   private occupied (request: RoutedRequest, fingerprint: RequestFingerprint): ReadonlySet<EndpointId> {
     const occupied = this.parts.claims.occupied(fingerprint)
-    return occupied.size <= MOST_OCCUPIED_SHARE * this.parts.endpointCount(request.service.name) ? occupied : NONE
+    return occupied.size <= MAXIMUM_OCCUPIED_SHARE * this.parts.endpointCount(request.service.name) ? occupied : NONE
   }
 
   /** Endpoints that are still listed in the life that has ended. Nothing runs there, so that they seem the best to run apart. */
   private crashed (): EndpointId[] {
-    return this.ledger.crashedIncarnations().flatMap((life) => {
-      const listed = this.parts.findEndpoint(endpointOf(life))
-      return listed !== undefined && lifeOf(listed) === life ? [listed.id] : []
+    return this.crashTracker.crashedIncarnations().flatMap((life) => {
+      const listed = this.parts.findEndpoint(endpointOfIncarnation(life))
+      return listed !== undefined && incarnationOf(listed) === life ? [listed.id] : []
     })
   }
 
@@ -221,18 +221,18 @@
     const { clock, claims, logger, metrics } = this.parts
     const occupied = this.occupied(request, fingerprint)
     if (occupied.has(endpoint)) return { kind: 'elsewhere' }
-    const crashes = this.ledger.verdict(fingerprint)?.crashes ?? this.ledger.crashCount(fingerprint)
+    const crashes = this.crashTracker.verdict(fingerprint)?.crashes ?? this.crashTracker.crashCount(fingerprint)
     const isShared = occupied.size === 0 && claims.occupied(fingerprint).size > 0
     const outcome = await claims.claim(fingerprint, endpoint, Math.max(1, request.endsAt - clock.now()), isShared)
     if (outcome === 'occupied') return { kind: 'elsewhere' }
     if (outcome === 'taken') {
       metrics.quarantined('deferred')
-      return { kind: 'refused', error: new LimpetwinchError('request-on-trial', { crashes, fingerprint, reason: 'a copy of it runs' }, { retryAfterSeconds: TRIAL_RETRY_SECONDS }) }
+      return { kind: 'refused', error: new LimpetwinchError('request-on-trial', { crashes, fingerprint, reason: 'a copy of it runs' }, { retryAfterSeconds: ISOLATED_RUN_RETRY_SECONDS }) }
     }
-    this.trials.set(request, fingerprint)
+    this.isolatedRuns.set(request, fingerprint)
     const refused = this.refused(request)
     if (refused !== undefined) {
-      this.tried(request)
+      this.attemptFinished(request)
       return refused
     }
     metrics.quarantined('isolated')
@@ -244,59 +244,59 @@
     const { detector, findEndpoint, logger, clock } = this.parts
     // One that is about to stop, or has been taken from the list, does not crash.
     if (findEndpoint(endpoint.id)?.leaving !== false) return
-    const life = lifeOf(endpoint)
+    const life = incarnationOf(endpoint)
     if (!await detector.hasCrashed({ endpoint, life })) return
     const fingerprint = this.fingerprint(request)
     logger.info('A request was aboard a crashed endpoint.', {
-      request: request.facts.requestId, endpoint: endpoint.id, fingerprint, adapter: request.facts.adapter?.key, milliseconds: Math.round(milliseconds), isolated: this.trials.has(request)
+      request: request.facts.requestId, endpoint: endpoint.id, fingerprint, adapter: request.facts.adapter?.key, milliseconds: Math.round(milliseconds), isolated: this.isolatedRuns.has(request)
     })
-    const boarding = this.boardings.get(life) ?? this.board({ life, service: endpoint.service, at: clock.now() })
-    boarding.aboard.push({ fingerprint, milliseconds, isolated: this.trials.has(request) })
+    const boarding = this.pendingReports.get(life) ?? this.collectReport({ life, service: endpoint.service, at: clock.now() })
+    boarding.aboard.push({ fingerprint, milliseconds, isolated: this.isolatedRuns.has(request) })
     await boarding.recorded
   }
 
   /** Answers of one crash break off in the same moment; they are recorded and told together. */
-  private board (crash: EndpointCrash): Boarding {
+  private collectReport (crash: EndpointCrash): PendingCrashReport {
     const aboard: InFlightRequest[] = []
     const recorded = new Promise<void>((resolve) => setImmediate(() => {
-      this.boardings.delete(crash.life)
+      this.pendingReports.delete(crash.life)
       this.record(crash, aboard)
       resolve(this.judgement(crash.life))
     }))
     const boarding = { crash, aboard, recorded }
-    this.boardings.set(crash.life, boarding)
+    this.pendingReports.set(crash.life, boarding)
     return boarding
   }
 
   private record (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
-    const { news, clock, metrics } = this.parts
+    const { announcer: news, clock, metrics } = this.parts
     metrics.endpointCrashed(crash.service)
-    this.ownCrashes.add(crash.life)
-    for (const verdict of this.ledger.record(crash, aboard)) this.convict(verdict, true)
+    this.undecidedOwnCrashes.add(crash.life)
+    for (const verdict of this.crashTracker.record(crash, aboard)) this.announceDecision(verdict, true)
     news.crashed(crashFrame(crash, aboard, clock.now()))
   }
 
   /** Looks for the cause of a crash once all have told what they had aboard. */
   private async judgement (life: string): Promise<void> {
-    const judgement = this.judgements.get(life) ?? this.judge(life)
-    this.judgements.set(life, judgement)
+    const judgement = this.pendingDecisions.get(life) ?? this.decide(life)
+    this.pendingDecisions.set(life, judgement)
     await judgement
   }
 
-  private async judge (life: string): Promise<void> {
-    await this.parts.clock.sleep(REPORTED_MILLISECONDS)
-    this.judgements.delete(life)
-    const isOwn = this.ownCrashes.delete(life)
-    for (const verdict of this.ledger.decide(life)) this.convict(verdict, isOwn)
+  private async decide (life: string): Promise<void> {
+    await this.parts.clock.sleep(REPORT_WINDOW_MILLISECONDS)
+    this.pendingDecisions.delete(life)
+    const isOwn = this.undecidedOwnCrashes.delete(life)
+    for (const verdict of this.crashTracker.decide(life)) this.announceDecision(verdict, isOwn)
   }
 
   /** @param isOwn - whether the crash was seen here */
-  private convict (verdict: QuarantineDecision, isOwn: boolean): void {
-    this.noteVerdict(verdict, isOwn ? 'crashes seen here' : 'crashes seen elsewhere')
-    this.parts.news.convicted(verdict, isOwn)
+  private announceDecision (verdict: QuarantineDecision, isOwn: boolean): void {
+    this.logDecision(verdict, isOwn ? 'crashes seen here' : 'crashes seen elsewhere')
+    this.parts.announcer.convicted(verdict, isOwn)
   }
 
-  private noteVerdict ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, grounds: string): void {
+  private logDecision ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, grounds: string): void {
     this.parts.metrics.quarantined('convicted')
     this.parts.logger.warn('A request crashes endpoints and is held back.', {
       fingerprint, crashes, strikes, certain, grounds, seconds: Math.round((until - this.parts.clock.now()) / 1_000)
@@ -306,19 +306,19 @@
   /** A newer version of the adapter may have mended it: then it is tried once before its time is over. */
   private standing (request: RoutedRequest, fingerprint: RequestFingerprint): ReturnType<CrashTracker['standing']> {
     const key = request.facts.adapter?.key
-    const verdict = this.ledger.verdict(fingerprint)
+    const verdict = this.crashTracker.verdict(fingerprint)
     if (key !== undefined && verdict !== undefined) {
       const newest = this.parts.newestVersion(key) ?? 0
-      const refused = this.versionsRefused.get(fingerprint) ?? newest
-      this.versionsRefused.set(fingerprint, refused)
-      if (newest > refused && verdict.strikes === 1) this.ledger.reconsider(fingerprint)
+      const refused = this.refusedVersions.get(fingerprint) ?? newest
+      this.refusedVersions.set(fingerprint, refused)
+      if (newest > refused && verdict.strikes === 1) this.crashTracker.reconsider(fingerprint)
     }
-    return this.ledger.standing(fingerprint, this.parts.clock.now())
+    return this.crashTracker.standing(fingerprint, this.parts.clock.now())
   }
 
   /** @returns the fingerprint of a request that something may speak against; undefined for nearly all */
-  private known (request: RoutedRequest): RequestFingerprint | undefined {
-    const isKnown = this.ledger.mayBeTracked(() => this.prefix(request))
+  private implicatedFingerprint (request: RoutedRequest): RequestFingerprint | undefined {
+    const isKnown = this.crashTracker.mayBeTracked(() => this.prefix(request))
     return isKnown ? this.fingerprint(request) : undefined
   }
 
@@ -336,7 +336,7 @@
 }
 
 /** @returns a verdict for other instances */
-export function verdictFrame ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, now: number): RequestVerdictFrame {
+export function decisionFrame ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, now: number): RequestVerdictFrame {
   return { kind: 'request-verdict', fingerprint, crashes, strikes, certain, remainingMilliseconds: Math.max(0, until - now) }
 }
 
--- a/packages/ingress/src/relay/final-errors.ts
+++ b/packages/ingress/src/relay/attempt-record.ts
@@ -2,13 +2,13 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 
 /** What the tries of one request have shown so far. */
-export class TryRecord {
+export class AttemptRecord {
   private mayHaveRun = false
   private lastReason = 'no endpoint is free'
   private lastEndpoint = ''
 
   /** Whether some endpoint may have begun with it. */
-  get isUnknown (): boolean {
+  get isOutcomeUnknown (): boolean {
     return this.mayHaveRun
   }
 
--- a/packages/ingress/src/relay/attempt.ts
+++ b/packages/ingress/src/relay/attempt.ts
@@ -1,6 +1,6 @@
 /** One try of a request on one endpoint. */
 import type { Dispatcher } from 'undici'
-import type { AnswerFacts, RequestCodec } from './request-codec.js'
+import type { ResponseFacts, RequestCodec } from './request-codec.js'
 import type { EndpointConnection } from './endpoint-connections.js'
 
 /** What is sent. */
@@ -15,16 +15,16 @@
 }
 
 /** The start of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number
   readonly headers: Record<string, string | string[] | undefined>
-  readonly facts: AnswerFacts
+  readonly facts: ResponseFacts
 }
 
 /** Takes an answer as it comes. */
 export interface AttemptSink {
   /** The answer has begun and is this request's own. */
-  head: (head: AnswerHead) => void
+  head: (head: ResponseHead) => void
   /** Bytes of the body, in order. */
   data: (chunk: Buffer) => void
 }
@@ -46,8 +46,8 @@
   private readonly codec: RequestCodec
   private sent = false
   private connectionLost = false
-  private head: AnswerHead | undefined
-  private abandonedFor: string | undefined
+  private head: ResponseHead | undefined
+  private abandonReason: string | undefined
   private controller: Dispatcher.DispatchController | undefined
   private settle: (end: AttemptEnd) => void = () => {}
 
@@ -62,7 +62,7 @@
 
   /** Whether the connection may carry another request. */
   get reusable (): boolean {
-    return this.head !== undefined && this.abandonedFor === undefined && String(this.head.headers.connection ?? '').toLowerCase() !== 'close'
+    return this.head !== undefined && this.abandonReason === undefined && String(this.head.headers.connection ?? '').toLowerCase() !== 'close'
   }
 
   /** Whether any byte may have reached the endpoint. */
@@ -72,11 +72,11 @@
 
   /** Whether the other side, or the link to it, ended the connection after the request was sent. */
   get lostConnection (): boolean {
-    return this.sent && this.abandonedFor === undefined && this.connectionLost
+    return this.sent && this.abandonReason === undefined && this.connectionLost
   }
 
   /** What the log says of the answer. */
-  get traits (): { readonly status: number | undefined, readonly framing: string, readonly connection: string } {
+  get logFields (): { readonly status: number | undefined, readonly framing: string, readonly connection: string } {
     const headers = this.head?.headers
     const framing = headers?.['content-length'] !== undefined ? 'length' : headers?.['transfer-encoding'] !== undefined ? 'chunks' : 'end'
     return { status: this.head?.status, framing, connection: this.connection.ended }
@@ -84,8 +84,8 @@
 
   /** Gives the try up: the connection ends, and the endpoint drops the request. */
   abandon (reason: string): void {
-    if (this.abandonedFor !== undefined) return
-    this.abandonedFor = reason
+    if (this.abandonReason !== undefined) return
+    this.abandonReason = reason
     this.connection.destroy()
     this.settle(this.sent ? { kind: 'abandoned', reason } : { kind: 'not-sent', reason })
   }
@@ -124,23 +124,23 @@
       },
       onResponseStart: (_controller, status, headers) => {
         if (status < 200) return
-        const facts = this.codec.readAnswer(status, headers)
+        const facts = this.codec.readResponse(status, headers)
         this.head = { status, headers, facts }
         const foreign = request.requestId !== undefined && facts.requestId !== undefined && facts.requestId !== request.requestId
         if (foreign) return this.fail('the answer belongs to another request')
         if (facts.encoded) return this.fail('the answer was encoded on its way')
-        this.connection.awaitsEnd = headers['content-length'] === undefined && headers['transfer-encoding'] === undefined
+        this.connection.bodyEndsWithConnection = headers['content-length'] === undefined && headers['transfer-encoding'] === undefined
         sink.head(this.head)
       },
       onResponseData: (_controller, chunk) => {
-        if (this.abandonedFor === undefined) sink.data(chunk)
+        if (this.abandonReason === undefined) sink.data(chunk)
       },
       onResponseEnd: () => {
-        if (this.abandonedFor !== undefined) return
-        void this.endOfAnswer().then((end) => this.settle(end))
+        if (this.abandonReason !== undefined) return
+        void this.endOfResponse().then((end) => this.settle(end))
       },
       onResponseError: (_controller, error) => {
-        if (this.abandonedFor !== undefined) return
+        if (this.abandonReason !== undefined) return
         this.connectionLost = true
         this.settle(this.sent ? { kind: 'broken', reason: error.message } : { kind: 'not-sent', reason: error.message })
       }
@@ -148,8 +148,8 @@
   }
 
   /** An answer whose end was read before its connection ended is whole; one that ended with it only if it may. */
-  private async endOfAnswer (): Promise<AttemptEnd> {
-    const { ended, awaitsEnd } = this.connection
+  private async endOfResponse (): Promise<AttemptEnd> {
+    const { ended, bodyEndsWithConnection: awaitsEnd } = this.connection
     if (ended === 'not') return { kind: 'whole' }
     const whole = awaitsEnd && await this.connection.endedOnPurpose()
     this.connectionLost = !whole
@@ -157,7 +157,7 @@
   }
 
   private fail (reason: string): void {
-    this.abandonedFor = reason
+    this.abandonReason = reason
     this.connection.destroy()
     this.settle({ kind: 'broken', reason })
   }
--- a/packages/ingress/src/relay/caller-exchange.ts
+++ b/packages/ingress/src/relay/caller-exchange.ts
@@ -4,7 +4,7 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
-import type { AnswerHead } from './attempt.js'
+import type { ResponseHead } from './attempt.js'
 
 /** Headers that concern one connection only, in either direction. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
@@ -36,7 +36,7 @@
   }
 
   /** Whether the answer has begun. */
-  get started (): boolean {
+  get hasResponseStarted (): boolean {
     return this.outgoing.headersSent
   }
 
@@ -66,7 +66,7 @@
    *
    * @param isSystemHeader - headers that are not passed on as they came
    */
-  headersToSend (isSystemHeader: (name: string) => boolean): string[] {
+  headersForEndpoint (isSystemHeader: (name: string) => boolean): string[] {
     const { rawHeaders } = this.incoming
     const named = new Set(String(this.incoming.headers.connection ?? '').toLowerCase().split(',').map((name) => name.trim()))
     const headers: string[] = []
@@ -80,16 +80,16 @@
   }
 
   /** Sends a whole answer of an endpoint. */
-  answer (head: AnswerHead, body: Buffer): void {
-    if (this.outgoing.destroyed || this.started) return
+  answer (head: ResponseHead, body: Buffer): void {
+    if (this.outgoing.destroyed || this.hasResponseStarted) return
     this.outgoing.writeHead(head.status, { ...headersToCaller(head), 'content-length': body.length })
     this.write(body)
     this.end()
   }
 
   /** Begins an answer whose body follows in parts. */
-  begin (head: AnswerHead): void {
-    if (this.outgoing.destroyed || this.started) return
+  beginResponse (head: ResponseHead): void {
+    if (this.outgoing.destroyed || this.hasResponseStarted) return
     this.outgoing.writeHead(head.status, headersToCaller(head))
     this.outgoing.flushHeaders()
   }
@@ -141,7 +141,7 @@
   /** Answers with an error of this instance. */
   refuse (error: LimpetwinchError): void {
     if (this.outgoing.destroyed) return
-    if (this.started) return this.cut()
+    if (this.hasResponseStarted) return this.cut()
     const body = JSON.stringify({ error: { code: error.code, message: error.message, outcome: error.outcome } })
     const retryAfter = error.status === 503 || error.status === 429 ? { 'retry-after': String(error.retryAfterSeconds ?? RETRY_AFTER_SECONDS) } : {}
     // The rest of a body that nobody reads would be taken for the next request.
@@ -151,7 +151,7 @@
   }
 }
 
-function headersToCaller (head: AnswerHead): Record<string, string | string[]> {
+function headersToCaller (head: ResponseHead): Record<string, string | string[]> {
   const headers: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(head.headers)) {
     if (value !== undefined && !CONNECTION_HEADERS.has(name)) headers[name] = value
--- a/packages/ingress/src/relay/endpoint-connections.ts
+++ b/packages/ingress/src/relay/endpoint-connections.ts
@@ -18,7 +18,7 @@
   /** How the present socket ended: by an error such as a reset, or in order by the endpoint. */
   ended: 'not' | 'in-order' | 'by-error' = 'not'
   /** The answer under way has no length: the end of the connection is its end. */
-  awaitsEnd = false
+  bodyEndsWithConnection = false
   private orderlyEnd: Promise<boolean> | undefined
 
   /** @param address - `host:port` */
@@ -31,7 +31,7 @@
       keepAliveMaxTimeout: IDLE_MILLISECONDS,
       connect: (options, callback) => {
         this.ended = 'not'
-        this.awaitsEnd = false
+        this.bodyEndsWithConnection = false
         this.orderlyEnd = undefined
         connectSocket(options, (error, socket) => {
           if (error !== null) return callback(error, null)
@@ -42,7 +42,7 @@
           plain.prependListener('error', () => { this.ended = 'by-error' })
           plain.prependListener('end', () => {
             this.ended = 'in-order'
-            if (this.awaitsEnd) this.orderlyEnd = provesOrderlyEnd(plain)
+            if (this.bodyEndsWithConnection) this.orderlyEnd = provesOrderlyEnd(plain)
           })
           callback(null, plain)
         })
@@ -94,7 +94,7 @@
    * @param now - monotonic time
    * @returns a connection for one request
    */
-  take (now: number): EndpointConnection {
+  acquire (now: number): EndpointConnection {
     this.busy += 1
     for (let kept = this.idle.pop(); kept !== undefined; kept = this.idle.pop()) {
       if (now - kept.since < IDLE_MILLISECONDS && kept.connection.ended !== 'by-error' && !kept.connection.client.destroyed) return kept.connection
@@ -108,7 +108,7 @@
    *
    * @param reusable - whether its last answer left no doubt
    */
-  giveBack (connection: EndpointConnection, reusable: boolean, now: number): void {
+  release (connection: EndpointConnection, reusable: boolean, now: number): void {
     this.busy -= 1
     if (reusable && connection.ended !== 'by-error') this.idle.push({ connection, since: now })
     else connection.destroy()
--- a/packages/ingress/src/relay/endpoint-senders.ts
+++ b/packages/ingress/src/relay/endpoint-senders.ts
@@ -7,23 +7,23 @@
 import { Attempt } from './attempt.js'
 import type { AttemptEnd, AttemptSink } from './attempt.js'
 import { EndpointConnections } from './endpoint-connections.js'
-import { EndpointSilence } from './endpoint-silence.js'
+import { EndpointContacts } from './endpoint-contacts.js'
 import type { RequestCodec } from './request-codec.js'
 import type { RoutedRequest } from './routed-request.js'
 
 /** How one try is to be sent. */
-export interface SendOrder {
+export interface SendOptions {
   readonly endpoint: Endpoint
   readonly lastEventId: string | undefined
   readonly adapterVersion: number | undefined
   /** How many tries were made before. */
-  readonly earlierTries: number
+  readonly earlierAttempts: number
   /** For the log: why this endpoint. */
   readonly grounds: Readonly<Record<string, unknown>>
 }
 
 /** A try under way. */
-export interface Sending {
+export interface RunningAttempt {
   readonly attempt: Attempt
   readonly ended: Promise<AttemptEnd>
 }
@@ -36,7 +36,7 @@
   private readonly logger: Logger
   private readonly metrics: IngressMetrics
   private readonly quarantine: RequestQuarantine
-  private readonly silences: EndpointSilence
+  private readonly contacts: EndpointContacts
   private readonly connections = new Map<EndpointId, { readonly address: string, readonly pool: EndpointConnections }>()
 
   constructor (codec: RequestCodec, ejection: OutlierEjection, clock: Clock, logger: Logger, metrics: IngressMetrics, quarantine: RequestQuarantine) {
@@ -46,7 +46,7 @@
     this.logger = logger
     this.metrics = metrics
     this.quarantine = quarantine
-    this.silences = new EndpointSilence(clock)
+    this.contacts = new EndpointContacts(clock)
   }
 
   /** @returns requests that this instance has on the endpoint */
@@ -55,16 +55,16 @@
   }
 
   /** @returns milliseconds since any answer of the endpoint was heard here; Infinity if none was */
-  silence (endpoint: EndpointId): number {
-    return this.clock.now() - (this.silences.heardAt(endpoint) ?? -Infinity)
+  millisecondsSinceContact (endpoint: EndpointId): number {
+    return this.clock.now() - (this.contacts.lastContactAt(endpoint) ?? -Infinity)
   }
 
   /** Sends a request to an endpoint. */
-  send (request: RoutedRequest, order: SendOrder, sink: AttemptSink): Sending {
+  send (request: RoutedRequest, order: SendOptions, sink: AttemptSink): RunningAttempt {
     const pool = this.pool(order.endpoint)
-    const connection = pool.take(this.clock.now())
+    const connection = pool.acquire(this.clock.now())
     const attempt = new Attempt(connection, this.codec)
-    const heard = this.silences.watch(order.endpoint.id)
+    const heard = this.contacts.watch(order.endpoint.id)
     const onSignal = (): void => attempt.abandon(request.exchange.left.aborted ? 'the caller left' : 'its time is over')
     const millisecondsLeft = request.endsAt - this.clock.now()
     const added = this.codec.write({
@@ -77,7 +77,7 @@
     this.logger.debug('A request was sent.', {
       request: request.facts.requestId,
       endpoint: order.endpoint.id,
-      tries: order.earlierTries + 1,
+      tries: order.earlierAttempts + 1,
       adapter: request.facts.adapter?.key,
       adapterVersion: order.adapterVersion,
       after: order.lastEventId,
@@ -94,14 +94,14 @@
       body: request.body
     }, heard.through(sink)).then((end) => {
       request.signal.removeEventListener('abort', onSignal)
-      pool.giveBack(connection, end.kind === 'whole' && attempt.reusable, this.clock.now())
+      pool.release(connection, end.kind === 'whole' && attempt.reusable, this.clock.now())
       this.metrics.attemptEnded(request.service.name, end.kind)
       this.logger.debug('A try ended.', {
-        request: request.facts.requestId, endpoint: order.endpoint.id, end: end.kind, reason: end.kind === 'whole' ? undefined : end.reason, ...attempt.traits, ...heard.traits
+        request: request.facts.requestId, endpoint: order.endpoint.id, end: end.kind, reason: end.kind === 'whole' ? undefined : end.reason, ...attempt.logFields, ...heard.logFields
       })
       if (attempt.wasSent) this.quarantine.sent(request)
       if (attempt.lostConnection) this.quarantine.lost(request, order.endpoint, this.clock.now() - sentAt)
-      this.quarantine.tried(request)
+      this.quarantine.attemptFinished(request)
       return end
     })
     request.signal.addEventListener('abort', onSignal)
@@ -123,7 +123,7 @@
   forget (endpoint: EndpointId): void {
     this.connections.get(endpoint)?.pool.close()
     this.connections.delete(endpoint)
-    this.silences.forget(endpoint)
+    this.contacts.forget(endpoint)
   }
 
   /** Closes connections that were idle for a while. */
--- a/packages/ingress/src/relay/event-splitter.ts
+++ b/packages/ingress/src/relay/event-splitter.ts
@@ -1,7 +1,7 @@
 /** Cuts an event stream into whole events, so that half an event never reaches a caller. */
 
 /** One or more whole events. */
-export interface WholeEvent {
+export interface CompleteEvent {
   /** The bytes as they came, blank line included. */
   readonly bytes: Buffer
   /** The event's id; undefined when it has none. */
@@ -24,14 +24,14 @@
   }
 
   /** Whether the stream holds more than an event may. */
-  get isOverfull (): boolean {
+  get exceedsEventLimit (): boolean {
     return this.rest.length > MOST_EVENT_BYTES
   }
 
   /** @returns the events that are whole with this chunk */
-  take (chunk: Buffer): WholeEvent[] {
+  append (chunk: Buffer): CompleteEvent[] {
     const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
-    const events: WholeEvent[] = []
+    const events: CompleteEvent[] = []
     let start = 0
     for (let end = endOfEvent(bytes, start); end !== -1; end = endOfEvent(bytes, start)) {
       const event = bytes.subarray(start, end)
--- a/packages/ingress/src/relay/failover-search.ts
+++ b/packages/ingress/src/relay/failover-search.ts
@@ -6,7 +6,7 @@
   private readonly search: (ending: AbortSignal) => Promise<FoundEngine | undefined>
   private readonly onFound: () => void
   private ending: AbortController | undefined
-  private looking: Promise<void> = Promise.resolve()
+  private pendingSearch: Promise<void> = Promise.resolve()
   private found: FoundEngine | undefined
   private ended = false
 
@@ -24,8 +24,8 @@
     if (this.ended || this.ending !== undefined || this.found !== undefined) return
     const ending = new AbortController()
     this.ending = ending
-    this.looking = this.look(ending)
-    this.looking.catch(() => {
+    this.pendingSearch = this.runSearch(ending)
+    this.pendingSearch.catch(() => {
       // A fault of the search is told at the end of the try; until then the stream stays where it is.
     })
   }
@@ -40,11 +40,11 @@
   async end (): Promise<FoundEngine | undefined> {
     this.ended = true
     this.stop()
-    await this.looking
+    await this.pendingSearch
     return this.found
   }
 
-  private async look (ending: AbortController): Promise<void> {
+  private async runSearch (ending: AbortController): Promise<void> {
     const engine = await this.search(ending.signal).finally(() => {
       if (this.ending === ending) this.ending = undefined
     })
--- a/packages/ingress/src/relay/request-codec.ts
+++ b/packages/ingress/src/relay/request-codec.ts
@@ -44,7 +44,7 @@
 }
 
 /** What the headers of an answer say. */
-export interface AnswerFacts {
+export interface ResponseFacts {
   /** The request that it answers. */
   readonly requestId: string | undefined
   /** Whether the endpoint itself made it. */
@@ -67,5 +67,5 @@
   abstract write (facts: SendFacts): string[]
 
   /** Reads an answer's status and headers, names in lower case. */
-  abstract readAnswer (status: number, headers: Record<string, string | string[] | undefined>): AnswerFacts
+  abstract readResponse (status: number, headers: Record<string, string | string[] | undefined>): ResponseFacts
 }
--- a/packages/ingress/src/relay/routed-listener.ts
+++ b/packages/ingress/src/relay/routed-listener.ts
@@ -32,7 +32,7 @@
 }
 
 /** What the listener needs. */
-export interface RoutedListenerParts {
+export interface RoutedListenerDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly codec: RequestCodec
@@ -47,13 +47,13 @@
 
 /** The listener for callers. */
 export class RoutedListener {
-  private readonly parts: RoutedListenerParts
+  private readonly parts: RoutedListenerDependencies
   private readonly server: Server
   private inProgress = 0
   private stopping = false
   private refusing = false
 
-  constructor (parts: RoutedListenerParts) {
+  constructor (parts: RoutedListenerDependencies) {
     this.parts = parts
     // The library's request listener would read and write bodies through web streams; a relay passes bytes, and
     // headers as they came, so it takes the server's own objects.
@@ -85,7 +85,7 @@
   }
 
   /** Takes no new connections, closes idle ones, and refuses what still comes on the others. */
-  takeNoMore (): void {
+  stopAccepting (): void {
     this.refusing = true
     this.server.close()
     this.server.closeIdleConnections()
@@ -101,7 +101,7 @@
     const cameAt = this.parts.clock.now()
     this.inProgress += 1
     if (this.stopping) outgoing.setHeader('connection', 'close')
-    outgoing.on('finish', () => this.endKeptConnection(incoming))
+    outgoing.on('finish', () => this.closeKeptAliveConnection(incoming))
     const exchange = new CallerExchange(incoming, outgoing)
     try {
       await this.route(exchange, cameAt)
@@ -118,7 +118,7 @@
    * An answer that began before the stop did not ask its caller to leave. Were its connection kept, the caller's next
    * request would come on it at any time until the process is gone.
    */
-  private endKeptConnection (incoming: IncomingMessage): void {
+  private closeKeptAliveConnection (incoming: IncomingMessage): void {
     if (this.stopping) incoming.socket.destroySoon()
   }
 
@@ -153,9 +153,9 @@
         configurationVersion: inForce.configuration.version,
         method: incoming.method ?? 'GET',
         target,
-        headers: exchange.headersToSend((name) => codec.isSystemHeader(name)),
+        headers: exchange.headersForEndpoint((name) => codec.isSystemHeader(name)),
         body: body.value,
-        cameAt,
+        arrivedAt: cameAt,
         endsAt,
         signal: ending.signal
       })
@@ -171,16 +171,16 @@
     if (error !== undefined) return this.refuseQuarantined(request, error)
     const relay = request.route.kind === 'stream' ? streams : services
     try {
-      this.note(request, await relay.relay(request))
+      this.logOutcome(request, await relay.relay(request))
     } finally {
-      this.parts.quarantine.tried(request)
+      this.parts.quarantine.attemptFinished(request)
     }
   }
 
   /** It waits for no endpoint and has none load its adapter. */
   private refuseQuarantined (request: RoutedRequest, error: LimpetwinchError): void {
     request.exchange.refuse(error)
-    this.note(request, { outcome: 'refused', error, tries: 0 })
+    this.logOutcome(request, { outcome: 'refused', error, tries: 0 })
   }
 
   private serviceOf (route: Route, inForce: ConfigurationInForce): Service | undefined {
@@ -194,13 +194,13 @@
     this.parts.logger.info('A request was refused before it had a route.', { request, error: error.code, configuration: this.parts.configuration.version, ...error.details })
   }
 
-  private note (request: RoutedRequest, outcome: RelayOutcome): void {
+  private logOutcome (request: RoutedRequest, outcome: RelayOutcome): void {
     const { clock, logger, metrics } = this.parts
-    const milliseconds = clock.now() - request.cameAt
+    const milliseconds = clock.now() - request.arrivedAt
     const { route, facts } = request
     metrics.requestEnded(route.name, outcome.outcome, outcome.error?.kind ?? 'none', milliseconds)
     if (outcome.firstEventMilliseconds !== undefined) metrics.firstEventCame(route.name, outcome.firstEventMilliseconds, outcome.loadStallMilliseconds ?? 0)
-    logger.info(SENTENCES[outcome.outcome], {
+    logger.info(LOG_MESSAGES[outcome.outcome], {
       request: facts.requestId,
       route: route.name,
       adapter: facts.adapter?.key,
@@ -218,7 +218,7 @@
   }
 }
 
-const SENTENCES: Readonly<Record<RelayOutcome['outcome'], string>> = {
+const LOG_MESSAGES: Readonly<Record<RelayOutcome['outcome'], string>> = {
   answered: 'A request was answered.',
   refused: 'A request was refused.',
   cut: 'An answer was cut.',
--- a/packages/ingress/src/relay/routed-request.ts
+++ b/packages/ingress/src/relay/routed-request.ts
@@ -18,7 +18,7 @@
   readonly headers: readonly string[]
   readonly body: Buffer | undefined
   /** Monotonic time at which the request came. */
-  readonly cameAt: number
+  readonly arrivedAt: number
   /** Monotonic time at which it is given up: the caller's deadline or the route's timeout, whichever is first. */
   readonly endsAt: number
   /** Ends at that time, or when the caller leaves. */
--- a/packages/ingress/src/relay/service-relay.ts
+++ b/packages/ingress/src/relay/service-relay.ts
@@ -4,30 +4,30 @@
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
 import type { RetryBudgets } from '../retries/retry-budgets.js'
 import type { Endpoint } from '../routes/configuration.js'
-import type { LoadBoard } from '../routing/load-board.js'
+import type { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
 import type { ServiceRouter } from '../routing/service-router.js'
-import type { AnswerHead, AttemptEnd } from './attempt.js'
+import type { ResponseHead, AttemptEnd } from './attempt.js'
 import type { EndpointSenders } from './endpoint-senders.js'
-import { TryRecord } from './final-errors.js'
+import { AttemptRecord } from './attempt-record.js'
 import type { RelayOutcome } from './relay-outcome.js'
 import type { RoutedRequest } from './routed-request.js'
 
 /** Answers are held in memory until they are whole, since a cut one must not reach the caller. */
-const MOST_ANSWER_BYTES = 8 * 1024 * 1024
+const MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024
 /** Tries that prove that nothing ran still cost their time; after so many the service is taken to be full. */
-const MOST_SENDS = 4
+const MAXIMUM_SENDS = 4
 /** A safe request that has no answer after this part of its objective is tried elsewhere while that still helps. */
-const SHARE_OF_OBJECTIVE = 0.9
+const PATIENCE_OBJECTIVE_SHARE = 0.9
 /** Places come free within a fraction of a second. */
 const RETRY_AFTER_SECONDS = 0.25
 const FIRST_SERVER_ERROR = 500
 
 /** What the relay needs. */
-export interface ServiceRelayParts {
+export interface ServiceRelayDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly router: ServiceRouter
-  readonly board: LoadBoard
+  readonly workTracker: EndpointWorkTracker
   readonly senders: EndpointSenders
   readonly errors: ErrorRates
   readonly budgets: RetryBudgets
@@ -35,19 +35,19 @@
   readonly random: () => number
 }
 
-interface TryResult {
+interface AttemptResult {
   readonly end: AttemptEnd
-  readonly head: AnswerHead | undefined
+  readonly head: ResponseHead | undefined
   readonly body: Buffer
   /** Where it is tried next, when it was given up for that. */
   readonly replacement: Endpoint | undefined
 }
 
 /** How one try is made. */
-interface TryPlan {
+interface AttemptPlan {
   readonly endpoint: Endpoint
   /** Endpoints that it was sent to before. */
-  readonly earlierTries: number
+  readonly earlierAttempts: number
   /** When to look for another endpoint, milliseconds; undefined for never. */
   readonly patience: number | undefined
   /** @returns another endpoint that may be sent to */
@@ -56,9 +56,9 @@
 
 /** Relays one request at a time for each call of `relay`. */
 export class ServiceRelay {
-  private readonly parts: ServiceRelayParts
+  private readonly parts: ServiceRelayDependencies
 
-  constructor (parts: ServiceRelayParts) {
+  constructor (parts: ServiceRelayDependencies) {
     this.parts = parts
   }
 
@@ -66,16 +66,16 @@
   async relay (request: RoutedRequest): Promise<RelayOutcome> {
     const { route, exchange, signal } = request
     const tried = new Set<EndpointId>()
-    const record = new TryRecord()
+    const record = new AttemptRecord()
     const { quarantine } = this.parts
     const next = (): Endpoint | undefined => quarantine.isUnsuspected(request) ? this.nextEndpoint(request, tried, NONE) : undefined
     let refusal: LimpetwinchError | undefined
     let runs = 0
-    let kept: TryResult | undefined
+    let kept: AttemptResult | undefined
     let replacement: Endpoint | undefined
     let left: EndpointId | undefined
-    for (let sends = 0; sends < MOST_SENDS && !signal.aborted; sends++) {
-      const endpoint = replacement ?? this.nextEndpoint(request, tried, quarantine.avoided(request))
+    for (let sends = 0; sends < MAXIMUM_SENDS && !signal.aborted; sends++) {
+      const endpoint = replacement ?? this.nextEndpoint(request, tried, quarantine.endpointsToAvoid(request))
       if (endpoint === undefined) break
       const admission = await quarantine.admit(request, endpoint.id)
       if (admission.kind === 'elsewhere') continue
@@ -84,11 +84,11 @@
         break
       }
       tried.add(endpoint.id)
-      const patience = sends + 1 < MOST_SENDS ? this.patience(request, runs) : undefined
-      const result = await this.tryOn(request, { endpoint, earlierTries: sends, patience, next })
+      const patience = sends + 1 < MAXIMUM_SENDS ? this.patience(request, runs) : undefined
+      const result = await this.attemptOn(request, { endpoint, earlierAttempts: sends, patience, next })
       replacement = result.replacement
       if (exchange.left.aborted) break
-      const verdict = this.judge(request, result, endpoint, record)
+      const verdict = this.classify(request, result, endpoint, record)
       if (verdict === 'deliver' || (verdict === 'server-error' && route.kind !== 'safe')) return deliver(request, result, sends + 1)
       if (verdict === 'server-error') kept = result
       // The endpoint that was left may still answer where the one that was to do so refuses.
@@ -105,8 +105,8 @@
     return { outcome: 'refused', error, tries: tried.size }
   }
 
-  private finalError ({ signal }: RoutedRequest, record: TryRecord, refusal: LimpetwinchError | undefined): LimpetwinchError {
-    if (refusal !== undefined && !record.isUnknown) return refusal
+  private finalError ({ signal }: RoutedRequest, record: AttemptRecord, refusal: LimpetwinchError | undefined): LimpetwinchError {
+    if (refusal !== undefined && !record.isOutcomeUnknown) return refusal
     return signal.aborted ? record.timeoutError(RETRY_AFTER_SECONDS) : record.finalError(RETRY_AFTER_SECONDS)
   }
 
@@ -125,19 +125,19 @@
     return undefined
   }
 
-  private async tryOn (request: RoutedRequest, { endpoint, earlierTries, patience, next }: TryPlan): Promise<TryResult> {
-    const { clock, board, senders } = this.parts
+  private async attemptOn (request: RoutedRequest, { endpoint, earlierAttempts: earlierTries, patience, next }: AttemptPlan): Promise<AttemptResult> {
+    const { clock, workTracker: board, senders } = this.parts
     const ticket = board.begin(endpoint.id, { prefillTokens: 0, memoryTokens: 0, adapter: undefined })
     const chunks: Buffer[] = []
     let bytes = 0
-    let head: AnswerHead | undefined
+    let head: ResponseHead | undefined
     let replacement: Endpoint | undefined
-    const inHand = board.inHand(endpoint.id, clock.now()).requests
-    const sending = senders.send(request, { endpoint, lastEventId: undefined, adapterVersion: undefined, earlierTries, grounds: { inHand } }, {
+    const inHand = board.outstanding(endpoint.id, clock.now()).requests
+    const sending = senders.send(request, { endpoint, lastEventId: undefined, adapterVersion: undefined, earlierAttempts: earlierTries, grounds: { inHand } }, {
       head: (answer) => { head = answer },
       data: (chunk) => {
         bytes += chunk.length
-        if (bytes > MOST_ANSWER_BYTES) return sending.attempt.abandon('the answer is too large')
+        if (bytes > MAXIMUM_RESPONSE_BYTES) return sending.attempt.abandon('the answer is too large')
         chunks.push(chunk)
       }
     })
@@ -158,13 +158,13 @@
 
   /** @returns how long to wait before trying elsewhere, milliseconds; undefined to wait to the end */
   private patience (request: RoutedRequest, runs: number): number | undefined {
-    const { route, cameAt } = request
+    const { route, arrivedAt: cameAt } = request
     if (route.kind !== 'safe' || runs + 1 >= route.mostAttempts) return undefined
-    const left = cameAt + route.objectiveMilliseconds * SHARE_OF_OBJECTIVE - this.parts.clock.now()
+    const left = cameAt + route.objectiveMilliseconds * PATIENCE_OBJECTIVE_SHARE - this.parts.clock.now()
     return Math.max(route.objectiveMilliseconds / 2, left)
   }
 
-  private judge (request: RoutedRequest, { end, head }: TryResult, endpoint: Endpoint, record: TryRecord): 'deliver' | 'server-error' | 'not-run' | 'unknown' {
+  private classify (request: RoutedRequest, { end, head }: AttemptResult, endpoint: Endpoint, record: AttemptRecord): 'deliver' | 'server-error' | 'not-run' | 'unknown' {
     const { senders, errors, quarantine } = this.parts
     if (end.kind === 'not-sent') {
       senders.observe(endpoint.id, 'failed', end.reason)
@@ -198,7 +198,7 @@
 const CALLER_LEFT = 'the caller left'
 const NONE: ReadonlySet<EndpointId> = new Set()
 
-function deliver (request: RoutedRequest, result: TryResult, tries: number): RelayOutcome {
+function deliver (request: RoutedRequest, result: AttemptResult, tries: number): RelayOutcome {
   if (result.head === undefined) return { outcome: 'caller-left', tries }
   request.exchange.answer(result.head, result.body)
   return { outcome: 'answered', status: result.head.status, tries }
--- a/packages/ingress/src/relay/stream-try.ts
+++ b/packages/ingress/src/relay/stream-attempt.ts
@@ -1,9 +1,9 @@
 /** One try of a stream on one engine: hands whole events to the caller and watches for silence. */
 import type { Clock } from '@limpetwinch/core'
 import { EventSpacing } from '@limpetwinch/decisions'
-import type { AnswerHead, AttemptSink } from './attempt.js'
+import type { ResponseHead, AttemptSink } from './attempt.js'
 import type { CallerExchange } from './caller-exchange.js'
-import type { Sending } from './endpoint-senders.js'
+import type { RunningAttempt } from './endpoint-senders.js'
 import { EventSplitter } from './event-splitter.js'
 
 /** Engines make an event every few milliseconds; a stream that stands still for so long may have lost its engine. */
@@ -24,28 +24,28 @@
 }
 
 /** How a try ended. */
-export type StreamTryResult =
+export type StreamAttemptResult =
   | { readonly kind: 'whole' }
   /** The engine answered with something else than a stream. */
-  | { readonly kind: 'other-answer', readonly head: AnswerHead, readonly body: Buffer }
+  | { readonly kind: 'other-answer', readonly head: ResponseHead, readonly body: Buffer }
   | { readonly kind: 'not-sent', readonly reason: string }
   | { readonly kind: 'broken', readonly reason: string }
 
 /** Watches for an engine that says nothing. Silence alone ends no try: the run may be paused and go on. */
-export interface QuietWatch {
+export interface IdleWatch {
   /** How long the first event may take before the engine counts as quiet, milliseconds. */
   readonly firstMilliseconds: number
   /** Called again and again while the engine is quiet. */
-  readonly onQuiet: () => void
+  readonly onIdle: () => void
   /** Called with each event. */
-  readonly onHeard: () => void
+  readonly onEvent: () => void
 }
 
 /** One try. */
-export class StreamTry {
+export class StreamAttempt {
   private readonly exchange: CallerExchange
   private readonly progress: StreamProgress
-  private readonly quietWatch: QuietWatch | undefined
+  private readonly quietWatch: IdleWatch | undefined
   private readonly clock: Clock
   private readonly onFirstEvent: () => void
   /** How far apart its events came. */
@@ -53,11 +53,11 @@
   private readonly splitter = new EventSplitter()
   private readonly otherBody: Buffer[] = []
   private otherBytes = 0
-  private head: AnswerHead | undefined
-  private sending: Sending | undefined
+  private head: ResponseHead | undefined
+  private sending: RunningAttempt | undefined
   private watchdog: NodeJS.Timeout | undefined
   private watchdogMilliseconds = 0
-  private secondLook: NodeJS.Immediate | undefined
+  private idleCheck: NodeJS.Immediate | undefined
   private hasEvents = false
   private ended = false
   private fault: string | undefined
@@ -69,7 +69,7 @@
    * @param clock - for the time of the first event
    * @param onFirstEvent - called once
    */
-  constructor (exchange: CallerExchange, progress: StreamProgress, quietWatch: QuietWatch | undefined, clock: Clock, onFirstEvent: () => void) {
+  constructor (exchange: CallerExchange, progress: StreamProgress, quietWatch: IdleWatch | undefined, clock: Clock, onFirstEvent: () => void) {
     this.exchange = exchange
     this.progress = progress
     this.quietWatch = quietWatch
@@ -81,8 +81,8 @@
    * @param send - sends the request
    * @returns how it ended
    */
-  async run (send: (sink: AttemptSink) => Sending): Promise<StreamTryResult> {
-    this.sending = send({ head: (head) => { this.head = head }, data: (chunk) => this.take(chunk) })
+  async run (send: (sink: AttemptSink) => RunningAttempt): Promise<StreamAttemptResult> {
+    this.sending = send({ head: (head) => { this.head = head }, data: (chunk) => this.handleChunk(chunk) })
     this.watch(this.quietWatch?.firstMilliseconds)
     const end = await this.sending.ended
     this.ended = true
@@ -98,7 +98,7 @@
     return head !== undefined && head.facts.signed && head.status >= OK && head.status < MULTIPLE_CHOICES
   }
 
-  private finish (): StreamTryResult {
+  private finish (): StreamAttemptResult {
     const { head } = this
     if (head === undefined) return { kind: 'broken', reason: 'an answer without a beginning' }
     if (!this.isStream) {
@@ -107,18 +107,18 @@
     }
     // An end in the middle of an event is a cut, whatever the framing says.
     if (!this.splitter.isBetweenEvents) return { kind: 'broken', reason: 'the stream ended within an event' }
-    this.exchange.begin(head)
+    this.exchange.beginResponse(head)
     this.exchange.end()
     return { kind: 'whole' }
   }
 
-  private take (chunk: Buffer): void {
-    if (!this.isStream) return this.takeOther(chunk)
-    const events = this.splitter.take(chunk)
-    if (this.splitter.isOverfull) return this.giveUp('an event without an end')
+  private handleChunk (chunk: Buffer): void {
+    if (!this.isStream) return this.handleOtherChunk(chunk)
+    const events = this.splitter.append(chunk)
+    if (this.splitter.exceedsEventLimit) return this.fail('an event without an end')
     if (events.length === 0) return
-    this.quietWatch?.onHeard()
-    this.noteGap()
+    this.quietWatch?.onEvent()
+    this.recordGap()
     if (!this.hasEvents) this.firstEvent()
     let takesMore = true
     for (const event of events) {
@@ -131,7 +131,7 @@
     else this.watch(GAP_MILLISECONDS)
   }
 
-  private noteGap (): void {
+  private recordGap (): void {
     const now = this.clock.now()
     const { lastEventAt } = this.progress
     if (lastEventAt !== undefined) this.progress.longestGap = Math.max(this.progress.longestGap, now - lastEventAt)
@@ -142,7 +142,7 @@
   private firstEvent (): void {
     this.hasEvents = true
     this.progress.firstEventAt ??= this.clock.now()
-    if (this.head !== undefined) this.exchange.begin(this.head)
+    if (this.head !== undefined) this.exchange.beginResponse(this.head)
     this.onFirstEvent()
   }
 
@@ -151,9 +151,9 @@
     return Number(id) <= last
   }
 
-  private takeOther (chunk: Buffer): void {
+  private handleOtherChunk (chunk: Buffer): void {
     this.otherBytes += chunk.length
-    if (this.otherBytes > MOST_OTHER_BYTES) return this.giveUp('the answer is too large')
+    if (this.otherBytes > MOST_OTHER_BYTES) return this.fail('the answer is too large')
     this.otherBody.push(chunk)
   }
 
@@ -176,15 +176,15 @@
     }
     this.stopWatching()
     this.watchdogMilliseconds = milliseconds
-    this.watchdog = setTimeout(() => { this.lookAgain(quietWatch) }, milliseconds)
+    this.watchdog = setTimeout(() => { this.checkIdle(quietWatch) }, milliseconds)
   }
 
   /** After a standstill of this process timers come before what waits on its connections; only what is still quiet then is. */
-  private lookAgain (quietWatch: QuietWatch): void {
+  private checkIdle (quietWatch: IdleWatch): void {
     const { lastEventAt } = this.progress
-    this.secondLook = setImmediate(() => {
+    this.idleCheck = setImmediate(() => {
       if (this.progress.lastEventAt !== lastEventAt) return
-      quietWatch.onQuiet()
+      quietWatch.onIdle()
       this.watchdog?.refresh()
     })
   }
@@ -192,12 +192,12 @@
   /** A timer that was cleared cannot be refreshed, so none is kept. */
   private stopWatching (): void {
     clearTimeout(this.watchdog)
-    clearImmediate(this.secondLook)
+    clearImmediate(this.idleCheck)
     this.watchdog = undefined
   }
 
   /** Ends the try. @param reason - for the log and the caller */
-  giveUp (reason: string): void {
+  fail (reason: string): void {
     this.fault = reason
     this.sending?.attempt.abandon(reason)
   }
--- a/packages/ingress/src/relay/stream-relay.ts
+++ b/packages/ingress/src/relay/stream-relay.ts
@@ -6,23 +6,23 @@
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
 import type { RetryBudgets } from '../retries/retry-budgets.js'
 import type { FirstEventForecast } from '../routing/first-event-forecast.js'
-import type { LoadBoard } from '../routing/load-board.js'
-import type { PrefixMemory } from '../routing/prefix-memory.js'
+import type { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
+import type { PrefixCacheEstimate } from '../routing/prefix-cache-estimate.js'
 import type { EndpointSenders } from './endpoint-senders.js'
 import type { RelayOutcome } from './relay-outcome.js'
 import { RelayedStream } from './relayed-stream.js'
 import type { RoutedRequest } from './routed-request.js'
 
 /** What the relay needs. */
-export interface StreamRelayParts {
+export interface StreamRelayDependencies {
   readonly clock: Clock
   readonly logger: Logger
-  readonly seeker: EngineFinder
+  readonly engineFinder: EngineFinder
   readonly locations: AdapterLocations
-  readonly board: LoadBoard
+  readonly workTracker: EndpointWorkTracker
   readonly forecast: FirstEventForecast
   readonly speeds: EngineSpeeds
-  readonly prefixes: PrefixMemory
+  readonly prefixes: PrefixCacheEstimate
   readonly senders: EndpointSenders
   readonly budgets: RetryBudgets
   readonly quarantine: RequestQuarantine
@@ -32,9 +32,9 @@
 
 /** Relays one request at a time for each call of `relay`. */
 export class StreamRelay {
-  private readonly parts: StreamRelayParts
+  private readonly parts: StreamRelayDependencies
 
-  constructor (parts: StreamRelayParts) {
+  constructor (parts: StreamRelayDependencies) {
     this.parts = parts
   }
 
--- a/packages/ingress/src/routing/load-board.ts
+++ b/packages/ingress/src/routing/endpoint-work-tracker.ts
@@ -3,10 +3,10 @@
 import type { AdapterKey } from '../routes/configuration.js'
 
 /** A peer's word counts for so long; one that stopped speaking must not weigh on an endpoint for ever. */
-const PEER_WORD_MILLISECONDS = 5_000
+const PEER_REPORT_MILLISECONDS = 5_000
 
 /** What an endpoint has in hand. */
-export interface WorkInHand {
+export interface OutstandingWork {
   readonly requests: number
   /** Prompt tokens that wait to be read. */
   readonly prefillTokens: number
@@ -29,13 +29,13 @@
   readonly sent: Map<AdapterKey, number>
 }
 
-interface PeerWord {
-  readonly heardAt: number
+interface PeerReport {
+  readonly receivedAt: number
   readonly loads: readonly RelayedLoad[]
 }
 
 /** What all peers together have on one endpoint. */
-interface PeerSums {
+interface PeerTotals {
   requests: number
   prefillTokens: number
   memoryTokens: number
@@ -52,12 +52,12 @@
 }
 
 /** Work in hand by endpoint. */
-export class LoadBoard {
+export class EndpointWorkTracker {
   private readonly own = new Map<EndpointId, OwnWork>()
   /** By who said it, the oldest word first. */
-  private readonly peers = new Map<InstanceId, PeerWord>()
+  private readonly peers = new Map<InstanceId, PeerReport>()
   /** Kept up with each word: a router asks for every engine at each request, and there may be hundreds of peers. */
-  private readonly sums = new Map<EndpointId, PeerSums>()
+  private readonly peerTotals = new Map<EndpointId, PeerTotals>()
   private readonly releaseListeners: ((endpoint: EndpointId) => void)[] = []
   private readonly useListeners: ((endpoint: EndpointId, key: AdapterKey, uses: number) => void)[] = []
 
@@ -98,10 +98,10 @@
   }
 
   /** @returns the work of all instances on an endpoint */
-  inHand (endpoint: EndpointId, now: number): WorkInHand {
-    this.dropOldWords(now)
+  outstanding (endpoint: EndpointId, now: number): OutstandingWork {
+    this.dropExpiredReports(now)
     const own = this.own.get(endpoint)
-    const peers = this.sums.get(endpoint)
+    const peers = this.peerTotals.get(endpoint)
     return {
       requests: (own?.requests ?? 0) + (peers?.requests ?? 0),
       prefillTokens: (own?.prefillTokens ?? 0) + (peers?.prefillTokens ?? 0),
@@ -116,25 +116,25 @@
 
   /** @returns requests of all instances that use the adapter on the endpoint now */
   running (endpoint: EndpointId, key: AdapterKey, now: number): number {
-    this.dropOldWords(now)
-    return (this.own.get(endpoint)?.running.get(key) ?? 0) + (this.sums.get(endpoint)?.running.get(key) ?? 0)
+    this.dropExpiredReports(now)
+    return (this.own.get(endpoint)?.running.get(key) ?? 0) + (this.peerTotals.get(endpoint)?.running.get(key) ?? 0)
   }
 
   /** @returns the number of adapters that requests of any instance use on the endpoint now */
   adaptersInUse (endpoint: EndpointId, now: number): number {
-    this.dropOldWords(now)
+    this.dropExpiredReports(now)
     const own = this.own.get(endpoint)?.running
-    const peers = this.sums.get(endpoint)?.running
+    const peers = this.peerTotals.get(endpoint)?.running
     let count = peers?.size ?? 0
     for (const key of own?.keys() ?? []) if (peers?.has(key) !== true) count += 1
     return count
   }
 
   /** Takes a peer's digest. */
-  take (from: InstanceId, loads: readonly RelayedLoad[], now: number): void {
+  applyPeerReport (from: InstanceId, loads: readonly RelayedLoad[], now: number): void {
     this.forgetPeer(from)
-    this.peers.set(from, { heardAt: now, loads })
-    for (const load of loads) this.addToSums(load, 1)
+    this.peers.set(from, { receivedAt: now, loads })
+    for (const load of loads) this.addToTotals(load, 1)
     for (const load of loads) {
       for (const [key, , sent] of load.adapters) {
         if (sent > 0) for (const listener of this.useListeners) listener(load.endpoint, key as AdapterKey, sent)
@@ -144,7 +144,7 @@
 
   /** Forgets a peer that is gone. */
   forgetPeer (instance: InstanceId): void {
-    for (const load of this.peers.get(instance)?.loads ?? []) this.addToSums(load, -1)
+    for (const load of this.peers.get(instance)?.loads ?? []) this.addToTotals(load, -1)
     this.peers.delete(instance)
   }
 
@@ -173,24 +173,24 @@
     return loads
   }
 
-  private dropOldWords (now: number): void {
-    for (const [instance, { heardAt }] of this.peers) {
-      if (now - heardAt < PEER_WORD_MILLISECONDS) return
+  private dropExpiredReports (now: number): void {
+    for (const [instance, { receivedAt: heardAt }] of this.peers) {
+      if (now - heardAt < PEER_REPORT_MILLISECONDS) return
       this.forgetPeer(instance)
     }
   }
 
   /** @param sign - 1 to add, -1 to take away */
-  private addToSums (load: RelayedLoad, sign: 1 | -1): void {
-    const sums = this.sums.get(load.endpoint) ?? { requests: 0, prefillTokens: 0, memoryTokens: 0, running: new Map() }
-    this.sums.set(load.endpoint, sums)
-    sums.requests += sign * load.requests
-    sums.prefillTokens += sign * load.prefillTokens
-    sums.memoryTokens += sign * load.memoryTokens
+  private addToTotals (load: RelayedLoad, sign: 1 | -1): void {
+    const peerTotals = this.peerTotals.get(load.endpoint) ?? { requests: 0, prefillTokens: 0, memoryTokens: 0, running: new Map() }
+    this.peerTotals.set(load.endpoint, peerTotals)
+    peerTotals.requests += sign * load.requests
+    peerTotals.prefillTokens += sign * load.prefillTokens
+    peerTotals.memoryTokens += sign * load.memoryTokens
     for (const [key, running] of load.adapters) {
-      const sum = (sums.running.get(key) ?? 0) + sign * running
-      if (sum > 0) sums.running.set(key, sum)
-      else sums.running.delete(key)
+      const sum = (peerTotals.running.get(key) ?? 0) + sign * running
+      if (sum > 0) peerTotals.running.set(key, sum)
+      else peerTotals.running.delete(key)
     }
   }
 
--- a/packages/ingress/src/routing/engine-router.ts
+++ b/packages/ingress/src/routing/engine-router.ts
@@ -7,8 +7,8 @@
 import type { RequestFacts } from '../relay/request-codec.js'
 import type { AdapterKey, Endpoint, EngineShape, ModelName, Service } from '../routes/configuration.js'
 import type { FirstEventForecast } from './first-event-forecast.js'
-import type { LoadBoard } from './load-board.js'
-import type { PrefixMemory } from './prefix-memory.js'
+import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
+import type { PrefixCacheEstimate } from './prefix-cache-estimate.js'
 
 /** Bytes between data centres are priced and slower; two equal engines are told apart by this. */
 const REMOTE_MILLISECONDS = 12
@@ -20,7 +20,7 @@
  * What a load from the weight store costs beyond its time: the store hands out a limited number of adapters a second to all
  * engines, so each fetch takes one from another request. An engine that caches the adapter is worth waiting for.
  */
-const STORE_LOAD_WORTH_MILLISECONDS = 400
+const STORE_LOAD_COST_MILLISECONDS = 400
 /** A slot in use is free again in about this time: the run of a short answer. */
 const RUN_MILLISECONDS = 600
 /** Spreads adapters that lie nowhere yet, the same way on all instances. */
@@ -28,7 +28,7 @@
 /** A further copy takes a slot and a load: it is asked for only when it saves a request this much. */
 const COPY_GAIN_MILLISECONDS = 400
 /** Further copies of one adapter are asked for at most so often: the last one shows its effect before. */
-const COPY_PAUSE_MILLISECONDS = 500
+const COPY_INTERVAL_MILLISECONDS = 500
 /**
  * While an engine reads a long prompt its streams stand still; above their longest pause each of them is late, which costs
  * its caller as much as half a second or more of waiting would. Not all of them see the pause: some end before it.
@@ -56,12 +56,12 @@
 /** Each request that runs on an engine makes another one's answer that much longer; it tells holders of one adapter apart. */
 const RUNNING_MILLISECONDS = 3
 /** A run that a crash of the engine would end costs its caller a whole answer. */
-const ENDANGERED_MILLISECONDS = 1_000
+const CRASH_RISK_MILLISECONDS = 1_000
 /** Adapters with a copy asked for that are remembered. */
-const MOST_COPY_TIMES = 5_000
+const MAXIMUM_COPY_TIMES = 5_000
 
 /** What an engine is looked for. */
-export interface EngineQuestion {
+export interface EngineQuery {
   readonly service: Service
   readonly facts: RequestFacts
   /** The longest pause that streams bear. */
@@ -86,13 +86,13 @@
 }
 
 /** What the router looks at. */
-export interface EngineRouterParts {
+export interface EngineRouterDependencies {
   readonly directory: EndpointDirectory
   readonly locations: AdapterLocations
-  readonly board: LoadBoard
+  readonly workTracker: EndpointWorkTracker
   readonly forecast: FirstEventForecast
   readonly speeds: EngineSpeeds
-  readonly prefixes: PrefixMemory
+  readonly prefixes: PrefixCacheEstimate
   readonly ejection: OutlierEjection
   readonly dataCentre: string
   /** @returns the least adapter version that a new request may begin on */
@@ -100,27 +100,27 @@
   /** @returns milliseconds that a load from the weight store takes now */
   readonly loadMilliseconds: () => number
   /** @returns whether somebody is there to order the engine's loads */
-  readonly isOrdered: (endpoint: EndpointId) => boolean
+  readonly hasLoadOwner: (endpoint: EndpointId) => boolean
 }
 
 /** Chooses engines. */
 export class EngineRouter {
-  private readonly parts: EngineRouterParts
-  private readonly copiesAsked = new Map<AdapterKey, number>()
+  private readonly parts: EngineRouterDependencies
+  private readonly copyRequestTimes = new Map<AdapterKey, number>()
 
-  constructor (parts: EngineRouterParts) {
+  constructor (parts: EngineRouterDependencies) {
     this.parts = parts
   }
 
   /** @returns the engine that holds the adapter and is fastest; undefined when none holds it */
-  choose (question: EngineQuestion, now: number): EngineChoice | undefined {
+  choose (question: EngineQuery, now: number): EngineChoice | undefined {
     const shape = question.service.engine
     if (shape === undefined || question.facts.adapter === undefined) return undefined
     let best: EngineChoice | undefined
     let least = Infinity
     for (const endpoint of this.holders(question, now)) {
-      const choice = this.weigh(endpoint, shape, question.facts, now)
-      const running = this.parts.board.inHand(endpoint.id, now).requests * (question.isolated === true ? ENDANGERED_MILLISECONDS : RUNNING_MILLISECONDS)
+      const choice = this.estimate(endpoint, shape, question.facts, now)
+      const running = this.parts.workTracker.outstanding(endpoint.id, now).requests * (question.isolated === true ? CRASH_RISK_MILLISECONDS : RUNNING_MILLISECONDS)
       const cost = choice.forecastMilliseconds + running + this.pauseCost(endpoint, choice.uncachedTokens, question.gapMilliseconds, now)
       if (cost >= least) continue
       best = choice
@@ -135,8 +135,8 @@
    *
    * @param bias - milliseconds by which an engine seems slower or faster to the asker than to all others
    */
-  chooseForLoad (question: EngineQuestion, bias: (endpoint: EndpointId) => number, now: number): LoadChoice | undefined {
-    const { locations, isOrdered } = this.parts
+  chooseForLoad (question: EngineQuery, bias: (endpoint: EndpointId) => number, now: number): LoadChoice | undefined {
+    const { locations, hasLoadOwner: isOrdered } = this.parts
     const { service, facts, excluded, gapMilliseconds } = question
     const shape = service.engine
     if (shape === undefined || facts.adapter === undefined) return undefined
@@ -156,21 +156,21 @@
   }
 
   /** @returns an engine for a further copy when the best holder is slow and another would be faster; undefined mostly */
-  chooseForCopy (question: EngineQuestion, best: EngineChoice, now: number): LoadChoice | undefined {
+  chooseForCopy (question: EngineQuery, best: EngineChoice, now: number): LoadChoice | undefined {
     const { facts } = question
     const { adapter } = facts
     const shape = question.service.engine
     if (adapter === undefined || adapter.name === undefined || shape === undefined) return undefined
     const crowded = this.isCrowded(question, best.endpoint, shape, now)
     if (!crowded && best.forecastMilliseconds < COPY_GAIN_MILLISECONDS + this.parts.loadMilliseconds()) return undefined
-    if (now - (this.copiesAsked.get(adapter.key) ?? -Infinity) < COPY_PAUSE_MILLISECONDS) return undefined
+    if (now - (this.copyRequestTimes.get(adapter.key) ?? -Infinity) < COPY_INTERVAL_MILLISECONDS) return undefined
     const load = this.chooseForLoad({ ...question, excluded: NONE }, unbiased, now)
     if (load === undefined) return undefined
-    const there = this.weigh(load.endpoint, shape, facts, now).forecastMilliseconds + this.parts.loadMilliseconds()
+    const there = this.estimate(load.endpoint, shape, facts, now).forecastMilliseconds + this.parts.loadMilliseconds()
     const relieves = crowded && !this.isAboveMean(question.service, load.endpoint, now)
     if (!relieves && there + COPY_GAIN_MILLISECONDS > best.forecastMilliseconds) return undefined
-    if (this.copiesAsked.size > MOST_COPY_TIMES) this.copiesAsked.clear()
-    this.copiesAsked.set(adapter.key, now)
+    if (this.copyRequestTimes.size > MAXIMUM_COPY_TIMES) this.copyRequestTimes.clear()
+    this.copyRequestTimes.set(adapter.key, now)
     return load
   }
 
@@ -178,29 +178,29 @@
   shortestWait (service: Service, now: number): number {
     let least = Infinity
     for (const { id } of this.usableEngines(service, NONE, now)) {
-      if (this.parts.isOrdered(id)) least = Math.min(least, this.parts.locations.line(id)?.waitMilliseconds ?? 0)
+      if (this.parts.hasLoadOwner(id)) least = Math.min(least, this.parts.locations.line(id)?.waitMilliseconds ?? 0)
     }
     return least + this.parts.loadMilliseconds()
   }
 
-  private isCrowded ({ service, facts }: EngineQuestion, endpoint: Endpoint, shape: EngineShape, now: number): boolean {
-    const { board } = this.parts
-    const { requests } = board.inHand(endpoint.id, now)
+  private isCrowded ({ service, facts }: EngineQuery, endpoint: Endpoint, shape: EngineShape, now: number): boolean {
+    const { workTracker: board } = this.parts
+    const { requests } = board.outstanding(endpoint.id, now)
     if (facts.adapter === undefined || requests < shape.batchSlots * CROWDED_SHARE_OF_BATCH) return false
     if (requests < this.meanRequests(service, now) * CROWDED_SHARE_OF_MEAN) return false
     return board.running(endpoint.id, facts.adapter.key, now) >= CROWDED_RUNS
   }
 
   private isAboveMean (service: Service, endpoint: Endpoint, now: number): boolean {
-    return this.parts.board.inHand(endpoint.id, now).requests > this.meanRequests(service, now)
+    return this.parts.workTracker.outstanding(endpoint.id, now).requests > this.meanRequests(service, now)
   }
 
   private meanRequests (service: Service, now: number): number {
     const engines = this.parts.directory.servable(service.name)
-    return engines.reduce((sum, { id }) => sum + this.parts.board.inHand(id, now).requests, 0) / Math.max(1, engines.length)
+    return engines.reduce((sum, { id }) => sum + this.parts.workTracker.outstanding(id, now).requests, 0) / Math.max(1, engines.length)
   }
 
-  private holders ({ service, facts, excluded }: EngineQuestion, now: number): Endpoint[] {
+  private holders ({ service, facts, excluded }: EngineQuery, now: number): Endpoint[] {
     const { locations, leastVersion } = this.parts
     const { adapter } = facts
     if (adapter === undefined) return []
@@ -217,12 +217,12 @@
     return this.parts.ejection.usable(engines, now).map(({ entry }) => entry).filter((endpoint) => !excluded.has(endpoint.id))
   }
 
-  private weigh (endpoint: Endpoint, shape: EngineShape, facts: RequestFacts, now: number): EngineChoice {
-    const { board, forecast, prefixes, ejection, dataCentre } = this.parts
+  private estimate (endpoint: Endpoint, shape: EngineShape, facts: RequestFacts, now: number): EngineChoice {
+    const { workTracker: board, forecast, prefixes, ejection, dataCentre } = this.parts
     const key = facts.adapter?.key
-    const kept = key === undefined ? 0 : prefixes.keptTokens(endpoint.id, key, facts.promptParts)
+    const kept = key === undefined ? 0 : prefixes.cachedTokens(endpoint.id, key, facts.promptParts)
     const uncachedTokens = Math.max(0, facts.promptTokens - kept)
-    const inHand = board.inHand(endpoint.id, now)
+    const inHand = board.outstanding(endpoint.id, now)
     const memoryTokens = facts.promptTokens + facts.outputTokens
     const expected = forecast.milliseconds(endpoint.id, shape, inHand, uncachedTokens, memoryTokens)
     const remote = endpoint.dataCentre === dataCentre ? 0 : REMOTE_MILLISECONDS
@@ -232,10 +232,10 @@
 
   /** @returns what it costs others on the engine that a prompt of so many tokens is read there now, in milliseconds of waiting */
   private pauseCost (endpoint: Endpoint, tokens: number, gapMilliseconds: number, now: number): number {
-    const { speeds, board } = this.parts
+    const { speeds, workTracker: board } = this.parts
     const alone = speeds.prefillMilliseconds(endpoint.id, tokens) / gapMilliseconds
     if (alone < SHORT_PROMPT_SHARE) return 0
-    const { requests, prefillTokens } = board.inHand(endpoint.id, now)
+    const { requests, prefillTokens } = board.outstanding(endpoint.id, now)
     if (alone >= PAUSE_SHARE) return requests * PAUSED_STREAM_MILLISECONDS
     const joint = Math.min(1, speeds.prefillMilliseconds(endpoint.id, prefillTokens + tokens) / gapMilliseconds)
     return requests * JOINT_PAUSE_MILLISECONDS * joint ** 2
@@ -243,12 +243,12 @@
 
   /** @returns milliseconds until the adapter could be used there, with what the load takes from others on top */
   private loadCost (endpoint: Endpoint, shape: EngineShape, key: AdapterKey, storeMilliseconds: number, now: number): number {
-    const { board, forecast, locations, dataCentre, ejection, leastVersion } = this.parts
-    const reading = forecast.milliseconds(endpoint.id, shape, board.inHand(endpoint.id, now), 0, 0)
+    const { workTracker: board, forecast, locations, dataCentre, ejection, leastVersion } = this.parts
+    const reading = forecast.milliseconds(endpoint.id, shape, board.outstanding(endpoint.id, now), 0, 0)
     const line = locations.line(endpoint.id)
     // Joining a load that others wait for takes nothing more from the weight store.
     const joins = line?.waiting.has(key) === true
-    const storeWorth = joins ? 0 : STORE_LOAD_WORTH_MILLISECONDS
+    const storeWorth = joins ? 0 : STORE_LOAD_COST_MILLISECONDS
     const travel = locations.isCached(endpoint.id, key, leastVersion(key, now)) ? CACHED_LOAD_MILLISECONDS : storeMilliseconds + storeWorth
     const idleSlots = shape.adapterSlots - board.adaptersInUse(endpoint.id, now) - locations.inFlight.countFor(endpoint.id)
     const slots = idleSlots > 0 ? 0 : RUN_MILLISECONDS / shape.adapterSlots * (1 - idleSlots)
--- a/packages/ingress/src/routing/first-event-forecast.ts
+++ b/packages/ingress/src/routing/first-event-forecast.ts
@@ -2,18 +2,18 @@
 import type { EndpointId } from '@limpetwinch/core'
 import type { EngineSpeeds } from '@limpetwinch/decisions'
 import type { EngineShape } from '../routes/configuration.js'
-import type { WorkInHand } from './load-board.js'
+import type { OutstandingWork } from './endpoint-work-tracker.js'
 
 /** Taking up a request, the first step of the batch and the way back. */
-const LEAST_MILLISECONDS = 60
+const BASE_MILLISECONDS = 60
 /** A request that finds the batch or the memory full waits about as long as a running one still takes. */
-const FULL_MILLISECONDS = 600
+const FULL_ENGINE_WAIT_MILLISECONDS = 600
 /** Part of the memory that may be filled before new requests are taken to wait. */
 const FULL_MEMORY_SHARE = 0.92
 /** Weight of the newest observation. */
 const SMOOTHING = 0.15
-const SLOWEST = 10
-const FASTEST = 0.5
+const MAXIMUM_SLOWNESS = 10
+const MINIMUM_SLOWNESS = 0.5
 
 /** Forecasts for all engines. */
 export class FirstEventForecast {
@@ -33,18 +33,18 @@
    * @param memoryTokens - that the request takes
    * @returns milliseconds to the first event
    */
-  milliseconds (endpoint: EndpointId, shape: EngineShape, inHand: WorkInHand, uncachedTokens: number, memoryTokens: number): number {
+  milliseconds (endpoint: EndpointId, shape: EngineShape, inHand: OutstandingWork, uncachedTokens: number, memoryTokens: number): number {
     const reading = this.speeds.prefillMilliseconds(endpoint, inHand.prefillTokens + uncachedTokens)
     const full = inHand.requests >= shape.batchSlots || inHand.memoryTokens + memoryTokens > shape.memoryTokens * FULL_MEMORY_SHARE
-    const expected = LEAST_MILLISECONDS + reading + (full ? FULL_MILLISECONDS : 0)
+    const expected = BASE_MILLISECONDS + reading + (full ? FULL_ENGINE_WAIT_MILLISECONDS : 0)
     return expected * (this.slowness.get(endpoint) ?? 1)
   }
 
   /** Compares a forecast with what came. @param readTokens - of the prompt and of those before it */
   observe (endpoint: EndpointId, forecast: number, observed: number, readTokens: number): void {
-    this.speeds.recordPrefill(endpoint, readTokens, observed - LEAST_MILLISECONDS)
+    this.speeds.recordPrefill(endpoint, readTokens, observed - BASE_MILLISECONDS)
     const before = this.slowness.get(endpoint) ?? 1
-    const ratio = Math.min(SLOWEST, Math.max(FASTEST, observed / Math.max(1, forecast / before)))
+    const ratio = Math.min(MAXIMUM_SLOWNESS, Math.max(MINIMUM_SLOWNESS, observed / Math.max(1, forecast / before)))
     this.slowness.set(endpoint, before + SMOOTHING * (ratio - before))
   }
 
--- a/packages/ingress/src/routing/prefix-memory.ts
+++ b/packages/ingress/src/routing/prefix-cache-estimate.ts
@@ -5,18 +5,18 @@
 import type { AdapterKey } from '../routes/configuration.js'
 
 /** Part of an engine's memory that kept prompts are taken to have; the rest is in use by running requests. */
-const KEPT_SHARE = 0.6
+const CACHE_SHARE = 0.6
 
 /** Guesses by engine. A wrong guess costs the reading of a part, not an answer. */
-export class PrefixMemory {
+export class PrefixCacheEstimate {
   private readonly byEndpoint = new Map<EndpointId, LRUCache<string, true>>()
 
   /** Notes that an engine has read a prompt. */
-  remember (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[], memoryTokens: number): void {
+  recordPrompt (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[], memoryTokens: number): void {
     if (memoryTokens <= 0) return
     let kept = this.byEndpoint.get(endpoint)
     if (kept === undefined) {
-      kept = new LRUCache({ maxSize: Math.max(1, Math.floor(memoryTokens * KEPT_SHARE)) })
+      kept = new LRUCache({ maxSize: Math.max(1, Math.floor(memoryTokens * CACHE_SHARE)) })
       this.byEndpoint.set(endpoint, kept)
     }
     let chain: string = adapter
@@ -27,7 +27,7 @@
   }
 
   /** @returns tokens of the prompt's beginning that need not be read again */
-  keptTokens (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[]): number {
+  cachedTokens (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[]): number {
     const kept = this.byEndpoint.get(endpoint)
     if (kept === undefined) return 0
     let chain: string = adapter
--- a/packages/ingress/src/routing/service-router.ts
+++ b/packages/ingress/src/routing/service-router.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '@limpetwinch/core'
 import type { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import type { Endpoint, ServiceName } from '../routes/configuration.js'
-import type { LoadBoard } from './load-board.js'
+import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 
 /** Part of a slot that nearness is worth: an endpoint elsewhere is taken when it has that much more room. */
 const REMOTE_SLOTS = 0.6
@@ -15,12 +15,12 @@
 /** Chooses endpoints of plain services. */
 export class ServiceRouter {
   private readonly directory: EndpointDirectory
-  private readonly board: LoadBoard
+  private readonly board: EndpointWorkTracker
   private readonly ejection: OutlierEjection
   private readonly errors: ErrorRates
   private readonly dataCentre: string
 
-  constructor (directory: EndpointDirectory, board: LoadBoard, ejection: OutlierEjection, errors: ErrorRates, dataCentre: string) {
+  constructor (directory: EndpointDirectory, board: EndpointWorkTracker, ejection: OutlierEjection, errors: ErrorRates, dataCentre: string) {
     this.directory = directory
     this.board = board
     this.ejection = ejection
@@ -54,6 +54,6 @@
     const remote = endpoint.dataCentre === this.dataCentre ? 0 : REMOTE_SLOTS
     const penalty = PENALTY_SLOTS * this.ejection.penalty(endpoint.id, now)
     const conspicuous = this.errors.isOutlier(endpoint.id, all) ? CONSPICUOUS_SLOTS : 0
-    return (this.board.inHand(endpoint.id, now).requests + remote + penalty + conspicuous) / endpoint.slots
+    return (this.board.outstanding(endpoint.id, now).requests + remote + penalty + conspicuous) / endpoint.slots
   }
 }
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -30,8 +30,8 @@
 import type { AdapterKey, Endpoint, ModelName, ServiceName } from '../routes/configuration.js'
 import { EngineRouter } from '../routing/engine-router.js'
 import { FirstEventForecast } from '../routing/first-event-forecast.js'
-import { LoadBoard } from '../routing/load-board.js'
-import { PrefixMemory } from '../routing/prefix-memory.js'
+import { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
+import { PrefixCacheEstimate } from '../routing/prefix-cache-estimate.js'
 import { ServiceRouter } from '../routing/service-router.js'
 import { WorkDigests } from '../routing/work-digests.js'
 import type { IngressPlatform } from './ingress-platform.js'
@@ -81,10 +81,10 @@
   private readonly reading: StoreReading
   private readonly locations = new AdapterLocations()
   private readonly storePace = new WeightStoreLimiter(() => this.engineCount())
-  private readonly board = new LoadBoard()
+  private readonly board = new EndpointWorkTracker()
   private readonly speeds = new EngineSpeeds()
   private readonly forecast = new FirstEventForecast(this.speeds)
-  private readonly prefixes = new PrefixMemory()
+  private readonly prefixes = new PrefixCacheEstimate()
   private readonly ejection = new OutlierEjection(EJECTION)
   private readonly errors = new ErrorRates()
   private readonly policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 1_500, loadsPerSecond: 30 })
@@ -147,7 +147,7 @@
     const router = new EngineRouter({
       directory: this.directory,
       locations: this.locations,
-      board: this.board,
+      workTracker: this.board,
       forecast: this.forecast,
       speeds: this.speeds,
       prefixes: this.prefixes,
@@ -155,7 +155,7 @@
       dataCentre: settings.dataCentre,
       leastVersion: (key, now) => this.versions.leastUsable(key, now),
       loadMilliseconds: () => this.storePace.expectedMilliseconds(this.locations.inFlight.count(this.clock.now())),
-      isOrdered: (endpoint) => this.duty.loadOwnerOf(endpoint) !== undefined
+      hasLoadOwner: (endpoint) => this.duty.loadOwnerOf(endpoint) !== undefined
     })
     this.seeker = new EngineFinder({
       clock: this.clock,
@@ -308,7 +308,7 @@
     const services = new ServiceRelay({
       clock,
       logger,
-      board,
+      workTracker: board,
       senders,
       errors: this.errors,
       budgets,
@@ -319,11 +319,11 @@
     const streams = new StreamRelay({
       clock,
       logger,
-      board,
+      workTracker: board,
       senders,
       budgets,
       quarantine,
-      seeker: this.seeker,
+      engineFinder: this.seeker,
       locations: this.locations,
       forecast: this.forecast,
       speeds: this.speeds,
@@ -414,7 +414,7 @@
       isHub: this.overlay.isHub ? 1 : 0,
       leaves: this.overlay.leafCount,
       peerFrames: this.network.counts(),
-      accusedRequests: this.quarantine.quarantine.counts.accused,
+      accusedRequests: this.quarantine.quarantine.counts.implicated,
       quarantinedRequests: this.quarantine.quarantine.counts.verdicts
     }
   }
--- a/packages/ingress/src/runtime/peer-talk.ts
+++ b/packages/ingress/src/runtime/peer-talk.ts
@@ -11,7 +11,7 @@
 import type { LoadOwnership } from '../adapters/load-ownership.js'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { AdapterKey } from '../routes/configuration.js'
-import type { LoadBoard } from '../routing/load-board.js'
+import type { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
 import type { WorkDigests } from '../routing/work-digests.js'
 
 /** Who speaks and who listens. */
@@ -20,7 +20,7 @@
   readonly network: PeerLinks
   readonly overlay: PeerOverlay
   readonly clock: Clock
-  readonly board: LoadBoard
+  readonly board: EndpointWorkTracker
   readonly digests: WorkDigests
   readonly locations: AdapterLocations
   readonly heldNotices: HeldAdapterNotices
@@ -43,7 +43,7 @@
     const { network, overlay, board, duty, seeker, clock } = this.parts
     board.onReleased((endpoint) => this.tellRelease(endpoint))
     network.onNotice('relay-load', (from, frame) => {
-      board.take(from, frame.loads, clock.now())
+      board.applyPeerReport(from, frame.loads, clock.now())
       duty.runsEnded()
     })
     network.onNotice('adapters-held', (from, frame) => {
@@ -96,7 +96,7 @@
    */
   private objectToEviction (holder: InstanceId, endpoint: EndpointId, hidden: readonly AdapterKey[]): void {
     const { board, digests } = this.parts
-    if (hidden.some((key) => board.ownRunning(endpoint, key) > 0)) digests.tell(holder)
+    if (hidden.some((key) => board.ownRunning(endpoint, key) > 0)) digests.send(holder)
   }
 
   /** A slot may be free where loads wait for one. */
@@ -104,7 +104,7 @@
     const { locations, duty, digests, self } = this.parts
     const holder = locations.line(endpoint)?.waiting.size === 0 ? undefined : duty.loadOwnerOf(endpoint)
     if (holder === self) duty.loader(endpoint)?.runsEnded()
-    else if (holder !== undefined) digests.tellSoon(holder)
+    else if (holder !== undefined) digests.sendSoon(holder)
   }
 }
 
--- a/packages/ingress/src/runtime/stop-in-order.ts
+++ b/packages/ingress/src/runtime/stop-in-order.ts
@@ -26,10 +26,10 @@
   logger.info('This instance stops.', { inProgress: listener.requestsInProgress, graceMilliseconds })
   listener.startStopping()
   await clock.sleep(Math.min(ROTATION_MILLISECONDS, graceMilliseconds / 2))
-  listener.takeNoMore()
+  listener.stopAccepting()
   while (listener.requestsInProgress > 0 && clock.now() < lastMoment) {
     await clock.sleep(LOOK_MILLISECONDS)
-    listener.takeNoMore()
+    listener.stopAccepting()
   }
   logger.info('No more requests are served.', { cutOff: listener.requestsInProgress, milliseconds: Math.round(clock.now() - startedAt) })
   listener.destroy()
--- a/packages/ingress/test/crash-detector.failure.test.ts
+++ b/packages/ingress/test/crash-detector.failure.test.ts
@@ -1,7 +1,7 @@
 // An answer that breaks off: did the endpoint crash, or only this connection?
 import { silentLogger, SystemClock } from '@limpetwinch/core'
 import { afterEach, describe, expect, it } from 'vitest'
-import { CrashDetector, lifeOf } from '../src/quarantine/crash-detector.js'
+import { CrashDetector, incarnationOf } from '../src/quarantine/crash-detector.js'
 import { fingerprintOf } from '../src/quarantine/fingerprint.js'
 import { IngressUnderTest } from './support/ingress-under-test.js'
 import { RawEndpoint, silence, stream } from './support/raw-endpoint.js'
@@ -23,10 +23,10 @@
     raw = await RawEndpoint.start(silence)
     const detector = new CrashDetector(new SystemClock(), silentLogger())
     const alive = endpoint('alive', { address: raw.address })
-    expect(await detector.hasCrashed({ endpoint: alive, life: lifeOf(alive) })).toBe(false)
+    expect(await detector.hasCrashed({ endpoint: alive, life: incarnationOf(alive) })).toBe(false)
     raw.stop()
     const crashed = endpoint('crashed', { address: alive.address })
-    expect(await detector.hasCrashed({ endpoint: crashed, life: lifeOf(crashed) })).toBe(true)
+    expect(await detector.hasCrashed({ endpoint: crashed, life: incarnationOf(crashed) })).toBe(true)
   })
 
   // Guards against a crash that costs a connection for each answer that it broke off.
@@ -37,7 +37,7 @@
       return 'refused'
     })
     const crashed = endpoint('crashed')
-    const seen = await Promise.all([1, 2, 3].map(async () => await detector.hasCrashed({ endpoint: crashed, life: lifeOf(crashed) })))
+    const seen = await Promise.all([1, 2, 3].map(async () => await detector.hasCrashed({ endpoint: crashed, life: incarnationOf(crashed) })))
     expect({ seen, probes }).toEqual({ seen: [true, true, true], probes: 1 })
   })
 
--- a/packages/ingress/test/endpoint-loader.failure.test.ts
+++ b/packages/ingress/test/endpoint-loader.failure.test.ts
@@ -12,7 +12,7 @@
 import { EndpointLoader } from '../src/adapters/endpoint-loader.js'
 import { ModelLoadRateLimiter } from '../src/adapters/model-load-rate-limiter.js'
 import { WeightStoreLimiter } from '../src/adapters/weight-store-limiter.js'
-import { LoadBoard } from '../src/routing/load-board.js'
+import { EndpointWorkTracker } from '../src/routing/endpoint-work-tracker.js'
 import { SimulatedEngine } from './support/simulated-engine.js'
 import type { OrderFate } from './support/simulated-engine.js'
 import { SimulatedEngineControl } from './support/simulated-engine-control.js'
@@ -30,7 +30,7 @@
   readonly engine: SimulatedEngine
   readonly loader: EndpointLoader
   readonly locations: AdapterLocations
-  readonly board: LoadBoard
+  readonly board: EndpointWorkTracker
   readonly stop: () => Promise<void>
 }
 
@@ -55,7 +55,7 @@
 function start (engine: SimulatedEngine, newest: ReadonlyMap<string, number> = new Map(), adapterSlots = 2, storePace = new WeightStoreLimiter(() => ENGINES)): Run {
   const clock = new SystemClock()
   const locations = new AdapterLocations()
-  const board = new LoadBoard()
+  const board = new EndpointWorkTracker()
   const subject = endpoint('engine')
   const loader = new EndpointLoader(subject, 7 as FencingToken, engineShape({ adapterSlots }), {
     control: new SimulatedEngineControl(engine),
--- a/packages/ingress/test/load-board.failure.test.ts
+++ b/packages/ingress/test/endpoint-work-tracker.failure.test.ts
@@ -4,18 +4,18 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { EndpointId, InstanceId, RelayedLoad } from '@limpetwinch/core'
-import { LoadBoard } from '../src/routing/load-board.js'
+import { EndpointWorkTracker } from '../src/routing/endpoint-work-tracker.js'
 import { key } from './support/samples.js'
 
 const ENGINE = 'e' as EndpointId
 
-function begin (board: LoadBoard, name: string): () => void {
+function begin (board: EndpointWorkTracker, name: string): () => void {
   return board.begin(ENGINE, { prefillTokens: 10, memoryTokens: 20, adapter: key(name) }).ended
 }
 
 describe('work in hand', () => {
   it('tells when the last own run of an adapter has ended, and only then', () => {
-    const board = new LoadBoard()
+    const board = new EndpointWorkTracker()
     const released: EndpointId[] = []
     board.onReleased((endpoint) => released.push(endpoint))
     const [first, second] = [begin(board, 'x'), begin(board, 'x')]
@@ -27,7 +27,7 @@
   })
 
   it('tells one peer what runs without taking uses from the digest for all', () => {
-    const board = new LoadBoard()
+    const board = new EndpointWorkTracker()
     begin(board, 'x')
     const present = board.present()[0]?.adapters
     expect([present, board.digest()[0]?.adapters]).toEqual([[['base/x', 1, 0]], [['base/x', 1, 1]]])
@@ -45,17 +45,17 @@
     })
     const told = fc.record({ peer: fc.constantFrom('p', 'q', 'r'), after: fc.nat(3_000), loads: fc.uniqueArray(load, { selector: ({ endpoint }) => endpoint }) })
     fc.assert(fc.property(fc.array(told, { maxLength: 20 }), (words) => {
-      const board = new LoadBoard()
+      const board = new EndpointWorkTracker()
       const last = new Map<string, { readonly at: number, readonly loads: readonly RelayedLoad[] }>()
       let now = 0
       for (const { peer, after, loads } of words) {
         now += after
-        board.take(peer as InstanceId, loads, now)
+        board.applyPeerReport(peer as InstanceId, loads, now)
         last.set(peer, { at: now, loads })
       }
       const there = [...last.values()].filter(({ at }) => now - at < 5_000).flatMap(({ loads }) => loads).filter(({ endpoint }) => endpoint === ENGINE)
       const running = there.flatMap(({ adapters }) => adapters).filter(([, count]) => count > 0)
-      expect({ inHand: board.inHand(ENGINE, now), x: board.running(ENGINE, key('x'), now), inUse: board.adaptersInUse(ENGINE, now) }).toEqual({
+      expect({ inHand: board.outstanding(ENGINE, now), x: board.running(ENGINE, key('x'), now), inUse: board.adaptersInUse(ENGINE, now) }).toEqual({
         inHand: {
           requests: sum(there.map(({ requests }) => requests)),
           prefillTokens: sum(there.map(({ prefillTokens }) => prefillTokens)),
--- a/packages/ingress/test/engine-router.test.ts
+++ b/packages/ingress/test/engine-router.test.ts
@@ -9,10 +9,10 @@
 import { AdapterLocations } from '../src/adapters/adapter-locations.js'
 import { EndpointDirectory } from '../src/endpoints/endpoint-directory.js'
 import { EngineRouter } from '../src/routing/engine-router.js'
-import type { EngineQuestion } from '../src/routing/engine-router.js'
+import type { EngineQuery } from '../src/routing/engine-router.js'
 import { FirstEventForecast } from '../src/routing/first-event-forecast.js'
-import { LoadBoard } from '../src/routing/load-board.js'
-import { PrefixMemory } from '../src/routing/prefix-memory.js'
+import { EndpointWorkTracker } from '../src/routing/endpoint-work-tracker.js'
+import { PrefixCacheEstimate } from '../src/routing/prefix-cache-estimate.js'
 import type { RequestFacts } from '../src/relay/request-codec.js'
 import { endpoint, engineShape, key, service, LOAD_OWNER } from './support/samples.js'
 
@@ -49,7 +49,7 @@
 function routerFor (states: Readonly<Record<string, State>>): EngineRouter {
   const directory = new EndpointDirectory(silentLogger())
   const locations = new AdapterLocations()
-  const board = new LoadBoard()
+  const board = new EndpointWorkTracker()
   const speeds = new EngineSpeeds()
   const endpoints = Object.keys(states).map((id) => endpoint(id, { service: 'engines' }))
   directory.apply({ revision: 1, endpoints }, undefined, NOW)
@@ -67,11 +67,11 @@
   }
   const ejection = new OutlierEjection({ failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, recoveryMilliseconds: 4_000, minimumUsableShare: 0.25 })
   return new EngineRouter({
-    directory, locations, board, ejection, forecast: new FirstEventForecast(speeds), speeds, prefixes: new PrefixMemory(), dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, isOrdered: () => true
+    directory, locations, workTracker: board, ejection, forecast: new FirstEventForecast(speeds), speeds, prefixes: new PrefixCacheEstimate(), dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, hasLoadOwner: () => true
   })
 }
 
-function question (promptTokens = 100): EngineQuestion {
+function question (promptTokens = 100): EngineQuery {
   return { service: ENGINES, facts: facts(promptTokens), gapMilliseconds: 400, excluded: new Set() }
 }
 
--- a/packages/ingress/test/event-splitter.test.ts
+++ b/packages/ingress/test/event-splitter.test.ts
@@ -13,7 +13,7 @@
       const read: { id: string | undefined, text: string }[] = []
       for (let at = 0; at < bytes.length;) {
         const length = lengths.next().value as number
-        read.push(...splitter.take(bytes.subarray(at, at + length)).map(({ id, bytes: whole }) => ({ id, text: whole.toString() })))
+        read.push(...splitter.append(bytes.subarray(at, at + length)).map(({ id, bytes: whole }) => ({ id, text: whole.toString() })))
         at += length
       }
       expect(read).toEqual(events.map(({ id }, index) => ({ id: String(id), text: texts[index] })))
@@ -23,13 +23,13 @@
 
   it('keeps back an event without its end', () => {
     const splitter = new EventSplitter()
-    expect(splitter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n')).map(({ id }) => id)).toEqual(['1'])
+    expect(splitter.append(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n')).map(({ id }) => id)).toEqual(['1'])
     expect(splitter.isBetweenEvents).toBe(false)
   })
 
   it('says when a stream has lost its form', () => {
     const splitter = new EventSplitter()
-    splitter.take(Buffer.alloc(1_100_000, 'x'))
-    expect(splitter.isOverfull).toBe(true)
+    splitter.append(Buffer.alloc(1_100_000, 'x'))
+    expect(splitter.exceedsEventLimit).toBe(true)
   })
 })
--- a/packages/ingress/test/trial-claims.failure.test.ts
+++ b/packages/ingress/test/isolated-run-claims.failure.test.ts
@@ -4,7 +4,7 @@
 import { joinFingerprint } from '@limpetwinch/decisions'
 import type { FingerprintPrefix } from '@limpetwinch/decisions'
 import { describe, expect, it } from 'vitest'
-import { TrialClaims } from '../src/quarantine/trial-claims.js'
+import { IsolatedRunClaims } from '../src/quarantine/isolated-run-claims.js'
 
 const SUSPECTED = joinFingerprint('suspected' as FingerprintPrefix, 'body')
 const OTHER = joinFingerprint('other' as FingerprintPrefix, 'body')
@@ -14,18 +14,18 @@
 const LASTS_MILLISECONDS = 200
 
 /** Instances whose words reach each other a moment later. */
-function instances (...names: string[]): Map<string, TrialClaims> {
-  const all = new Map<string, TrialClaims>()
+function instances (...names: string[]): Map<string, IsolatedRunClaims> {
+  const all = new Map<string, IsolatedRunClaims>()
   for (const name of names) join(all, name)
   return all
 }
 
 /** One more, which has heard nothing. */
-function join (all: Map<string, TrialClaims>, name: string): void {
+function join (all: Map<string, IsolatedRunClaims>, name: string): void {
   const later = (to: string, frame: RequestTrialFrame): void => {
-    setTimeout(() => all.get(to)?.take(name as InstanceId, frame), TRAVEL_MILLISECONDS)
+    setTimeout(() => all.get(to)?.applyFrame(name as InstanceId, frame), TRAVEL_MILLISECONDS)
   }
-  all.set(name, new TrialClaims({
+  all.set(name, new IsolatedRunClaims({
     self: name as InstanceId,
     clock: new SystemClock(),
     broadcast: (frame) => { for (const other of all.keys()) if (other !== name) later(other, frame) },
@@ -34,7 +34,7 @@
   }))
 }
 
-async function claimAll (all: Map<string, TrialClaims>): Promise<string[]> {
+async function claimAll (all: Map<string, IsolatedRunClaims>): Promise<string[]> {
   const claimed = await Promise.all([...all].map(async ([name, claims]) => await claims.claim(SUSPECTED, ENGINE, LASTS_MILLISECONDS, false) === 'granted' ? [name] : []))
   return claimed.flat()
 }
--- a/packages/ingress/test/load-ownership.failure.test.ts
+++ b/packages/ingress/test/load-ownership.failure.test.ts
@@ -18,7 +18,7 @@
 import { EndpointDirectory } from '../src/endpoints/endpoint-directory.js'
 import { CLUSTER_KIND, decodeClusterObject, loadOwnerPath } from '../src/members/cluster-objects.js'
 import type { MemberList } from '../src/members/member-list.js'
-import { LoadBoard } from '../src/routing/load-board.js'
+import { EndpointWorkTracker } from '../src/routing/endpoint-work-tracker.js'
 import { ManualClock } from './support/manual-clock.js'
 import { endpoint, engineShape, key, route, service } from './support/samples.js'
 import { SimulatedEngine } from './support/simulated-engine.js'
@@ -98,7 +98,7 @@
     clock,
     logger,
     locations: new AdapterLocations(),
-    workTracker: new LoadBoard(),
+    workTracker: new EndpointWorkTracker(),
     policy: new StallEvictionPolicy(),
     modelLoadLimiter: new ModelLoadRateLimiter(clock, () => 1),
     storeLimiter: new WeightStoreLimiter(() => 13),
--- a/packages/ingress/test/quarantine-fleet.failure.test.ts
+++ b/packages/ingress/test/quarantine-fleet.failure.test.ts
@@ -85,7 +85,7 @@
     await this.pass(SETTLED_MILLISECONDS)
     if ((await admission).kind !== 'granted') return false
     quarantine.lost(request, engine, CRASHED_AFTER_MILLISECONDS)
-    quarantine.tried(request)
+    quarantine.attemptFinished(request)
     await this.pass(JUDGED_MILLISECONDS)
     return true
   }
@@ -172,13 +172,13 @@
     const quarantine = fleet.quarantines.get(here)
     const before = crashed
     for (let crash = 0; crash < 2; crash += 1) await fleet.come(here)
-    expect([...quarantine?.avoided(guilty()) ?? []].sort()).toEqual([`engine-${before}`, `engine-${before + 1}`])
+    expect([...quarantine?.endpointsToAvoid(guilty()) ?? []].sort()).toEqual([`engine-${before}`, `engine-${before + 1}`])
     for (let tries = 0; tries < 5; tries += 1) {
       const request = guilty()
       const admission = quarantine?.admit(request, endpoint('engine').id)
       await fleet.pass(SETTLED_MILLISECONDS)
       expect((await admission)?.kind).toBe('granted')
-      quarantine?.tried(request)
+      quarantine?.attemptFinished(request)
       await fleet.pass(SETTLED_MILLISECONDS)
     }
   })
--- a/packages/ingress/test/quarantine-records.failure.test.ts
+++ b/packages/ingress/test/quarantine-records.failure.test.ts
@@ -16,7 +16,7 @@
   const clock = new ManualClock()
   const told: string[] = []
   const records = new QuarantineRecords(store, {
-    takeVerdict: ({ fingerprint, strikes }) => told.push(`${fingerprint} held, ${strikes}`),
+    applyDecision: ({ fingerprint, strikes }) => told.push(`${fingerprint} held, ${strikes}`),
     release: (fingerprint) => told.push(`${fingerprint} released`)
   }, clock, silentLogger())
   const ending = new AbortController()
--- a/packages/ingress/test/relay.failure.test.ts
+++ b/packages/ingress/test/relay.failure.test.ts
@@ -5,7 +5,7 @@
 import { setTimeout as setTimer } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
 import { endpointId, IngressUnderTest } from './support/ingress-under-test.js'
-import type { Behind } from './support/ingress-under-test.js'
+import type { IngressSetup } from './support/ingress-under-test.js'
 import { chunk, endStream, framed, RawEndpoint, silence, stream } from './support/raw-endpoint.js'
 import type { RawAnswer } from './support/raw-endpoint.js'
 import { endpoint, key, route, LOAD_OWNER } from './support/samples.js'
@@ -22,7 +22,7 @@
   return endpoint
 }
 
-async function ingress (behind: Behind): Promise<IngressUnderTest> {
+async function ingress (behind: IngressSetup): Promise<IngressUnderTest> {
   const started = await IngressUnderTest.start(behind)
   ending.push(started)
   return started
@@ -428,7 +428,7 @@
   while (performance.now() < until);
 }
 
-async function bound (behind: Behind): Promise<{ ask: IngressUnderTest['ask'] }> {
+async function bound (behind: IngressSetup): Promise<{ ask: IngressUnderTest['ask'] }> {
   const under = await ingress(behind)
   return { ask: async (...parameters) => await under.ask(...parameters) }
 }
--- a/packages/ingress/test/stopping.failure.test.ts
+++ b/packages/ingress/test/stopping.failure.test.ts
@@ -52,7 +52,7 @@
   it('lets a stream run to its end, and passes nothing on that follows it on its connection', async () => {
     const { under, engine, agent, first, finish } = await stoppingWhileAStreamRuns()
     under.listener.startStopping()
-    under.listener.takeNoMore()
+    under.listener.stopAccepting()
     const next = ask(under.port, agent, '/next')
     finish()
     const { body } = await first
@@ -94,7 +94,7 @@
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
     under.listener.startStopping()
     const told = await ask(under.port, agent, '/a')
-    under.listener.takeNoMore()
+    under.listener.stopAccepting()
     const other = await ask(under.port, agent, '/b')
     agent.destroy()
     expect({ before: told.status, after: other.status === 503 || typeof other.status === 'string', passedOn: engine.requests.length }).toEqual({ before: 200, after: true, passedOn: 2 })
--- a/packages/ingress/test/support/ingress-under-test.ts
+++ b/packages/ingress/test/support/ingress-under-test.ts
@@ -13,7 +13,7 @@
 import { IngressMetrics } from '../../src/observability/ingress-metrics.js'
 import { CrashDetector } from '../../src/quarantine/crash-detector.js'
 import { RequestQuarantine } from '../../src/quarantine/request-quarantine.js'
-import { TrialClaims } from '../../src/quarantine/trial-claims.js'
+import { IsolatedRunClaims } from '../../src/quarantine/isolated-run-claims.js'
 import { EndpointSenders } from '../../src/relay/endpoint-senders.js'
 import { RoutedListener } from '../../src/relay/routed-listener.js'
 import { ServiceRelay } from '../../src/relay/service-relay.js'
@@ -21,8 +21,8 @@
 import { RetryBudgets } from '../../src/retries/retry-budgets.js'
 import { EngineRouter } from '../../src/routing/engine-router.js'
 import { FirstEventForecast } from '../../src/routing/first-event-forecast.js'
-import { LoadBoard } from '../../src/routing/load-board.js'
-import { PrefixMemory } from '../../src/routing/prefix-memory.js'
+import { EndpointWorkTracker } from '../../src/routing/endpoint-work-tracker.js'
+import { PrefixCacheEstimate } from '../../src/routing/prefix-cache-estimate.js'
 import { ServiceRouter } from '../../src/routing/service-router.js'
 import type { Endpoint, HeldAdapter, Route } from '../../src/routes/configuration.js'
 import { endpoint, engineShape, service } from './samples.js'
@@ -32,7 +32,7 @@
 import { TestCodec } from './test-codec.js'
 
 /** What a caller saw. */
-export interface Seen {
+export interface CallerView {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: string
@@ -41,7 +41,7 @@
 }
 
 /** What stands behind the listener. */
-export interface Behind {
+export interface IngressSetup {
   readonly routes: readonly Route[]
   readonly endpoints: readonly { readonly id: string, readonly raw: RawEndpoint, readonly adapters?: readonly HeldAdapter[] }[]
   /** Repeats allowed for each service in a window. */
@@ -62,14 +62,14 @@
   private readonly senders: EndpointSenders
   port = 0
 
-  private constructor (behind: Behind) {
+  private constructor (behind: IngressSetup) {
     const clock = new SystemClock()
     const logger = recordingLogger(this.lines)
     const metrics = new IngressMetrics(() => ({ configurationVersion: 0, storeSilenceSeconds: 0, members: 1, servableEndpoints: 0, droppedLogLines: 0, requestsInProgress: 0, peerConnections: 0, isHub: 1, leaves: 0, peerFrames: {}, accusedRequests: 0, quarantinedRequests: 0 }))
-    const board = new LoadBoard()
+    const board = new EndpointWorkTracker()
     const speeds = new EngineSpeeds()
     const forecast = new FirstEventForecast(speeds)
-    const prefixes = new PrefixMemory()
+    const prefixes = new PrefixCacheEstimate()
     const ejection = new OutlierEjection()
     const codec = new TestCodec()
     const random = (): number => 0
@@ -79,8 +79,8 @@
       logger,
       metrics,
       detector: new CrashDetector(clock, logger),
-      claims: new TrialClaims({ self: 'here' as InstanceId, clock, broadcast: () => {}, notify: () => {}, noticeMilliseconds: () => 1 }),
-      news: { crashed: () => {}, convicted: () => {}, cleared: () => {} },
+      claims: new IsolatedRunClaims({ self: 'here' as InstanceId, clock, broadcast: () => {}, notify: () => {}, noticeMilliseconds: () => 1 }),
+      announcer: { crashed: () => {}, convicted: () => {}, cleared: () => {} },
       findEndpoint: (id) => directory.find(id),
       endpointCount: () => directory.all().length,
       newestVersion: (key) => this.newestVersions.get(key)
@@ -88,13 +88,13 @@
     this.senders = new EndpointSenders(codec, ejection, clock, logger, metrics, quarantine)
     const { senders } = this
     const budgets = new RetryBudgets({ share: 0, slack: (behind.repeats ?? 100) / 0.8, windowMilliseconds: 10_000 }, () => 1)
-    const router = new EngineRouter({ directory, locations, board, forecast, speeds, prefixes, ejection, dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, isOrdered: () => true })
+    const router = new EngineRouter({ directory, locations, workTracker: board, forecast, speeds, prefixes, ejection, dataCentre: 'here', leastVersion: () => 0, loadMilliseconds: () => 270, hasLoadOwner: () => true })
     const seeker = new EngineFinder({
       clock, logger, router, locations, loadOwnerOf: () => 'holder' as InstanceId, requestLoad: (_to, frame) => { this.asked.push(frame) }, leastVersion: () => 0
     })
     const errors = new ErrorRates()
-    const services = new ServiceRelay({ clock, logger, board, senders, errors, budgets, quarantine, random, router: new ServiceRouter(directory, board, ejection, errors, 'here') })
-    const streams = new StreamRelay({ clock, logger, board, senders, budgets, quarantine, seeker, locations, forecast, speeds, prefixes, expectedVersion: () => undefined })
+    const services = new ServiceRelay({ clock, logger, workTracker: board, senders, errors, budgets, quarantine, random, router: new ServiceRouter(directory, board, ejection, errors, 'here') })
+    const streams = new StreamRelay({ clock, logger, workTracker: board, senders, budgets, quarantine, engineFinder: seeker, locations, forecast, speeds, prefixes, expectedVersion: () => undefined })
     this.listener = new RoutedListener({ clock, logger, codec, configuration: this.configuration, budgets, quarantine, metrics, random, streams, services })
     if (behind.routes.length > 0) this.configure(behind.routes)
     directory.apply({ revision: 1, endpoints: behind.endpoints.map((each) => this.sample(each)) }, undefined, 0)
@@ -102,7 +102,7 @@
   }
 
   /** Starts a listener on a free port. */
-  static async start (behind: Behind): Promise<IngressUnderTest> {
+  static async start (behind: IngressSetup): Promise<IngressUnderTest> {
     const started = new IngressUnderTest(behind)
     started.port = await freePort()
     await started.listener.listen('127.0.0.1', started.port)
@@ -120,7 +120,7 @@
   }
 
   /** Sends a request and reads the answer to its end. */
-  async ask (path: string, headers: Record<string, string> = {}, body?: string): Promise<Seen> {
+  async ask (path: string, headers: Record<string, string> = {}, body?: string): Promise<CallerView> {
     return await new Promise((resolve, reject) => {
       const asked = request({ host: '127.0.0.1', port: this.port, path, method: body === undefined ? 'GET' : 'POST', headers: { host: 'listings.example', 'x-request-id': 'one', ...headers }, agent: false }, (answer) => {
         let text = ''
@@ -134,7 +134,7 @@
   }
 
   /** Sends a request, and reads nothing of the answer's body for a while. */
-  async askAndPause (path: string, milliseconds: number, headers: Record<string, string> = {}): Promise<Pick<Seen, 'body' | 'whole'>> {
+  async askAndPause (path: string, milliseconds: number, headers: Record<string, string> = {}): Promise<Pick<CallerView, 'body' | 'whole'>> {
     return await new Promise((resolve, reject) => {
       const asked = request({ host: '127.0.0.1', port: this.port, path, headers: { host: 'listings.example', 'x-request-id': 'one', ...headers }, agent: false }, (answer) => {
         const chunks: Buffer[] = []
@@ -161,7 +161,7 @@
     this.senders.close()
   }
 
-  private sample ({ id, raw, adapters }: Behind['endpoints'][number]): Endpoint {
+  private sample ({ id, raw, adapters }: IngressSetup['endpoints'][number]): Endpoint {
     return endpoint(id, { address: raw.address, service: adapters === undefined ? 'guide' : 'engines', adapters: adapters ?? [] })
   }
 }
--- a/packages/ingress/test/support/test-codec.ts
+++ b/packages/ingress/test/support/test-codec.ts
@@ -1,6 +1,6 @@
 /** A codec for tests, with plain header names. */
 import { adapterKey, RequestCodec } from '@limpetwinch/ingress'
-import type { AnswerFacts, RequestFacts, SendFacts } from '@limpetwinch/ingress'
+import type { ResponseFacts, RequestFacts, SendFacts } from '@limpetwinch/ingress'
 
 /** Reads and writes `x-request-id`, `x-server-signature`, `x-not-run`, `x-adapter`, `x-model`, `x-after`. */
 export class TestCodec extends RequestCodec {
@@ -28,7 +28,7 @@
     return ['x-endpoint', facts.endpoint, 'x-milliseconds', String(Math.floor(facts.millisecondsLeft)), ...after]
   }
 
-  override readAnswer (_status: number, headers: Record<string, string | string[] | undefined>): AnswerFacts {
+  override readResponse (_status: number, headers: Record<string, string | string[] | undefined>): ResponseFacts {
     return {
       requestId: headers['x-request-id'] as string | undefined,
       signed: headers['x-server-signature'] !== undefined,
