--- a/packages/ingress/src/adapters/load-ownership.ts
+++ b/packages/ingress/src/adapters/load-ownership.ts
@@ -2,8 +2,8 @@
 import type { Clock, DeletingObjectStore, EndpointId, InstanceId, Logger } from '@limpetwinch/core'
 import { rendezvousWeight } from '@limpetwinch/decisions'
 import { Backoff } from '@limpetwinch/entry'
-import type { AcceptedConfiguration } from '../beliefs/accepted-configuration.js'
-import type { StoreHealth } from '../beliefs/store-health.js'
+import type { AcceptedConfiguration } from '../cluster-state/accepted-configuration.js'
+import type { StoreHealth } from '../cluster-state/store-health.js'
 import type { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import { loadOwnerPath } from '../members/cluster-objects.js'
 import type { LoadOwner } from '../members/cluster-objects.js'
@@ -297,7 +297,7 @@
     if (this.stopping || now < this.pausedUntil || this.owners.get(holder.endpoint)?.token !== holder.token) return false
     // An endpoint that checks tokens refuses a holder that has lost its place without knowing. One that does not must
     // not hear from it at all, so it stops before anybody else may begin.
-    return fencedEndpoints || health.silence(now) < leaseMilliseconds * STORE_SILENCE_SHARE
+    return fencedEndpoints || health.millisecondsSinceAnswer(now) < leaseMilliseconds * STORE_SILENCE_SHARE
   }
 
   private ownerChanged (holder: LoadOwner): void {
--- a/packages/ingress/src/beliefs/accepted-configuration.ts
+++ b/packages/ingress/src/cluster-state/accepted-configuration.ts
@@ -4,7 +4,7 @@
 import type { Configuration, Service, ServiceName } from '../routes/configuration.js'
 
 /** One accepted state, ready to be looked up in. */
-export interface ConfigurationInForce {
+export interface ActiveConfiguration {
   readonly configuration: Configuration
   readonly table: RouteTable
   readonly services: ReadonlyMap<ServiceName, Service>
@@ -13,8 +13,8 @@
 /** Holds the newest accepted configuration; in one life of the process it never goes back. */
 export class AcceptedConfiguration {
   private readonly logger: Logger
-  private readonly listeners: ((inForce: ConfigurationInForce) => void)[] = []
-  private inForce: ConfigurationInForce | undefined
+  private readonly listeners: ((inForce: ActiveConfiguration) => void)[] = []
+  private inForce: ActiveConfiguration | undefined
 
   /** @param logger - hears of each change */
   constructor (logger: Logger) {
@@ -27,12 +27,12 @@
   }
 
   /** @returns what is in force, or undefined before the first */
-  get current (): ConfigurationInForce | undefined {
+  get current (): ActiveConfiguration | undefined {
     return this.inForce
   }
 
   /** Calls the listener with each newer state. */
-  onChange (listener: (inForce: ConfigurationInForce) => void): void {
+  onChange (listener: (inForce: ActiveConfiguration) => void): void {
     this.listeners.push(listener)
   }
 
--- a/packages/ingress/src/beliefs/adapter-versions.ts
+++ b/packages/ingress/src/cluster-state/adapter-versions.ts
@@ -32,14 +32,14 @@
   }
 
   /** @returns a number that grows with each newer version, for comparing with peers */
-  get stamp (): number {
+  get versionSum (): number {
     let sum = 0
     for (const { version } of this.announced.values()) sum += version
     return sum
   }
 
   /** Calls the listener with each newer version. */
-  onNewer (listener: (key: AdapterKey, version: number) => void): void {
+  onNewVersion (listener: (key: AdapterKey, version: number) => void): void {
     this.listeners.push(listener)
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** @returns the least version that a new request may begin on; 0 allows any */
-  leastUsable (key: AdapterKey, now: number): number {
+  minimumUsable (key: AdapterKey, now: number): number {
     const known = this.announced.get(key)
     if (known === undefined) return 0
     return now - known.heardAt < this.oldCopiesMilliseconds ? known.version - 1 : known.version
--- a/packages/ingress/src/beliefs/cluster-view.ts
+++ b/packages/ingress/src/cluster-state/cluster-view.ts
@@ -3,13 +3,13 @@
 import type { ClusterObject, LoadOwner, Member, StoredQuarantineDecision } from '../members/cluster-objects.js'
 
 /** Hears of each newer state. */
-export type ClusterListener = (objects: SortedClusterObjects, revision: number) => void
+export type ClusterListener = (objects: ClusterObjectsByKind, revision: number) => void
 
 /** All objects by their kind. */
-export interface SortedClusterObjects {
+export interface ClusterObjectsByKind {
   readonly members: readonly Member[]
-  readonly holders: readonly LoadOwner[]
-  readonly verdicts: readonly StoredQuarantineDecision[]
+  readonly loadOwners: readonly LoadOwner[]
+  readonly quarantineDecisions: readonly StoredQuarantineDecision[]
 }
 
 /** Members, holders and verdicts at one revision of the store; it never goes back. */
@@ -63,6 +63,6 @@
     const members = all.flatMap((object) => object.kind === 'member' ? [object.member] : [])
     const holders = all.flatMap((object) => object.kind === 'holder' ? [object.holder] : [])
     const verdicts = all.flatMap((object) => object.kind === 'verdict' ? [object.verdict] : [])
-    this.listener({ members, holders, verdicts }, this.revisionSeen)
+    this.listener({ members, loadOwners: holders, quarantineDecisions: verdicts }, this.revisionSeen)
   }
 }
--- a/packages/ingress/src/beliefs/belief-exchange.ts
+++ b/packages/ingress/src/cluster-state/state-exchange.ts
@@ -27,7 +27,7 @@
 const LONGEST_WATCH_MILLISECONDS = 3_500
 
 /** The beliefs that are exchanged. */
-export interface ExchangedBeliefs {
+export interface ExchangedState {
   readonly configuration: AcceptedConfiguration
   readonly directory: EndpointDirectory
   readonly versions: AdapterVersions
@@ -36,10 +36,10 @@
 }
 
 /** Offers revisions to neighbours and asks for what is newer there. */
-export class BeliefExchange {
+export class StateExchange {
   private readonly network: PeerLinks
   private readonly overlay: PeerOverlay
-  private readonly beliefs: ExchangedBeliefs
+  private readonly beliefs: ExchangedState
   private readonly clock: Clock
   private offered = ''
   private offeredAt = -Infinity
@@ -47,7 +47,7 @@
   /** When somebody read the store, as far as the word of it has come here. */
   private readAt = -Infinity
 
-  constructor (network: PeerLinks, overlay: PeerOverlay, beliefs: ExchangedBeliefs, clock: Clock) {
+  constructor (network: PeerLinks, overlay: PeerOverlay, beliefs: ExchangedState, clock: Clock) {
     this.network = network
     this.overlay = overlay
     this.beliefs = beliefs
@@ -61,12 +61,12 @@
   /** Whether this instance has to read the store itself: nobody reads it for it, or who does is behind. */
   get needsStore (): boolean {
     if (this.overlay.isHub) return true
-    if (!this.overlay.isAttached) return !this.overlay.awaitsHub
+    if (!this.overlay.isAttached) return !this.overlay.isAwaitingHub
     return this.clock.now() - this.readAt > CURRENT_MILLISECONDS
   }
 
   /** This process stood still: what it was told before is old, and its hub may have given it up without a sign. */
-  doubt (): void {
+  markStale (): void {
     this.readAt = -Infinity
   }
 
@@ -94,7 +94,7 @@
   /** Passed on, an age goes on growing: two instances that both hear of a reading only from each other do not keep it young. */
   private readMillisecondsAgo (now: number): number | undefined {
     const { reachable } = this.beliefs.health
-    const silence = this.beliefs.health.silence(now)
+    const silence = this.beliefs.health.millisecondsSinceAnswer(now)
     // One that has just begun to read again, after a hub did it for a while, knows nothing of the store yet.
     if (reachable && silence < LONGEST_WATCH_MILLISECONDS) return 0
     const age = Math.min(silence, now - this.readAt)
@@ -105,7 +105,7 @@
     return {
       configuration: this.beliefs.configuration.version,
       endpoints: this.beliefs.directory.revision,
-      announcements: this.beliefs.versions.stamp,
+      announcements: this.beliefs.versions.versionSum,
       cluster: this.beliefs.cluster.revision
     }
   }
@@ -116,7 +116,7 @@
     if (offer.readMillisecondsAgo !== undefined) this.readAt = Math.max(this.readAt, now - offer.readMillisecondsAgo)
     const behind = offer.configuration > own.configuration || offer.endpoints > own.endpoints || offer.announcements > own.announcements || (offer.cluster ?? 0) > own.cluster
     if (!behind) return
-    const fresh = this.needsStore && this.beliefs.health.reachable && this.beliefs.health.silence(now) < FRESH_MILLISECONDS
+    const fresh = this.needsStore && this.beliefs.health.reachable && this.beliefs.health.millisecondsSinceAnswer(now) < FRESH_MILLISECONDS
     if (fresh || now - this.askedAt < ASK_MILLISECONDS) return
     this.ask(from)
   }
@@ -139,7 +139,7 @@
       kind: 'beliefs',
       configuration: inForce !== undefined && configuration.version > ask.configuration ? { revision: configuration.version, value: inForce.configuration } : undefined,
       endpoints: directory.revision > ask.endpoints ? this.endpointsSince(ask.endpoints) : undefined,
-      announcements: versions.stamp > ask.announcements ? { revision: versions.stamp, value: versions.all() } : undefined,
+      announcements: versions.versionSum > ask.announcements ? { revision: versions.versionSum, value: versions.all() } : undefined,
       cluster: this.clusterSince(ask.cluster)
     })
   }
@@ -171,6 +171,6 @@
     const now = this.clock.now()
     const changed = new Map((value as readonly Endpoint[]).map((endpoint) => [endpoint.id, endpoint]))
     const endpoints = present.flatMap((id) => changed.get(id as EndpointId) ?? directory.find(id as EndpointId) ?? [])
-    directory.apply({ revision, endpoints, lapsed: new Set(lapsed as readonly EndpointId[]) }, health.outageEndedAt(now), now)
+    directory.apply({ revision, endpoints, lapsed: new Set(lapsed as readonly EndpointId[]) }, health.recentOutageEnd(now), now)
   }
 }
--- a/packages/ingress/src/beliefs/store-health.ts
+++ b/packages/ingress/src/cluster-state/store-health.ts
@@ -41,12 +41,12 @@
   }
 
   /** @returns when an outage ended whose aftermath is not over; undefined at all other times */
-  outageEndedAt (now: number): number | undefined {
+  recentOutageEnd (now: number): number | undefined {
     return now - this.endedAt < AFTERMATH_MILLISECONDS ? this.endedAt : undefined
   }
 
   /** @returns milliseconds since the last answer; Infinity before the first */
-  silence (now: number): number {
+  millisecondsSinceAnswer (now: number): number {
     return now - this.lastAnswerAt
   }
 }
--- a/packages/ingress/src/members/member-list.ts
+++ b/packages/ingress/src/members/member-list.ts
@@ -24,7 +24,7 @@
 }
 
 /** What the list looks at beside the store. */
-export type MemberPresence = Pick<PeerOverlay, 'apply' | 'isPresent' | 'isLeaving' | 'lastPresent'>
+export type MemberPresence = Pick<PeerOverlay, 'apply' | 'isReachable' | 'isLeaving' | 'lastReachableAt'>
 
 /** The members as the store lists them and heartbeats confirm them. */
 export class MemberList {
@@ -141,8 +141,8 @@
   }
 
   private millisecondsSinceContact (member: Member): number {
-    if (this.presence.isPresent(member.instance)) return 0
-    const heard = this.presence.lastPresent(member.instance) ?? this.firstSeen.get(member.instance) ?? -Infinity
+    if (this.presence.isReachable(member.instance)) return 0
+    const heard = this.presence.lastReachableAt(member.instance) ?? this.firstSeen.get(member.instance) ?? -Infinity
     return this.clock.now() - heard
   }
 
--- a/packages/ingress/src/observability/ingress-metrics.ts
+++ b/packages/ingress/src/observability/ingress-metrics.ts
@@ -68,7 +68,7 @@
   }
 
   /** Records a stream's first event. */
-  firstEventCame (route: string, milliseconds: number, stallMilliseconds: number): void {
+  firstEventArrived (route: string, milliseconds: number, stallMilliseconds: number): void {
     this.firstEvent.observe({ route: this.bounded(route) }, milliseconds / 1_000)
     if (stallMilliseconds > 0) this.loadStall.observe({ route: this.bounded(route) }, stallMilliseconds / 1_000)
   }
@@ -79,7 +79,7 @@
   }
 
   /** Counts an ejection. */
-  ejected (): void {
+  endpointEjected (): void {
     this.ejections.inc()
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Counts what was done about a suspected request. */
-  quarantined (action: 'isolated' | 'deferred' | 'cleared' | 'convicted' | 'refused'): void {
+  quarantineActionTaken (action: 'isolated' | 'deferred' | 'cleared' | 'convicted' | 'refused'): void {
     this.suspicions.inc({ action })
   }
 
--- a/packages/ingress/src/overlay/notice-router.ts
+++ b/packages/ingress/src/overlay/notice-router.ts
@@ -46,7 +46,7 @@
   }
 
   /** Within this a notice has reached all others, and their answer is here. */
-  get noticeMilliseconds (): number {
+  get noticeRoundTripMilliseconds (): number {
     return this.view.isMesh ? DIRECT_NOTICE_MILLISECONDS : DIRECT_NOTICE_MILLISECONDS + 2 * MOST_HOPS * FLUSH_MILLISECONDS
   }
 
@@ -74,7 +74,7 @@
    *
    * @param frames - with those who made them
    */
-  retell (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
+  replay (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
     for (const [origin, frame] of frames) {
       if (this.view.isMesh && origin === this.view.self) {
         this.network.notify(neighbour, frame)
--- a/packages/ingress/src/overlay/peer-overlay.ts
+++ b/packages/ingress/src/overlay/peer-overlay.ts
@@ -21,7 +21,7 @@
 const AWAITED_MILLISECONDS = 900
 
 /** What the overlay needs. */
-export interface PeerOverlayParts {
+export interface PeerOverlayDependencies {
   readonly self: { readonly name: string, readonly instance: InstanceId, readonly dataCentre: Member['dataCentre'] }
   readonly network: PeerLinks
   readonly clock: Clock
@@ -33,7 +33,7 @@
 
 /** The overlay as one instance takes part in it. */
 export class PeerOverlay implements OverlayView {
-  private readonly parts: PeerOverlayParts
+  private readonly parts: PeerOverlayDependencies
   private readonly notices: NoticeRouter
   private readonly presence = new Presence()
   private readonly choice = new HubChoice()
@@ -52,7 +52,7 @@
   private isReachOld = false
   private isPresenceDue = false
 
-  constructor (parts: PeerOverlayParts) {
+  constructor (parts: PeerOverlayDependencies) {
     this.parts = parts
     const { network, clock } = parts
     this.notices = new NoticeRouter(network, this, clock, parts.logger)
@@ -62,7 +62,7 @@
     network.onHeartbeat((from, { frame }) => { if (frame.leaving) this.noteLeaving(from) })
     network.onNotice('overlay-role', (from, { role }) => this.takeRole(from, role))
     network.onNotice('overlay-presence', (from, frame) => {
-      this.presence.take(from, frame)
+      this.presence.update(from, frame)
       this.isReachOld = true
     })
   }
@@ -88,7 +88,7 @@
   }
 
   /** Whether this instance is a leaf that has lost its hub a moment ago, or has none yet. */
-  get awaitsHub (): boolean {
+  get isAwaitingHub (): boolean {
     return !this.isAttached && this.parts.clock.now() - this.detachedAt < AWAITED_MILLISECONDS
   }
 
@@ -98,8 +98,8 @@
   }
 
   /** Within this a notice has reached all others, and their answer is here. */
-  get noticeMilliseconds (): number {
-    return this.notices.noticeMilliseconds
+  get noticeRoundTripMilliseconds (): number {
+    return this.notices.noticeRoundTripMilliseconds
   }
 
   /** Leaves that this instance passes notices on to. */
@@ -142,7 +142,7 @@
   }
 
   /** @returns whether the instance can be reached, here or over hubs */
-  isPresent (instance: InstanceId): boolean {
+  isReachable (instance: InstanceId): boolean {
     return this.parts.network.isConnected(instance) || this.reach().has(instance)
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** @returns monotonic time until which an instance that is not present is known to have been there; undefined when it never was */
-  lastPresent (instance: InstanceId): number | undefined {
+  lastReachableAt (instance: InstanceId): number | undefined {
     this.reach()
     const heard = this.parts.network.lastHeard(instance)
     const lost = this.lostAt.get(instance)
@@ -175,8 +175,8 @@
    *
    * @param frames - with those who made them
    */
-  retell (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
-    this.notices.retell(neighbour, frames)
+  replay (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
+    this.notices.replay(neighbour, frames)
   }
 
   /** Looks after the connections until the signal ends it. */
@@ -282,7 +282,7 @@
   }
 
   private joined (neighbour: InstanceId, role: OverlayRole): void {
-    if (role === 'leaf') this.retell(neighbour, this.presence.frames())
+    if (role === 'leaf') this.replay(neighbour, this.presence.frames())
     if (role === 'leaf' || !this.plan.isMesh) this.announceSoon()
     for (const listener of this.neighbourListeners) listener(neighbour, role)
   }
@@ -311,7 +311,7 @@
     const { reached: before, reachedDirectly: directlyBefore } = this
     const neighbours = this.neighbours()
     this.reachedDirectly = new Set(neighbours)
-    this.reached = this.isMesh ? new Set(neighbours) : this.presence.reach(neighbours, this.isHub ? 1 : 2)
+    this.reached = this.isMesh ? new Set(neighbours) : this.presence.reachableFrom(neighbours, this.isHub ? 1 : 2)
     for (const instance of before) {
       // Of one that was connected here its last frame says when it was there.
       if (!this.reached.has(instance) && !directlyBefore.has(instance)) this.lostAt.set(instance, now)
--- a/packages/ingress/src/overlay/presence.ts
+++ b/packages/ingress/src/overlay/presence.ts
@@ -14,7 +14,7 @@
   private readonly told = new Map<InstanceId, Told>()
 
   /** Takes a hub's word, which replaces its last one. */
-  take (hub: InstanceId, frame: OverlayPresenceFrame): void {
+  update (hub: InstanceId, frame: OverlayPresenceFrame): void {
     this.told.set(hub, { connected: new Set(frame.connected), leaving: new Set(frame.leaving) })
   }
 
@@ -47,7 +47,7 @@
    * @param hops - over how many hubs an instance may be reached
    * @returns all that can be reached; the word of a hub that cannot be reached itself does not count
    */
-  reach (neighbours: Iterable<InstanceId>, hops: number): Set<InstanceId> {
+  reachableFrom (neighbours: Iterable<InstanceId>, hops: number): Set<InstanceId> {
     const reached = new Set(neighbours)
     let newest: readonly InstanceId[] = [...reached]
     for (let hop = 0; hop < hops; hop++) {
--- a/packages/ingress/src/quarantine/quarantine-exchange.ts
+++ b/packages/ingress/src/quarantine/quarantine-exchange.ts
@@ -19,7 +19,7 @@
   readonly logger: Logger
   readonly store: DeletingObjectStore
   readonly network: Pick<PeerLinks, 'onNotice'>
-  readonly overlay: Pick<PeerOverlay, 'broadcast' | 'notify' | 'retell' | 'onNeighbour' | 'noticeMilliseconds'>
+  readonly overlay: Pick<PeerOverlay, 'broadcast' | 'notify' | 'replay' | 'onNeighbour' | 'noticeRoundTripMilliseconds'>
 }
 
 /** The quarantine of one instance among those of the others. */
@@ -37,7 +37,7 @@
       clock,
       broadcast: (frame) => overlay.broadcast(frame),
       notify: (to, frame) => overlay.notify(to, frame),
-      noticeMilliseconds: () => overlay.noticeMilliseconds
+      noticeMilliseconds: () => overlay.noticeRoundTripMilliseconds
     })
     this.quarantine = new RequestQuarantine({ ...parts, claims: this.claims, detector: new CrashDetector(clock, logger), announcer: this.announcer() })
     this.records = new QuarantineRecords(store, {
@@ -86,7 +86,7 @@
     network.onNotice('request-verdict', (_from, frame) => this.quarantine.applyDecision(this.decisionFromFrame(frame), 'peer'))
     overlay.onNeighbour((neighbour) => {
       const { crashes, verdicts } = this.quarantine.framesForNewNeighbour()
-      overlay.retell(neighbour, [...verdicts, ...crashes].map((frame) => [self, frame]))
+      overlay.replay(neighbour, [...verdicts, ...crashes].map((frame) => [self, frame]))
     })
   }
 
--- a/packages/ingress/src/quarantine/request-quarantine.ts
+++ b/packages/ingress/src/quarantine/request-quarantine.ts
@@ -94,7 +94,7 @@
     if (fingerprint === undefined || this.standing(request, fingerprint) !== 'quarantined') return undefined
     const verdict = this.crashTracker.verdict(fingerprint)
     const seconds = Math.ceil(((verdict?.until ?? 0) - this.parts.clock.now()) / 1_000)
-    this.parts.metrics.quarantined('refused')
+    this.parts.metrics.quarantineActionTaken('refused')
     return new LimpetwinchError('request-quarantined', { crashes: verdict?.crashes, fingerprint, reason: 'it crashes endpoints' }, { retryAfterSeconds: Math.max(1, seconds) })
   }
 
@@ -153,7 +153,7 @@
     const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || !this.crashTracker.completed(fingerprint)) return
     this.parts.logger.info('A suspected request came to its end.', { request: request.facts.requestId, fingerprint })
-    this.parts.metrics.quarantined('cleared')
+    this.parts.metrics.quarantineActionTaken('cleared')
     this.parts.announcer.cleared(fingerprint)
   }
 
@@ -226,7 +226,7 @@
     const outcome = await claims.claim(fingerprint, endpoint, Math.max(1, request.endsAt - clock.now()), isShared)
     if (outcome === 'occupied') return { kind: 'elsewhere' }
     if (outcome === 'taken') {
-      metrics.quarantined('deferred')
+      metrics.quarantineActionTaken('deferred')
       return { kind: 'refused', error: new LimpetwinchError('request-on-trial', { crashes, fingerprint, reason: 'a copy of it runs' }, { retryAfterSeconds: ISOLATED_RUN_RETRY_SECONDS }) }
     }
     this.isolatedRuns.set(request, fingerprint)
@@ -235,7 +235,7 @@
       this.attemptFinished(request)
       return refused
     }
-    metrics.quarantined('isolated')
+    metrics.quarantineActionTaken('isolated')
     logger.info('A suspected request runs apart.', { request: request.facts.requestId, fingerprint, endpoint, crashes, occupied: [...occupied], isShared })
     return GRANTED
   }
@@ -297,7 +297,7 @@
   }
 
   private logDecision ({ fingerprint, crashes, strikes, certain, until }: QuarantineDecision, grounds: string): void {
-    this.parts.metrics.quarantined('convicted')
+    this.parts.metrics.quarantineActionTaken('convicted')
     this.parts.logger.warn('A request crashes endpoints and is held back.', {
       fingerprint, crashes, strikes, certain, grounds, seconds: Math.round((until - this.parts.clock.now()) / 1_000)
     })
--- a/packages/ingress/src/relay/endpoint-senders.ts
+++ b/packages/ingress/src/relay/endpoint-senders.ts
@@ -115,7 +115,7 @@
     const before = this.ejection.isEjected(endpoint, now)
     this.ejection.observe(endpoint, result, now)
     if (before || !this.ejection.isEjected(endpoint, now)) return
-    this.metrics.ejected()
+    this.metrics.endpointEjected()
     this.logger.warn('An endpoint failed too often and gets no new work for a while.', { endpoint, reason })
   }
 
--- a/packages/ingress/src/relay/routed-listener.ts
+++ b/packages/ingress/src/relay/routed-listener.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, Logger } from '@limpetwinch/core'
-import type { AcceptedConfiguration, ConfigurationInForce } from '../beliefs/accepted-configuration.js'
+import type { AcceptedConfiguration, ActiveConfiguration } from '../cluster-state/accepted-configuration.js'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js'
 import type { RetryBudgets } from '../retries/retry-budgets.js'
@@ -183,7 +183,7 @@
     this.logOutcome(request, { outcome: 'refused', error, tries: 0 })
   }
 
-  private serviceOf (route: Route, inForce: ConfigurationInForce): Service | undefined {
+  private serviceOf (route: Route, inForce: ActiveConfiguration): Service | undefined {
     const target = pickTarget(route.targets, this.parts.random())
     return target === undefined ? undefined : inForce.services.get(target.service)
   }
@@ -199,7 +199,7 @@
     const milliseconds = clock.now() - request.arrivedAt
     const { route, facts } = request
     metrics.requestEnded(route.name, outcome.outcome, outcome.error?.kind ?? 'none', milliseconds)
-    if (outcome.firstEventMilliseconds !== undefined) metrics.firstEventCame(route.name, outcome.firstEventMilliseconds, outcome.loadStallMilliseconds ?? 0)
+    if (outcome.firstEventMilliseconds !== undefined) metrics.firstEventArrived(route.name, outcome.firstEventMilliseconds, outcome.loadStallMilliseconds ?? 0)
     logger.info(LOG_MESSAGES[outcome.outcome], {
       request: facts.requestId,
       route: route.name,
--- a/packages/ingress/src/retries/retry-budgets.ts
+++ b/packages/ingress/src/retries/retry-budgets.ts
@@ -1,7 +1,7 @@
 /** How many repeats each service may get from this instance. */
 import { ShareRetryBudget } from '@limpetwinch/decisions'
 import type { ServiceName } from '../routes/configuration.js'
-import type { RepeatSettings } from '../runtime/ingress-settings.js'
+import type { RetryBudgetSettings } from '../runtime/ingress-settings.js'
 
 /**
  * Part of the bound that is used. The bound holds for any window over all instances; windows here move in tenths, and
@@ -14,7 +14,7 @@
  * equal part of the slack, so that the sum keeps it without a word between them, also when they are cut off.
  */
 export class RetryBudgets {
-  private readonly settings: RepeatSettings
+  private readonly settings: RetryBudgetSettings
   private readonly instances: () => number
   private readonly budgets = new Map<ServiceName, ShareRetryBudget>()
 
@@ -22,7 +22,7 @@
    * @param settings - the bound
    * @param instances - how many share the slack
    */
-  constructor (settings: RepeatSettings, instances: () => number) {
+  constructor (settings: RetryBudgetSettings, instances: () => number) {
     this.settings = settings
     this.instances = instances
   }
--- a/packages/ingress/src/runtime/stop-in-order.ts
+++ b/packages/ingress/src/runtime/graceful-stop.ts
@@ -12,7 +12,7 @@
 const LOOK_MILLISECONDS = 25
 
 /** What is stopped, and how long it may take. */
-export interface StopParts {
+export interface GracefulStopOptions {
   readonly listener: RoutedListener
   readonly clock: Clock
   readonly logger: Logger
@@ -20,7 +20,7 @@
 }
 
 /** Resolves when nothing runs any more, or when the grace is almost over. */
-export async function stopInOrder ({ listener, clock, logger, graceMilliseconds }: StopParts): Promise<void> {
+export async function stopGracefully ({ listener, clock, logger, graceMilliseconds }: GracefulStopOptions): Promise<void> {
   const startedAt = clock.now()
   const lastMoment = startedAt + graceMilliseconds - LAST_WORDS_MILLISECONDS
   logger.info('This instance stops.', { inProgress: listener.requestsInProgress, graceMilliseconds })
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -11,11 +11,11 @@
 import type { EngineUsage } from '../adapters/model-need.js'
 import { ModelLoadRateLimiter } from '../adapters/model-load-rate-limiter.js'
 import { WeightStoreLimiter } from '../adapters/weight-store-limiter.js'
-import { AcceptedConfiguration } from '../beliefs/accepted-configuration.js'
-import { AdapterVersions } from '../beliefs/adapter-versions.js'
-import { BeliefExchange } from '../beliefs/belief-exchange.js'
-import { ClusterView } from '../beliefs/cluster-view.js'
-import { StoreHealth } from '../beliefs/store-health.js'
+import { AcceptedConfiguration } from '../cluster-state/accepted-configuration.js'
+import { AdapterVersions } from '../cluster-state/adapter-versions.js'
+import { StateExchange } from '../cluster-state/state-exchange.js'
+import { ClusterView } from '../cluster-state/cluster-view.js'
+import { StoreHealth } from '../cluster-state/store-health.js'
 import { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import { MemberList } from '../members/member-list.js'
 import { IngressMetrics } from '../observability/ingress-metrics.js'
@@ -36,13 +36,13 @@
 import { WorkDigests } from '../routing/work-digests.js'
 import type { IngressPlatform } from './ingress-platform.js'
 import type { IngressSettings } from './ingress-settings.js'
-import { PeerTalk } from './peer-talk.js'
-import type { FollowerParts } from './platform-followers.js'
-import { SideAddresses } from './side-addresses.js'
-import { StoreReading } from './store-reading.js'
-import { watchForPauses } from './pause-watch.js'
-import { within } from './within.js'
-import { stopInOrder } from './stop-in-order.js'
+import { PeerMessaging } from './peer-messaging.js'
+import type { FollowerDependencies } from './platform-followers.js'
+import { MonitoringServers } from './monitoring-servers.js'
+import { StoreReader } from './store-reader.js'
+import { watchForProcessPauses } from './pause-watch.js'
+import { waitAtMost } from './wait-at-most.js'
+import { stopGracefully } from './graceful-stop.js'
 
 /** Left of the time to stop for closing what is open and for the last lines. */
 const EXIT_MILLISECONDS = 300
@@ -77,8 +77,8 @@
   private readonly directory: EndpointDirectory
   private readonly versions: AdapterVersions
   private readonly cluster: ClusterView
-  private readonly exchange: BeliefExchange
-  private readonly reading: StoreReading
+  private readonly exchange: StateExchange
+  private readonly reading: StoreReader
   private readonly locations = new AdapterLocations()
   private readonly storePace = new WeightStoreLimiter(() => this.engineCount())
   private readonly board = new EndpointWorkTracker()
@@ -92,11 +92,11 @@
   private readonly digests: WorkDigests
   private readonly duty: LoadOwnership
   private readonly seeker: EngineFinder
-  private readonly talk: PeerTalk
+  private readonly talk: PeerMessaging
   private readonly quarantine: QuarantineExchange
   private readonly senders: EndpointSenders
   private readonly listener: RoutedListener
-  private readonly sideAddresses: SideAddresses
+  private readonly sideAddresses: MonitoringServers
   private engines: number | undefined
   private stopping = false
   private stopped: Promise<void> | undefined
@@ -130,17 +130,17 @@
     this.configuration = new AcceptedConfiguration(logger.part('configuration'))
     this.directory = new EndpointDirectory(logger.part('endpoints'))
     this.versions = new AdapterVersions(logger.part('versions'), settings.newVersionMilliseconds)
-    this.cluster = new ClusterView(({ members, holders, verdicts }, revision) => {
+    this.cluster = new ClusterView(({ members, loadOwners: holders, quarantineDecisions: verdicts }, revision) => {
       this.members.apply(members, revision)
       this.duty.apply(holders, revision)
       this.quarantine.apply(verdicts)
-      this.reading.look()
+      this.reading.reevaluate()
     })
-    this.exchange = new BeliefExchange(this.network, this.overlay, { configuration: this.configuration, directory: this.directory, versions: this.versions, cluster: this.cluster, health: this.health }, this.clock)
+    this.exchange = new StateExchange(this.network, this.overlay, { configuration: this.configuration, directory: this.directory, versions: this.versions, cluster: this.cluster, health: this.health }, this.clock)
     // An endpoint that does not check tokens must not hear from two instances; only whoever reads the store itself knows in time
     // that it holds no more.
     const isNeeded = (): boolean => !settings.fencedEndpoints || this.exchange.needsStore
-    this.reading = new StoreReading(this.followerParts(), { isNeeded, knowsMembers: () => this.cluster.revision > 0 }, this.clock, logger.part('store'))
+    this.reading = new StoreReader(this.followerParts(), { isNeeded, areMembersKnown: () => this.cluster.revision > 0 }, this.clock, logger.part('store'))
     this.heldNotices = new HeldAdapterNotices(this.overlay, this.locations, this.metrics, this.clock, this.instance)
     this.digests = new WorkDigests(this.overlay, this.board, () => this.members.count, this.clock)
     this.duty = this.makeDuty()
@@ -153,7 +153,7 @@
       prefixes: this.prefixes,
       ejection: this.ejection,
       dataCentre: settings.dataCentre,
-      leastVersion: (key, now) => this.versions.leastUsable(key, now),
+      leastVersion: (key, now) => this.versions.minimumUsable(key, now),
       loadMilliseconds: () => this.storePace.expectedMilliseconds(this.locations.inFlight.count(this.clock.now())),
       hasLoadOwner: (endpoint) => this.duty.loadOwnerOf(endpoint) !== undefined
     })
@@ -164,25 +164,25 @@
       locations: this.locations,
       loadOwnerOf: (endpoint) => this.duty.loadOwnerOf(endpoint),
       requestLoad: (to, frame) => this.overlay.notify(to, frame),
-      leastVersion: (facts, now) => facts.adapter === undefined ? 0 : this.versions.leastUsable(facts.adapter.key, now)
+      leastVersion: (facts, now) => facts.adapter === undefined ? 0 : this.versions.minimumUsable(facts.adapter.key, now)
     })
-    this.talk = new PeerTalk({
+    this.talk = new PeerMessaging({
       self: this.instance,
       network: this.network,
       overlay: this.overlay,
       clock: this.clock,
-      board: this.board,
+      workTracker: this.board,
       digests: this.digests,
       locations: this.locations,
       heldNotices: this.heldNotices,
-      duty: this.duty,
-      seeker: this.seeker,
+      loadOwnership: this.duty,
+      engineFinder: this.seeker,
       metrics: this.metrics
     })
     this.quarantine = this.makeQuarantine()
     this.senders = new EndpointSenders(this.platform.codec, this.ejection, this.clock, logger.part('relay'), this.metrics, this.quarantine.quarantine)
     this.listener = this.makeListener()
-    this.sideAddresses = new SideAddresses({ isReady: () => this.isReady(), metrics: async () => await this.metrics.text() })
+    this.sideAddresses = new MonitoringServers({ isReady: () => this.isReady(), metrics: async () => await this.metrics.text() })
     this.connectParts()
   }
 
@@ -200,7 +200,7 @@
     void supervisor.start('beliefs', async (signal) => { await this.exchange.run(signal) })
     void supervisor.start('digests', async (signal) => { await this.digests.run(signal) })
     void supervisor.start('housekeeping', async (signal) => { await this.keepHouse(signal) })
-    void supervisor.start('pauses', async (signal) => { await watchForPauses(this.clock, logger.part('clock'), () => this.afterPause(), signal) })
+    void supervisor.start('pauses', async (signal) => { await watchForProcessPauses(this.clock, logger.part('clock'), () => this.afterPause(), signal) })
     await this.sideAddresses.listen(settings.readinessAddress, settings.metricsAddress)
     logger.info('This instance has started.', { instance: this.instance, ...settings })
   }
@@ -218,12 +218,12 @@
     this.stopping = true
     const stopsAt = this.clock.now() + this.settings.stopMilliseconds - EXIT_MILLISECONDS
     this.members.leave()
-    await stopInOrder({ listener: this.listener, clock: this.clock, logger: this.logger.part('stop'), graceMilliseconds: this.settings.stopMilliseconds })
+    await stopGracefully({ listener: this.listener, clock: this.clock, logger: this.logger.part('stop'), graceMilliseconds: this.settings.stopMilliseconds })
     // Until now requests here and elsewhere waited for loads of the engines that this instance orders.
     this.duty.stop()
     // A silent store holds each call for more than a second; an instance that waits for it is killed, and its last lines with it.
-    await within(stopsAt - this.clock.now(), this.members.unregister())
-    await within(stopsAt - this.clock.now(), this.supervisor.stop())
+    await waitAtMost(stopsAt - this.clock.now(), this.members.unregister())
+    await waitAtMost(stopsAt - this.clock.now(), this.supervisor.stop())
     this.sideAddresses.close()
     this.senders.close()
     await this.platform.close()
@@ -264,7 +264,7 @@
       latestVersion: (key) => this.versions.newest(key) ?? 0,
       isModelNeeded: (endpoint, model) => isModelNeeded(this.enginesWith(endpoint, model)),
       publish: (statement, urgency) => this.heldNotices.publish(statement, urgency),
-      noticeRoundTripMilliseconds: () => this.overlay.noticeMilliseconds,
+      noticeRoundTripMilliseconds: () => this.overlay.noticeRoundTripMilliseconds,
       onUnreachable: (endpoint, reason) => this.senders.observe(endpoint, 'failed', reason)
     })
   }
@@ -337,10 +337,10 @@
   private expectedVersion (key: AdapterKey | undefined, now: number): number | undefined {
     if (key === undefined) return undefined
     const newest = this.versions.newest(key)
-    return newest !== undefined && this.versions.leastUsable(key, now) === newest ? newest : undefined
+    return newest !== undefined && this.versions.minimumUsable(key, now) === newest ? newest : undefined
   }
 
-  private followerParts (): FollowerParts {
+  private followerParts (): FollowerDependencies {
     return {
       platform: this.platform,
       health: this.health,
@@ -349,7 +349,7 @@
       onConfiguration: (configuration) => this.configuration.apply(configuration, 'store'),
       onEndpoints: (endpoints, revision) => {
         const now = this.clock.now()
-        this.directory.apply({ revision, endpoints }, this.health.outageEndedAt(now), now)
+        this.directory.apply({ revision, endpoints }, this.health.recentOutageEnd(now), now)
       },
       onAnnouncements: (announcements) => this.versions.apply(announcements, 'store', this.clock.now()),
       onCluster: (objects, revision) => this.cluster.apply(objects, revision),
@@ -366,7 +366,7 @@
     this.configuration.onChange(() => { this.engines = undefined })
     this.directory.onListing((endpoints) => { for (const endpoint of endpoints) this.locations.applyStatement(endpoint) })
     this.locations.inFlight.onCompleted((load) => this.storePace.completed(load))
-    this.versions.onNewer((key, version) => this.duty.versionAnnounced(key, version))
+    this.versions.onNewVersion((key, version) => this.duty.versionAnnounced(key, version))
     this.board.onUse((_endpoint, key) => this.policy.recordUse(key, '', 1, this.clock.now()))
     this.talk.connect()
   }
@@ -397,15 +397,15 @@
 
   private afterPause (): void {
     this.duty.pauseUntil(this.clock.now() + ORDER_PAUSE_MILLISECONDS)
-    this.exchange.doubt()
-    this.reading.look()
+    this.exchange.markStale()
+    this.reading.reevaluate()
     this.reading.refresh()
   }
 
   private readGauges (): GaugeReadings {
     return {
       configurationVersion: this.configuration.version,
-      storeSilenceSeconds: this.health.silence(this.clock.now()) / 1_000,
+      storeSilenceSeconds: this.health.millisecondsSinceAnswer(this.clock.now()) / 1_000,
       members: this.members.live().length,
       servableEndpoints: this.directory.all().filter((endpoint) => !endpoint.leaving).length,
       droppedLogLines: this.sink.dropped,
--- a/packages/ingress/src/runtime/ingress-platform.ts
+++ b/packages/ingress/src/runtime/ingress-platform.ts
@@ -5,7 +5,7 @@
 import type { AdapterAnnouncement, Configuration, Endpoint } from '../routes/configuration.js'
 
 /** Where the platform's objects lie, and how they are read. */
-export interface PlatformForms {
+export interface PlatformObjectFormats {
   readonly configurationKind: string
   readonly endpointKind: string
   readonly announcementKind: string
@@ -19,7 +19,7 @@
   readonly store: DeletingObjectStore
   readonly control: EngineControl
   readonly codec: RequestCodec
-  readonly forms: PlatformForms
+  readonly forms: PlatformObjectFormats
   /** Closes the connections to the platform. */
   readonly close: () => Promise<void>
 }
--- a/packages/ingress/src/runtime/ingress-settings.ts
+++ b/packages/ingress/src/runtime/ingress-settings.ts
@@ -2,7 +2,7 @@
 import type { DataCentreId } from '@limpetwinch/core'
 
 /** Bounds on repeats of requests, for one service over all instances. */
-export interface RepeatSettings {
+export interface RetryBudgetSettings {
   /** Repeats for each request. */
   readonly share: number
   /** Repeats in a window whatever the number of requests. */
@@ -25,7 +25,7 @@
   readonly storeAddress: string
   /** Time from the signal to stop until the process is killed. */
   readonly stopMilliseconds: number
-  readonly repeats: RepeatSettings
+  readonly repeats: RetryBudgetSettings
   /** Whether endpoints refuse orders with an old fencing token. */
   readonly fencedEndpoints: boolean
   /** Two instances must not order one endpoint within this time. */
--- a/packages/ingress/src/runtime/side-listeners.ts
+++ b/packages/ingress/src/runtime/monitoring-listeners.ts
@@ -9,18 +9,18 @@
 const METRICS_PATH = '/metrics'
 
 /** What the side addresses answer from. */
-export interface SideAnswers {
+export interface MonitoringSources {
   readonly isReady: () => boolean
   readonly metrics: () => Promise<string>
 }
 
 /** @returns a listener that answers every path of the readiness address: 200 when ready, else 503 */
-export function readinessListener (answers: SideAnswers): RequestListener {
+export function readinessListener (answers: MonitoringSources): RequestListener {
   return (_incoming, outgoing) => answers.isReady() ? answer(outgoing, OK, 'ready\n') : answer(outgoing, NOT_READY, 'not ready\n')
 }
 
 /** @returns a listener that serves the metrics */
-export function metricsListener (answers: SideAnswers): RequestListener {
+export function metricsListener (answers: MonitoringSources): RequestListener {
   return (incoming, outgoing) => {
     if (!asksForMetrics(incoming)) return answer(outgoing, NOT_FOUND, 'The metrics are at /metrics.\n')
     void answers.metrics().then(
--- a/packages/ingress/src/runtime/side-addresses.ts
+++ b/packages/ingress/src/runtime/monitoring-servers.ts
@@ -1,14 +1,14 @@
 /** Listens at the addresses for readiness and metrics. */
 import type { Server } from 'node:http'
-import { listenAt, metricsListener, readinessListener } from './side-listeners.js'
-import type { SideAnswers } from './side-listeners.js'
+import { listenAt, metricsListener, readinessListener } from './monitoring-listeners.js'
+import type { MonitoringSources } from './monitoring-listeners.js'
 
 /** The side addresses of one instance. */
-export class SideAddresses {
+export class MonitoringServers {
   private readonly servers: Server[] = []
-  private readonly answers: SideAnswers
+  private readonly answers: MonitoringSources
 
-  constructor (answers: SideAnswers) {
+  constructor (answers: MonitoringSources) {
     this.answers = answers
   }
 
--- a/packages/ingress/src/runtime/pause-watch.ts
+++ b/packages/ingress/src/runtime/pause-watch.ts
@@ -15,7 +15,7 @@
  * @param onPause - what is believed is old now
  * @param signal - ends the watch
  */
-export async function watchForPauses (clock: Clock, logger: Logger, onPause: () => void, signal: AbortSignal): Promise<void> {
+export async function watchForProcessPauses (clock: Clock, logger: Logger, onPause: () => void, signal: AbortSignal): Promise<void> {
   let wall = clock.wallTime()
   let monotonic = clock.now()
   while (!signal.aborted) {
--- a/packages/ingress/src/runtime/peer-talk.ts
+++ b/packages/ingress/src/runtime/peer-messaging.ts
@@ -15,32 +15,32 @@
 import type { WorkDigests } from '../routing/work-digests.js'
 
 /** Who speaks and who listens. */
-export interface PeerTalkParts {
+export interface PeerMessagingDependencies {
   readonly self: InstanceId
   readonly network: PeerLinks
   readonly overlay: PeerOverlay
   readonly clock: Clock
-  readonly board: EndpointWorkTracker
+  readonly workTracker: EndpointWorkTracker
   readonly digests: WorkDigests
   readonly locations: AdapterLocations
   readonly heldNotices: HeldAdapterNotices
-  readonly duty: LoadOwnership
-  readonly seeker: EngineFinder
+  readonly loadOwnership: LoadOwnership
+  readonly engineFinder: EngineFinder
   readonly metrics: IngressMetrics
 }
 
 /** The notices of one instance. */
-export class PeerTalk {
-  private readonly parts: PeerTalkParts
+export class PeerMessaging {
+  private readonly parts: PeerMessagingDependencies
   private readonly heldWords = new HeldAdapterBaselines()
 
-  constructor (parts: PeerTalkParts) {
+  constructor (parts: PeerMessagingDependencies) {
     this.parts = parts
   }
 
   /** Begins to listen. */
   connect (): void {
-    const { network, overlay, board, duty, seeker, clock } = this.parts
+    const { network, overlay, workTracker: board, loadOwnership: duty, engineFinder: seeker, clock } = this.parts
     board.onReleased((endpoint) => this.tellRelease(endpoint))
     network.onNotice('relay-load', (from, frame) => {
       board.applyPeerReport(from, frame.loads, clock.now())
@@ -66,16 +66,16 @@
 
   /** A neighbour has heard nothing from here; a leaf has heard nothing of anybody else either. */
   private retell (neighbour: InstanceId, role: OverlayRole): void {
-    const { self, overlay, heldNotices, duty } = this.parts
+    const { self, overlay, heldNotices, loadOwnership: duty } = this.parts
     const own = heldNotices.present((endpoint) => duty.loader(endpoint) !== undefined)
-    overlay.retell(neighbour, own.map((frame) => [self, frame]))
+    overlay.replay(neighbour, own.map((frame) => [self, frame]))
     if (!overlay.isHub || overlay.isMesh) return
     const leaves = new Set(overlay.neighboursOf('leaf'))
-    overlay.retell(neighbour, this.heldWords.all().filter(([from]) => role === 'leaf' || leaves.has(from)))
+    overlay.replay(neighbour, this.heldWords.all().filter(([from]) => role === 'leaf' || leaves.has(from)))
   }
 
   private takeAsk (from: InstanceId, frame: LoadAskFrame): void {
-    const { duty, overlay } = this.parts
+    const { loadOwnership: duty, overlay } = this.parts
     const { endpoint, key, version } = frame
     const loader = duty.loader(endpoint)
     if (loader === undefined) return overlay.notify(from, { kind: 'load-refused', endpoint, key, reason: 'this instance does not order its loads' })
@@ -95,13 +95,13 @@
    * loads stood still for seconds. The objection reaches the holder before its order goes out.
    */
   private objectToEviction (holder: InstanceId, endpoint: EndpointId, hidden: readonly AdapterKey[]): void {
-    const { board, digests } = this.parts
+    const { workTracker: board, digests } = this.parts
     if (hidden.some((key) => board.ownRunning(endpoint, key) > 0)) digests.send(holder)
   }
 
   /** A slot may be free where loads wait for one. */
   private tellRelease (endpoint: EndpointId): void {
-    const { locations, duty, digests, self } = this.parts
+    const { locations, loadOwnership: duty, digests, self } = this.parts
     const holder = locations.line(endpoint)?.waiting.size === 0 ? undefined : duty.loadOwnerOf(endpoint)
     if (holder === self) duty.loader(endpoint)?.runsEnded()
     else if (holder !== undefined) digests.sendSoon(holder)
--- a/packages/ingress/src/runtime/platform-followers.ts
+++ b/packages/ingress/src/runtime/platform-followers.ts
@@ -1,7 +1,7 @@
 /** The followers of all kinds of objects that an instance reads from the platform's store. */
 import type { Clock, Logger, StoredObject } from '@limpetwinch/core'
-import { StoreFollower } from '../beliefs/store-follower.js'
-import type { StoreHealth } from '../beliefs/store-health.js'
+import { StoreFollower } from '../cluster-state/store-follower.js'
+import type { StoreHealth } from '../cluster-state/store-health.js'
 import { CLUSTER_KIND, decodeClusterObject } from '../members/cluster-objects.js'
 import type { ClusterObject } from '../members/cluster-objects.js'
 import type { AdapterAnnouncement, Configuration, Endpoint } from '../routes/configuration.js'
@@ -20,7 +20,7 @@
 const CLUSTER_PACE_FOR_MEMBER_MILLISECONDS = 5
 
 /** Who hears what the store says. */
-export interface FollowerParts {
+export interface FollowerDependencies {
   readonly platform: IngressPlatform
   readonly health: StoreHealth
   readonly clock: Clock
@@ -52,7 +52,7 @@
 const ENDPOINT_PACES = { watchMilliseconds: ENDPOINT_WATCH_MILLISECONDS, paceMilliseconds: () => ENDPOINT_PACE_MILLISECONDS }
 
 /** @returns one follower for each kind, not yet running */
-export function makeFollowers (parts: FollowerParts): PlatformFollowers {
+export function makeFollowers (parts: FollowerDependencies): PlatformFollowers {
   const { forms } = parts.platform
   const others = [
     follower<Configuration>(parts, {
@@ -84,7 +84,7 @@
   return { cluster, others }
 }
 
-function follower<Decoded> (parts: FollowerParts, followed: Followed<Decoded>): StoreFollower<unknown> {
+function follower<Decoded> (parts: FollowerDependencies, followed: Followed<Decoded>): StoreFollower<unknown> {
   const { platform, health, clock, logger } = parts
   return new StoreFollower<Decoded>({ store: platform.store, health, clock, logger, ...followed }) as StoreFollower<unknown>
 }
--- a/packages/ingress/src/runtime/store-gate.ts
+++ b/packages/ingress/src/runtime/store-gate.ts
@@ -1,6 +1,6 @@
 /** Lets followers read the store only while nobody else reads it for this instance. */
 import type { Clock, Logger } from '@limpetwinch/core'
-import type { StoreFollower } from '../beliefs/store-follower.js'
+import type { StoreFollower } from '../cluster-state/store-follower.js'
 
 const LOOK_MILLISECONDS = 250
 
@@ -27,12 +27,12 @@
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(LOOK_MILLISECONDS, signal)
-      this.look()
+      this.reevaluate()
     }
   }
 
   /** Looks now: something has changed that may decide it. */
-  look (): void {
+  reevaluate (): void {
     const isOpen = !this.closing.signal.aborted
     if (this.isNeeded() === isOpen) return
     if (isOpen) {
@@ -45,7 +45,7 @@
   }
 
   /** Runs the follower whenever the gate is open, until the signal ends it. */
-  async follow (follower: StoreFollower<unknown>, signal: AbortSignal): Promise<void> {
+  async runWhileOpen (follower: StoreFollower<unknown>, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.closing.signal.aborted) await this.opened(signal)
       else await follower.run(AbortSignal.any([signal, this.closing.signal]))
--- a/packages/ingress/src/runtime/store-reading.ts
+++ b/packages/ingress/src/runtime/store-reader.ts
@@ -2,27 +2,27 @@
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { Supervisor } from '@limpetwinch/entry'
 import { makeFollowers } from './platform-followers.js'
-import type { FollowerParts, PlatformFollowers } from './platform-followers.js'
+import type { FollowerDependencies, PlatformFollowers } from './platform-followers.js'
 import { StoreGate } from './store-gate.js'
 
 /** The listing of the members comes within some milliseconds; without it the rest is read all the same. */
 const FIRST_LISTING_MILLISECONDS = 100
 
 /** Who decides whether the store is read. */
-export interface ReadingQuestions {
+export interface StoreReaderConditions {
   /** @returns whether nobody reads the store for this instance */
   readonly isNeeded: () => boolean
   /** @returns whether the members are known */
-  readonly knowsMembers: () => boolean
+  readonly areMembersKnown: () => boolean
 }
 
 /** The followers of one instance and what starts and stops them. */
-export class StoreReading {
+export class StoreReader {
   private readonly followers: PlatformFollowers
   private readonly clusterGate: StoreGate
   private readonly gate: StoreGate
 
-  constructor (parts: FollowerParts, { isNeeded, knowsMembers }: ReadingQuestions, clock: Clock, logger: Logger) {
+  constructor (parts: FollowerDependencies, { isNeeded, areMembersKnown: knowsMembers }: StoreReaderConditions, clock: Clock, logger: Logger) {
     this.followers = makeFollowers(parts)
     this.clusterGate = new StoreGate(isNeeded, clock, logger)
     const startedAt = clock.now()
@@ -35,14 +35,14 @@
     const { clusterGate, gate, followers } = this
     void supervisor.start('cluster gate', async (signal) => { await clusterGate.run(signal) })
     void supervisor.start('store gate', async (signal) => { await gate.run(signal) })
-    void supervisor.start('cluster follower', async (signal) => { await clusterGate.follow(followers.cluster, signal) })
-    for (const [index, follower] of followers.others.entries()) void supervisor.start(`follower ${index}`, async (signal) => { await gate.follow(follower, signal) })
+    void supervisor.start('cluster follower', async (signal) => { await clusterGate.runWhileOpen(followers.cluster, signal) })
+    for (const [index, follower] of followers.others.entries()) void supervisor.start(`follower ${index}`, async (signal) => { await gate.runWhileOpen(follower, signal) })
   }
 
   /** Something has changed that may decide whether the store is read. */
-  look (): void {
-    this.clusterGate.look()
-    this.gate.look()
+  reevaluate (): void {
+    this.clusterGate.reevaluate()
+    this.gate.reevaluate()
   }
 
   /** Lists everything again, after a pause in which anything may have been missed. */
--- a/packages/ingress/test/member-list.failure.test.ts
+++ b/packages/ingress/test/member-list.failure.test.ts
@@ -24,7 +24,7 @@
 
 /** Everybody is present but those that are named, who were until the time. */
 function presence (absent: ReadonlyMap<InstanceId, number>): MemberPresence {
-  return { apply: () => {}, isPresent: (instance) => !absent.has(instance), isLeaving: () => false, lastPresent: (instance) => absent.get(instance) }
+  return { apply: () => {}, isReachable: (instance) => !absent.has(instance), isLeaving: () => false, lastReachableAt: (instance) => absent.get(instance) }
 }
 
 function other (name: string): Member {
--- a/packages/ingress/test/overlay-random.failure.test.ts
+++ b/packages/ingress/test/overlay-random.failure.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check'
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
 import type { NoticeFrame } from '@limpetwinch/entry'
-import { LinkWorld } from './support/simulated-links.js'
+import { SimulatedNetwork } from './support/simulated-links.js'
 import type { SimulatedInstance } from './support/simulated-links.js'
 import { ManualClock } from './support/manual-clock.js'
 
@@ -37,7 +37,7 @@
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('wait' as const), milliseconds: fc.integer({ min: 1, max: 2_500 }) }) }
 )
 
-let world: LinkWorld
+let world: SimulatedNetwork
 
 afterEach(() => world.end())
 
@@ -88,14 +88,14 @@
     unheard: pairs.filter(({ one, other }) => heardBy(one, other) === 0).map(({ title }) => title),
     twice: pairs.filter(({ one, other }) => heardBy(one, other) > 1).map(({ title }) => title),
     unattached: all.filter(({ overlay }) => !overlay.isAttached).map(({ member }) => member.name),
-    absent: pairs.filter(({ one, other }) => !one.overlay.isPresent(other.member.instance)).map(({ title }) => title)
+    absent: pairs.filter(({ one, other }) => !one.overlay.isReachable(other.member.instance)).map(({ title }) => title)
   }
 }
 
 describe('the overlay under failures in any order', () => {
   it('comes back whole: each instance hears each other one, once, and takes it for living', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 3, maxLength: 14 }), async (steps) => {
-      world = new LinkWorld(new ManualClock())
+      world = new SimulatedNetwork(new ManualClock())
       world.start(DATA_CENTRES, IN_EACH)
       await world.clock.advance(SETTLED_MILLISECONDS)
       for (const next of steps) await carryOut(next)
--- a/packages/ingress/test/overlay.failure.test.ts
+++ b/packages/ingress/test/overlay.failure.test.ts
@@ -5,7 +5,7 @@
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
 import type { NoticeFrame } from '@limpetwinch/entry'
 import { HubPlan } from '../src/overlay/hub-plan.js'
-import { LinkWorld } from './support/simulated-links.js'
+import { SimulatedNetwork } from './support/simulated-links.js'
 import type { SimulatedInstance } from './support/simulated-links.js'
 import { ManualClock } from './support/manual-clock.js'
 
@@ -19,12 +19,12 @@
 /** A member that is not present for longer than this counts as gone. */
 const SUSPECT_MILLISECONDS = 1_200
 
-let world: LinkWorld
+let world: SimulatedNetwork
 
 afterEach(() => world.end())
 
 async function fleet (): Promise<readonly SimulatedInstance[]> {
-  world = new LinkWorld(new ManualClock())
+  world = new SimulatedNetwork(new ManualClock())
   world.start(DATA_CENTRES, IN_EACH)
   await world.clock.advance(SETTLED_MILLISECONDS)
   return world.instances
@@ -47,7 +47,7 @@
 }
 
 function present (by: SimulatedInstance, instances: readonly SimulatedInstance[]): number {
-  return instances.filter(({ member }) => member !== by.member && by.overlay.isPresent(member.instance)).length
+  return instances.filter(({ member }) => member !== by.member && by.overlay.isReachable(member.instance)).length
 }
 
 describe('the overlay of a large fleet', () => {
@@ -99,7 +99,7 @@
   // Instances that start together learn of each other one after the other. One that is planned as a hub by all others still
   // takes the fleet for a small one; those that dial it must learn all the same that it is a hub, or they would have none.
   it('attaches leaves to a hub that does not know yet how large the fleet is', async () => {
-    world = new LinkWorld(new ManualClock())
+    world = new SimulatedNetwork(new ManualClock())
     world.start(DATA_CENTRES, IN_EACH, 12)
     await world.clock.advance(SETTLED_MILLISECONDS)
     for (const { overlay, member } of world.instances) if (!new HubPlan(world.instances.map((each) => each.member)).isHub(member.name)) overlay.apply(world.instances.map((each) => each.member))
@@ -119,15 +119,15 @@
       const again = [false, false]
       one.overlay.onNeighbour((neighbour) => { again[0] ||= neighbour === two.member.instance })
       two.overlay.onNeighbour((neighbour) => { again[1] ||= neighbour === one.member.instance })
-      one.links.join(two.links)
-      two.links.join(one.links)
+      one.links.addPeer(two.links)
+      two.links.addPeer(one.links)
       return again
     }
-    world = new LinkWorld(new ManualClock())
+    world = new SimulatedNetwork(new ManualClock())
     world.start(1, 2)
     const small = await told()
     world.end()
-    world = new LinkWorld(new ManualClock())
+    world = new SimulatedNetwork(new ManualClock())
     world.start(1, 30)
     expect([small, await told()]).toEqual([[true, true], [true, true]])
   })
@@ -144,8 +144,8 @@
     for (let passed = 0; passed < RECOVERED_MILLISECONDS; passed += 50) {
       await world.clock.advance(50)
       for (const { member } of orphans) {
-        if (observer.overlay.isPresent(member.instance)) continue
-        longest = Math.max(longest, world.clock.now() - (observer.overlay.lastPresent(member.instance) ?? -Infinity))
+        if (observer.overlay.isReachable(member.instance)) continue
+        longest = Math.max(longest, world.clock.now() - (observer.overlay.lastReachableAt(member.instance) ?? -Infinity))
       }
     }
     const orphan = orphans[0] ?? hub
@@ -177,7 +177,7 @@
     await world.clock.advance(RECOVERED_MILLISECONDS)
     const apart = [...new Set(inside.map((each) => present(each, instances))), ...new Set(outside.map((each) => present(each, instances)))]
     const teller = first(outside, false)
-    const own = (neighbour: SimulatedInstance): void => neighbour.overlay.onNeighbour((next) => neighbour.overlay.retell(next, [[teller.member.instance, word('missed')]]))
+    const own = (neighbour: SimulatedInstance): void => neighbour.overlay.onNeighbour((next) => neighbour.overlay.replay(next, [[teller.member.instance, word('missed')]]))
     outside.filter(({ overlay }) => overlay.isHub).forEach(own)
     world.heal()
     await world.clock.advance(RECOVERED_MILLISECONDS)
--- a/packages/ingress/test/quarantine-fleet.failure.test.ts
+++ b/packages/ingress/test/quarantine-fleet.failure.test.ts
@@ -12,7 +12,7 @@
 import type { RoutedRequest } from '../src/relay/routed-request.js'
 import { ManualClock } from './support/manual-clock.js'
 import { MemoryStore } from './support/memory-store.js'
-import { LinkWorld } from './support/simulated-links.js'
+import { SimulatedNetwork } from './support/simulated-links.js'
 import type { SimulatedInstance } from './support/simulated-links.js'
 import { endpoint, route, service } from './support/samples.js'
 
@@ -28,7 +28,7 @@
 const ENGINES = 10
 const CRASHED_AFTER_MILLISECONDS = 80
 
-let world: LinkWorld
+let world: SimulatedNetwork
 let closedAddress = ''
 let crashed = 0
 
@@ -46,7 +46,7 @@
   readonly quarantines = new Map<SimulatedInstance, RequestQuarantine>()
 
   constructor () {
-    world = new LinkWorld(new ManualClock())
+    world = new SimulatedNetwork(new ManualClock())
     world.start(DATA_CENTRES, IN_EACH)
     for (const instance of world.instances) this.equip(instance)
   }
--- a/packages/ingress/test/side-addresses.test.ts
+++ b/packages/ingress/test/side-addresses.test.ts
@@ -2,10 +2,10 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
-import { SideAddresses } from '../src/runtime/side-addresses.js'
-import type { SideAnswers } from '../src/runtime/side-listeners.js'
+import { MonitoringServers } from '../src/runtime/monitoring-servers.js'
+import type { MonitoringSources } from '../src/runtime/monitoring-listeners.js'
 
-let addresses: SideAddresses | undefined
+let addresses: MonitoringServers | undefined
 
 afterEach(() => addresses?.close())
 
@@ -18,9 +18,9 @@
 }
 
 /** @returns how the readiness address and some paths of the metrics address answer */
-async function answersOf (answers: SideAnswers): Promise<Record<string, { status: number, text: string }>> {
+async function answersOf (answers: MonitoringSources): Promise<Record<string, { status: number, text: string }>> {
   const [readiness, metrics] = [await freePort(), await freePort()]
-  addresses = new SideAddresses(answers)
+  addresses = new MonitoringServers(answers)
   await addresses.listen(`127.0.0.1:${readiness}`, `127.0.0.1:${metrics}`)
   const seen = async (port: number, path: string, method = 'GET'): Promise<{ status: number, text: string }> => {
     const answer = await fetch(`http://127.0.0.1:${port}${path}`, { method })
--- a/packages/ingress/test/belief-exchange.failure.test.ts
+++ b/packages/ingress/test/state-exchange.failure.test.ts
@@ -4,14 +4,14 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
 import type { EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
-import { AcceptedConfiguration } from '../src/beliefs/accepted-configuration.js'
-import { AdapterVersions } from '../src/beliefs/adapter-versions.js'
-import { BeliefExchange } from '../src/beliefs/belief-exchange.js'
-import { ClusterView } from '../src/beliefs/cluster-view.js'
-import { StoreHealth } from '../src/beliefs/store-health.js'
+import { AcceptedConfiguration } from '../src/cluster-state/accepted-configuration.js'
+import { AdapterVersions } from '../src/cluster-state/adapter-versions.js'
+import { StateExchange } from '../src/cluster-state/state-exchange.js'
+import { ClusterView } from '../src/cluster-state/cluster-view.js'
+import { StoreHealth } from '../src/cluster-state/store-health.js'
 import { EndpointDirectory } from '../src/endpoints/endpoint-directory.js'
 import type { LoadOwner } from '../src/members/cluster-objects.js'
-import { LinkWorld } from './support/simulated-links.js'
+import { SimulatedNetwork } from './support/simulated-links.js'
 import type { SimulatedInstance } from './support/simulated-links.js'
 import { ManualClock } from './support/manual-clock.js'
 import { endpoint } from './support/samples.js'
@@ -25,11 +25,11 @@
   readonly directory: EndpointDirectory
   readonly health: StoreHealth
   readonly cluster: ClusterView
-  readonly exchange: BeliefExchange
+  readonly exchange: StateExchange
   readonly holders: Map<EndpointId, LoadOwner>
 }
 
-let world: LinkWorld
+let world: SimulatedNetwork
 let endings: AbortController[] = []
 
 afterEach(() => {
@@ -42,12 +42,12 @@
   const logger = silentLogger()
   const [directory, health] = [new EndpointDirectory(logger), new StoreHealth(logger)]
   const holders = new Map<EndpointId, LoadOwner>()
-  const cluster = new ClusterView(({ holders: listed }) => {
+  const cluster = new ClusterView(({ loadOwners: listed }) => {
     holders.clear()
     for (const holder of listed) holders.set(holder.endpoint, holder)
   })
   const beliefs = { configuration: new AcceptedConfiguration(logger), directory, versions: new AdapterVersions(logger, 1), cluster, health }
-  const exchange = new BeliefExchange(links, overlay, beliefs, world.clock)
+  const exchange = new StateExchange(links, overlay, beliefs, world.clock)
   const ending = new AbortController()
   endings.push(ending)
   void exchange.run(ending.signal)
@@ -55,7 +55,7 @@
 }
 
 async function fleet (): Promise<{ readonly hub: Believer, readonly leaf: Believer, readonly hubs: readonly Believer[] }> {
-  world = new LinkWorld(new ManualClock())
+  world = new SimulatedNetwork(new ManualClock())
   world.start(1, 22)
   const believers = new Map(world.instances.map((instance) => [instance, believer(instance)]))
   await world.clock.advance(SETTLED_MILLISECONDS)
@@ -115,7 +115,7 @@
     const { hub, leaf } = await fleet()
     hub.health.answered(world.clock.now())
     await world.clock.advance(TOLD_MILLISECONDS)
-    leaf.exchange.doubt()
+    leaf.exchange.markStale()
     const paused = leaf.exchange.needsStore
     hub.health.answered(world.clock.now())
     await world.clock.advance(2 * TOLD_MILLISECONDS)
--- a/packages/ingress/test/stopping.failure.test.ts
+++ b/packages/ingress/test/stopping.failure.test.ts
@@ -5,7 +5,7 @@
 import type { Socket } from 'node:net'
 import { silentLogger, SystemClock } from '@limpetwinch/core'
 import { afterEach, describe, expect, it } from 'vitest'
-import { stopInOrder } from '../src/runtime/stop-in-order.js'
+import { stopGracefully } from '../src/runtime/graceful-stop.js'
 import { IngressUnderTest } from './support/ingress-under-test.js'
 import { chunk, endStream, framed, RawEndpoint, silence, stream } from './support/raw-endpoint.js'
 import { key, route } from './support/samples.js'
@@ -82,7 +82,7 @@
     ending.push(plain, under)
     const asking = under.askAndPause('/', 3_000)
     await expect.poll(() => plain.requests.length).toBe(1)
-    await stopInOrder({ listener: under.listener, clock: new SystemClock(), logger: silentLogger(), graceMilliseconds: 6_000 })
+    await stopGracefully({ listener: under.listener, clock: new SystemClock(), logger: silentLogger(), graceMilliseconds: 6_000 })
     const seen = await asking
     expect({ bytes: seen.body.length, whole: seen.whole }).toEqual({ bytes: body.length, whole: true })
   }, 10_000)
--- a/packages/ingress/test/store-gate.test.ts
+++ b/packages/ingress/test/store-gate.test.ts
@@ -2,7 +2,7 @@
 // instance spends them for nothing; one that does not start again when the hub is lost leaves this instance without news.
 import { describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
-import type { StoreFollower } from '../src/beliefs/store-follower.js'
+import type { StoreFollower } from '../src/cluster-state/store-follower.js'
 import { StoreGate } from '../src/runtime/store-gate.js'
 import { ManualClock } from './support/manual-clock.js'
 
@@ -19,7 +19,7 @@
     let isNeeded = false
     const gate = new StoreGate(() => isNeeded, clock, silentLogger())
     void gate.run(ending.signal)
-    const following = gate.follow(follower, ending.signal)
+    const following = gate.runWhileOpen(follower, ending.signal)
     const seen: string[][] = []
     for (const needed of [false, true, false, true]) {
       isNeeded = needed
--- a/packages/ingress/test/support/simulated-links.ts
+++ b/packages/ingress/test/support/simulated-links.ts
@@ -23,7 +23,7 @@
   isUp = true
   /** Frames that came. */
   received = 0
-  private readonly world: LinkWorld
+  private readonly world: SimulatedNetwork
   private readonly handlers = new Map<string, ((from: InstanceId, frame: PeerFrame) => void)[]>()
   private readonly connectedListeners: ((peer: PeerIdentity) => void)[] = []
   private readonly disconnectedListeners: ((instance: InstanceId) => void)[] = []
@@ -31,7 +31,7 @@
   private readonly heardUntil = new Map<InstanceId, number>()
   private targets: readonly PeerTarget[] = []
 
-  constructor (self: PeerIdentity, world: LinkWorld) {
+  constructor (self: PeerIdentity, world: SimulatedNetwork) {
     super()
     this.self = self
     this.world = world
@@ -72,8 +72,8 @@
 
   override disconnect (instance: InstanceId): void {
     const other = this.peers.get(instance)
-    this.lose(instance)
-    other?.lose(this.self.instance)
+    this.dropPeer(instance)
+    other?.dropPeer(this.self.instance)
   }
 
   override counts (): FrameCounts {
@@ -105,23 +105,23 @@
     this.evidenceListeners.push(listener)
   }
 
-  wants (instance: InstanceId): boolean {
+  shouldDial (instance: InstanceId): boolean {
     return this.isUp && !this.peers.has(instance) && this.targets.some((target) => target.instance === instance)
   }
 
-  join (other: SimulatedLinks): void {
+  addPeer (other: SimulatedLinks): void {
     this.peers.set(other.self.instance, other)
     for (const listener of this.connectedListeners) listener(other.self)
   }
 
-  lose (instance: InstanceId): void {
+  dropPeer (instance: InstanceId): void {
     if (!this.peers.delete(instance)) return
     this.heardUntil.set(instance, this.world.clock.now())
     for (const listener of this.disconnectedListeners) listener(instance)
     this.world.dial(this, instance)
   }
 
-  refusedBy (instance: InstanceId): void {
+  reportRefusal (instance: InstanceId): void {
     for (const listener of this.evidenceListeners) listener(instance, 'refused')
   }
 
@@ -146,7 +146,7 @@
 }
 
 /** All instances and what is between them. */
-export class LinkWorld {
+export class SimulatedNetwork {
   readonly clock: ManualClock
   readonly instances: SimulatedInstance[] = []
   private readonly cutOff = new Set<DataCentreId>()
@@ -192,7 +192,7 @@
     this.cutOff.add(dataCentre)
     void this.clock.sleep(SILENCE_MILLISECONDS).then(() => {
       for (const { links } of this.instances) {
-        for (const [instance, other] of [...links.peers]) if (!this.isOpen(links, other)) links.lose(instance)
+        for (const [instance, other] of [...links.peers]) if (!this.isOpen(links, other)) links.dropPeer(instance)
       }
     })
   }
@@ -208,16 +208,16 @@
   }
 
   dial (from: SimulatedLinks, to: InstanceId): void {
-    if (!from.wants(to)) return
+    if (!from.shouldDial(to)) return
     void this.clock.sleep(2 * LATENCY_MILLISECONDS).then(async () => {
       const other = this.find(to)
-      if (!from.wants(to)) return
+      if (!from.shouldDial(to)) return
       if (other !== undefined && other.isUp && this.isOpen(from, other)) {
-        from.join(other)
-        other.join(from)
+        from.addPeer(other)
+        other.addPeer(from)
         return
       }
-      if (other?.isUp === false) from.refusedBy(to)
+      if (other?.isUp === false) from.reportRefusal(to)
       await this.clock.sleep(REDIAL_MILLISECONDS)
       this.dial(from, to)
     })
