--- a/packages/decisions/src/limits/team-limiter.ts
+++ b/packages/decisions/src/limits/team-limiter.ts
@@ -1,29 +1,40 @@
-/** Limits of one team on one instance: rate, tokens, in flight, queued. */
-
-/** What a team may use; the deployment's limits are divided between the live instances before they come here. */
+/** Limits of one team on one instance. The caller divides the deployment's limits between the live instances. */
 export interface TeamLimits {
   readonly requestsPerSecond: number
   readonly tokensPerSecond: number
+  /** Requests that are queued or running. */
   readonly inFlight: number
   readonly queued: number
 }
 
-/** The answer to one request. */
+/** Result of an admission check for one request. */
 export type LimitDecision =
   | { readonly admitted: true }
   | { readonly admitted: false, readonly limit: 'requests per second' | 'tokens per second' | 'requests in flight' | 'requests queued', readonly retryAfterSeconds: number }
 
-/** Refuses early what is over a team's limits. */
+/** Refuses requests that exceed a team's limits when they arrive, before they are queued. */
 export abstract class TeamLimiter {
-  /** Takes up the limits in force; what is in flight stays counted. */
+  /** Replaces the limits. Requests that are queued or in flight stay counted. */
   abstract configure (limits: TeamLimits): void
 
-  /** @returns whether a request may enter; an admitted one counts until {@link TeamLimiter.finish} */
+  /**
+   * Decides whether a request may enter the queue. An admitted request counts against the limits until {@link TeamLimiter.finish}.
+   *
+   * @param promptTokens - tokens of the prompt
+   * @param maximumTokens - the most output tokens that the request may produce
+   * @param now - monotonic milliseconds
+   */
   abstract admit (promptTokens: number, maximumTokens: number, now: number): LimitDecision
 
   /** Moves a request from queued to running. */
   abstract start (): void
 
-  /** Ends a request; unused tokens are given back. */
+  /**
+   * Removes a request from the counts and refunds its unused tokens.
+   *
+   * @param wasRunning - whether the request had left the queue, see {@link TeamLimiter.start}
+   * @param unusedTokens - tokens charged at admission that the request did not use
+   * @param now - monotonic milliseconds
+   */
   abstract finish (wasRunning: boolean, unusedTokens: number, now: number): void
 }
--- a/packages/decisions/src/limits/token-bucket-team-limiter.ts
+++ b/packages/decisions/src/limits/token-bucket-team-limiter.ts
@@ -1,12 +1,11 @@
-/** A team's limits by token buckets and counts. */
 import { TeamLimiter } from './team-limiter.js'
 import type { LimitDecision, TeamLimits } from './team-limiter.js'
 import { TokenBucket } from './token-bucket.js'
 
-/** First limits and how much may come at once. */
+/** Initial limits and burst size. */
 export interface TokenBucketTeamLimiterOptions {
   readonly limits: TeamLimits
-  /** Seconds of the rates that may be used at once after a pause. */
+  /** Burst size of both rate limits, as seconds of their rate. */
   readonly burstSeconds?: number
 }
 
@@ -14,7 +13,7 @@
 
 const MINIMUM_RETRY_AFTER_SECONDS = 1
 
-/** Admits or refuses at once; a refused request takes nothing from any limit. */
+/** Enforces the two rate limits with token buckets and the other two with counters. A refused request consumes no limit. */
 export class TokenBucketTeamLimiter extends TeamLimiter {
   private limits: TeamLimits
   private readonly burstSeconds: number
@@ -39,10 +38,10 @@
 
   admit (promptTokens: number, maximumTokens: number, now: number): LimitDecision {
     const cost = promptTokens + maximumTokens
-    const forRequests = this.requests.secondsUntil(1, now)
-    if (forRequests > 0) return refuse('requests per second', forRequests)
-    const forTokens = this.tokens.secondsUntil(cost, now)
-    if (forTokens > 0) return refuse('tokens per second', forTokens)
+    const requestDelay = this.requests.secondsUntil(1, now)
+    if (requestDelay > 0) return refuse('requests per second', requestDelay)
+    const tokenDelay = this.tokens.secondsUntil(cost, now)
+    if (tokenDelay > 0) return refuse('tokens per second', tokenDelay)
     if (this.queued + this.running >= this.limits.inFlight) return refuse('requests in flight', 0)
     if (this.queued >= this.limits.queued) return refuse('requests queued', 0)
     this.requests.take(1)
@@ -62,12 +61,12 @@
     this.tokens.refund(unusedTokens, now)
   }
 
-  /** @returns requests that wait and run */
+  /** Numbers of queued and running requests. */
   get counts (): { readonly queued: number, readonly running: number } {
     return { queued: this.queued, running: this.running }
   }
 
-  /** A team's share of one instance can be below one request a second; the bucket must hold at least one. */
+  /** A team's share of one instance can be less than one request per second. The bucket must still hold one request, or none would ever be admitted. */
   private requestBurst (): number {
     return Math.max(1, this.limits.requestsPerSecond * this.burstSeconds)
   }
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -1,38 +1,36 @@
-/** A token bucket that may go into debt for one large request. */
-
-/** Refills at a rate up to a burst. */
+/** Token bucket whose level may become negative, so that a request larger than the burst can be admitted once the bucket is full. */
 export class TokenBucket {
   private level: number
   private updatedAt: number | undefined
 
   /**
-   * @param rate - refill for each second
-   * @param burst - the most it holds
+   * @param rate - tokens added per second
+   * @param burst - capacity in tokens; the bucket starts full
    */
   constructor (private rate: number, private burst: number) {
     this.level = burst
   }
 
-  /** Takes up another rate; what was spent stays spent. */
+  /** Changes rate and capacity. The number of tokens missing from a full bucket stays the same. */
   configure (rate: number, burst: number): void {
     this.level = Math.min(burst, this.level + burst - this.burst)
     this.rate = rate
     this.burst = burst
   }
 
-  /** @returns seconds until `amount` could be taken, 0 when it could be now; an amount above the burst waits for a full bucket */
+  /** @returns seconds until `amount` tokens can be taken, 0 if they can be taken now; an amount above the burst needs a full bucket */
   secondsUntil (amount: number, now: number): number {
     this.refill(now)
     const missing = Math.min(amount, this.burst) - this.level
     return missing <= 0 ? 0 : missing / this.rate
   }
 
-  /** Takes an amount, if need be into debt. */
+  /** Removes tokens, even if the level becomes negative. */
   take (amount: number): void {
     this.level -= amount
   }
 
-  /** Gives back what was taken and not used. */
+  /** Returns tokens that were taken but not used. */
   refund (amount: number, now: number): void {
     this.refill(now)
     this.level = Math.min(this.burst, this.level + amount)
