--- a/packages/decisions/src/routing/engine-speeds.ts
+++ b/packages/decisions/src/routing/engine-speeds.ts
@@ -1,35 +1,34 @@
-/**
- * How fast engines are, from what their streams show.
- *
- * Engines of one service differ in speed, and nobody says by how much. While an engine reads a long prompt all its streams
- * stand still: on one that is a third slower the pause grows beyond what callers bear, and each stream there is late. The
- * spacing of events tells the engines apart within a few streams; how many tokens are read in a millisecond is the same
- * for all of them but for that factor, and is learnt from long prompts on any of them.
- */
-
-/** Prompt tokens read in a millisecond before anything is learnt. */
+/** Prefill rate of the fastest engine before any prompt was measured. */
 const INITIAL_PREFILL_TOKENS_PER_MILLISECOND = 35
-/** Prompts from this size on tell how fast they are read; in shorter ones the way there and back counts for more. */
+/** Prompts below this size are not measured, since network delay dominates the time until their first event. */
 const MINIMUM_PROMPT_TOKENS = 2_000
-/** Weight of the newest sample. */
+/** Weight of the latest sample in the moving averages. */
 const SMOOTHING_FACTOR = 0.2
-/** Streams after which an engine's spacing is believed. */
+/** Streams needed before an engine's event spacing is used. */
 const MINIMUM_STREAMS = 3
-/** One sample changes the reading speed by no more than this factor: a prompt may have waited for others. */
+/** Bounds the factor by which a sample may differ from the current prefill rate, since the prompt may have waited for others. */
 const MAXIMUM_CHANGE_FACTOR = 2
 const MAXIMUM_SLOWNESS = 6
 
+/** Average event spacing of one engine. */
 interface Spacing {
   milliseconds: number
   streams: number
 }
 
-/** Speeds of the engines of one deployment. */
+/**
+ * Estimates the relative speed of a deployment's engines from their streams.
+ *
+ * Engines of one service differ in speed without reporting it. While an engine prefills a long prompt, all its streams pause.
+ * On an engine that is a third slower, the pause exceeds what callers accept, and every stream there is late. The spacing of
+ * events shows the relative speed of an engine within a few streams. The prefill rate differs between engines by the same
+ * factor, so a single rate is learnt from long prompts on all of them.
+ */
 export class EngineSpeeds {
   private readonly spacings = new Map<string, Spacing>()
   private prefillTokensPerMillisecond = INITIAL_PREFILL_TOKENS_PER_MILLISECOND
 
-  /** A stream's events came this far apart while nothing held them up. */
+  /** Records the spacing of a stream's events, measured without the pauses for other requests' prefill. */
   recordEventSpacing (endpoint: string, milliseconds: number): void {
     const spacing = this.spacings.get(endpoint)
     if (spacing === undefined) {
@@ -40,7 +39,7 @@
     spacing.milliseconds += SMOOTHING_FACTOR * (milliseconds - spacing.milliseconds)
   }
 
-  /** So many prompt tokens were read in this time. */
+  /** Records that the engine prefilled a prompt of this many tokens in this time. */
   recordPrefill (endpoint: string, tokens: number, milliseconds: number): void {
     if (tokens < MINIMUM_PROMPT_TOKENS || milliseconds <= 0) return
     const sample = tokens / milliseconds * this.slowness(endpoint)
@@ -49,7 +48,7 @@
     this.prefillTokensPerMillisecond += SMOOTHING_FACTOR * (bounded - before)
   }
 
-  /** @returns how many times slower the engine is than the fastest one known; 1 while nothing is known of it */
+  /** @returns how many times slower the engine is than the fastest measured one; 1 for an engine with too few measured streams */
   slowness (endpoint: string): number {
     const spacing = this.spacings.get(endpoint)
     if (spacing === undefined || spacing.streams < MINIMUM_STREAMS) return 1
@@ -58,12 +57,12 @@
     return Math.min(MAXIMUM_SLOWNESS, spacing.milliseconds / fastest)
   }
 
-  /** @returns milliseconds that the engine takes to read so many prompt tokens */
+  /** @returns milliseconds that the engine needs to prefill this many prompt tokens */
   prefillMilliseconds (endpoint: string, tokens: number): number {
     return tokens / this.prefillTokensPerMillisecond * this.slowness(endpoint)
   }
 
-  /** The engine is gone or started again. */
+  /** Drops the measurements of an engine that was removed or restarted. */
   forget (endpoint: string): void {
     this.spacings.delete(endpoint)
   }
--- a/packages/decisions/src/routing/error-rates.ts
+++ b/packages/decisions/src/routing/error-rates.ts
@@ -1,57 +1,60 @@
-/** Finds endpoints that answer with errors much more often than their peers. */
 import type { EndpointId } from '@limpetwinch/core'
 
-/** How errors are counted. */
+/** Thresholds and smoothing of {@link ErrorRates}. */
 export interface ErrorRatesOptions {
-  /** Weight of the newest answer, 0 to 1. */
+  /** Weight of the latest response in the moving average, 0 to 1. */
   readonly smoothing?: number
-  /** An endpoint is conspicuous when its share of errors is above this and above its peers' by a factor. */
+  /** Error rate below which an endpoint is never an outlier, 0 to 1. */
   readonly minimumErrorRate?: number
+  /** Factor by which the error rate of an outlier exceeds the mean rate of its peers. */
   readonly peerFactor?: number
 }
 
 /**
- * Some services answer a part of their requests with errors of their own, so failures in a row say nothing; what tells a
- * failing endpoint is that it does so more often than the others of its service.
+ * Finds endpoints whose error rate is much higher than that of their peers.
+ *
+ * Some services respond to part of their requests with errors in normal operation, so consecutive failures do not identify a
+ * failing endpoint. Its error rate compared with the other endpoints of the service does.
  */
 export class ErrorRates {
   private readonly rates = new Map<EndpointId, number>()
   private readonly smoothing: number
   private readonly minimumErrorRate: number
-  private readonly factor: number
+  private readonly peerFactor: number
 
   constructor (options: ErrorRatesOptions = {}) {
     this.smoothing = options.smoothing ?? 0.15
     this.minimumErrorRate = options.minimumErrorRate ?? 0.3
-    this.factor = options.peerFactor ?? 2
+    this.peerFactor = options.peerFactor ?? 2
   }
 
-  /** Counts an answer. */
+  /** Records a response of the endpoint. */
   observe (endpoint: EndpointId, isError: boolean): void {
     const before = this.rates.get(endpoint) ?? 0
     this.rates.set(endpoint, before + this.smoothing * ((isError ? 1 : 0) - before))
   }
 
   /**
-   * An endpoint that gets no more work makes no more errors either; its rate falls with time so that it is tried again.
+   * Lowers all error rates. An endpoint that gets no requests has no new responses, so without decay its rate would stay high
+   * and it would never be used again.
    *
-   * @param factor - what is left of each rate, 0 to 1
+   * @param factor - factor applied to each rate, 0 to 1
    */
   decay (factor: number): void {
     for (const [endpoint, rate] of this.rates) this.rates.set(endpoint, rate * factor)
   }
 
-  /** @returns whether the endpoint makes many more errors than the others */
+  /** @returns whether the error rate of the endpoint is much higher than that of its peers */
   isOutlier (endpoint: EndpointId, peers: readonly EndpointId[]): boolean {
     const rate = this.rates.get(endpoint) ?? 0
     if (rate < this.minimumErrorRate) return false
     const others = peers.filter((peer) => peer !== endpoint)
     if (others.length === 0) return false
     const mean = others.reduce((sum, peer) => sum + (this.rates.get(peer) ?? 0), 0) / others.length
-    return rate > this.factor * mean
+    return rate > this.peerFactor * mean
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Drops the error rate of an endpoint that was removed. */
   forget (endpoint: EndpointId): void {
     this.rates.delete(endpoint)
   }
--- a/packages/decisions/src/routing/event-spacing.ts
+++ b/packages/decisions/src/routing/event-spacing.ts
@@ -1,23 +1,21 @@
-/** The usual spacing of one stream's events, apart from the pauses in which its engine did something else. */
-
-/** Enough to tell a spacing; later events of a stream add nothing. */
+/** Number of gaps that is enough for an estimate; later gaps of the stream are ignored. */
 const MAXIMUM_GAPS = 32
 const MINIMUM_GAPS = 6
-/** Events that came in one piece say nothing of the time between them. */
+/** Shorter gaps are ignored: the events arrived in one chunk, so their gap does not show the spacing. */
 const MINIMUM_GAP_MILLISECONDS = 2
-/** Below half of the gaps are free of other requests' prompts on a busy engine; a quarter mostly are. */
+/** On a busy engine fewer than half of the gaps are free of other requests' prefill, but a quarter usually are. */
 const GAP_QUANTILE = 0.25
 
-/** Gaps of one stream. */
+/** Estimates the spacing of one stream's events without the pauses in which the engine prefilled other requests' prompts. */
 export class EventSpacing {
   private readonly gaps: number[] = []
 
-  /** An event came so long after the one before. */
+  /** Records the time between two consecutive events. */
   recordGap (milliseconds: number): void {
     if (this.gaps.length < MAXIMUM_GAPS && milliseconds >= MINIMUM_GAP_MILLISECONDS) this.gaps.push(milliseconds)
   }
 
-  /** @returns the spacing in milliseconds; undefined for a stream that is too short to tell */
+  /** Event spacing in milliseconds; undefined while the stream has too few gaps. */
   get milliseconds (): number | undefined {
     if (this.gaps.length < MINIMUM_GAPS) return undefined
     const sorted = this.gaps.toSorted((left, right) => left - right)
--- a/packages/decisions/src/routing/outlier-ejection.ts
+++ b/packages/decisions/src/routing/outlier-ejection.ts
@@ -1,16 +1,15 @@
-/** Ejects endpoints that fail and lets them return gently. */
 import type { EndpointId } from '@limpetwinch/core'
 
-/** How soon an endpoint is ejected and how it returns. */
+/** Thresholds and durations of {@link OutlierEjection}. */
 export interface OutlierEjectionOptions {
-  /** Failures in a row that eject. */
+  /** Consecutive failures after which an endpoint is ejected. */
   readonly failuresToEject?: number
-  /** First ejection, milliseconds; doubled with each ejection that follows soon. */
+  /** Duration of the first ejection, milliseconds; doubled with each further ejection during recovery. */
   readonly ejectionMilliseconds?: number
   readonly longestEjectionMilliseconds?: number
-  /** Share of the endpoints that stays in use whatever fails, 0 to 1. */
+  /** Share of the endpoints that stays usable however many fail, 0 to 1. */
   readonly minimumUsableShare?: number
-  /** Time over which a returning endpoint's penalty falls to nothing, milliseconds. */
+  /** Time after an ejection during which one failure ejects the endpoint again and its penalty falls to 0, milliseconds. */
   readonly recoveryMilliseconds?: number
 }
 
@@ -23,7 +22,7 @@
 
 const MAXIMUM_DOUBLINGS = 16
 
-/** Follows failures of endpoints; keeps a record only for those that failed. */
+/** Ejects endpoints that fail several times in a row and penalises them after their return. Only endpoints that failed use memory. */
 export class OutlierEjection {
   private readonly records = new Map<EndpointId, FailureRecord>()
   private readonly failuresToEject: number
@@ -40,14 +39,14 @@
     this.recoveryMilliseconds = options.recoveryMilliseconds ?? 10_000
   }
 
-  /** Tells how an attempt ended. */
+  /** Records the result of an attempt. */
   observe (endpoint: EndpointId, result: 'answered' | 'failed', now: number): void {
     const record = this.records.get(endpoint)
     if (result === 'answered') {
       if (record === undefined) return
       record.consecutiveFailures = 0
-      const forgotten = now - record.lastFailureAt > this.recoveryMilliseconds && now >= record.ejectedUntil + this.recoveryMilliseconds
-      if (forgotten) this.records.delete(endpoint)
+      const recovered = now - record.lastFailureAt > this.recoveryMilliseconds && now >= record.ejectedUntil + this.recoveryMilliseconds
+      if (recovered) this.records.delete(endpoint)
       return
     }
     this.failed(endpoint, record, now)
@@ -58,7 +57,7 @@
     this.records.set(endpoint, current)
     current.consecutiveFailures += 1
     current.lastFailureAt = now
-    // Attempts that were under way when it was ejected fail late; they must not lengthen the ejection.
+    // Attempts that were in flight when the endpoint was ejected may fail during the ejection. They must not extend it.
     if (now < current.ejectedUntil) return
     const onProbation = current.ejections > 0 && now < current.ejectedUntil + this.recoveryMilliseconds
     if (current.consecutiveFailures < this.failuresToEject && !onProbation) return
@@ -70,31 +69,31 @@
   }
 
   /**
-   * Picks the endpoints that may be used.
+   * Selects the endpoints that may be used.
    *
-   * When a fault of the network makes most endpoints fail, ejecting them all would send everything to the few that are
-   * left, which then fail as well. The floor keeps a share in use, those whose ejection ends first.
+   * If a network fault makes most endpoints fail, ejecting all of them would send all requests to the few that are left and
+   * overload them. A minimum share therefore stays usable, completed by the ejected endpoints whose ejection ends first.
    *
    * @param endpoints - the candidates
    * @param now - monotonic milliseconds
-   * @returns those not ejected, filled up to the floor
+   * @returns the candidates that are not ejected, plus ejected ones up to the minimum share
    */
   usable<Item extends { readonly endpoint: EndpointId }> (endpoints: readonly Item[], now: number): readonly Item[] {
     if (this.records.size === 0) return endpoints
-    const kept = endpoints.filter((item) => !this.isEjected(item.endpoint, now))
-    const least = Math.ceil(endpoints.length * this.minimumUsableShare)
-    if (kept.length >= least) return kept
+    const available = endpoints.filter((item) => !this.isEjected(item.endpoint, now))
+    const minimum = Math.ceil(endpoints.length * this.minimumUsableShare)
+    if (available.length >= minimum) return available
     const ejected = endpoints.filter((item) => this.isEjected(item.endpoint, now))
     ejected.sort((left, right) => this.ejectedUntil(left.endpoint) - this.ejectedUntil(right.endpoint))
-    return [...kept, ...ejected.slice(0, least - kept.length)]
+    return [...available, ...ejected.slice(0, minimum - available.length)]
   }
 
-  /** @returns whether the endpoint is ejected now */
+  /** @returns whether the endpoint is ejected at this time */
   isEjected (endpoint: EndpointId, now: number): boolean {
     return this.ejectedUntil(endpoint) > now
   }
 
-  /** @returns 1 for an endpoint that has just failed or returned, falling to 0 over the return time */
+  /** @returns 1 for an endpoint that just failed or returned from ejection, falling to 0 over the recovery time */
   penalty (endpoint: EndpointId, now: number): number {
     const record = this.records.get(endpoint)
     if (record === undefined) return 0
--- a/packages/decisions/src/routing/routing-policy.ts
+++ b/packages/decisions/src/routing/routing-policy.ts
@@ -1,11 +1,10 @@
-/** Where a request goes. */
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
 
-/** An engine as the router sees it; reports lag, so `sentSince` counts what was sent after the newest one. */
+/** Router's view of an engine. Engine reports lag, so `sentSinceReport` counts the requests sent after the latest report. */
 export interface EndpointView {
   readonly endpoint: EndpointId
   readonly dataCentre: DataCentreId
-  /** One way, milliseconds. */
+  /** One-way network delay, milliseconds. */
   readonly oneWayMilliseconds: number
   readonly baseModel: string
   readonly role: string
@@ -17,21 +16,21 @@
   readonly batchCapacity: number
   readonly leaving: boolean
   /**
-   * @returns queued requests that would be served before one of this team: under fair queueing a long queue of another
-   *   team is not in its way. `queued` is taken when absent
+   * Number of queued requests that would be served before a new request of the team. Under fair queueing, a long queue of
+   * another team does not delay it. `queued` is used when this is absent.
    */
   readonly queuedBefore?: (team: string) => number
-  /** Loads that wait or run for this engine. */
+  /** Adapter loads that are waiting or running for this engine. */
   readonly pendingLoads: number
-  /** @returns whether the adapter `team/adapter@version` is loaded, or its load is under way */
+  /** @returns whether the adapter `team/adapter@version` is loaded or being loaded */
   readonly holds: (adapter: string) => 'loaded' | 'loading' | 'absent'
-  /** @returns requests expected to stall by the eviction that another load needs: 0 with a free slot, Infinity when all are pinned */
+  /** @returns number of requests that the eviction for one more load is expected to stall: 0 with a free slot, Infinity if all are pinned */
   readonly evictionCost?: () => number
-  /** @returns the share of the prompt whose prefix is likely cached, 0 to 1 */
+  /** @returns the share of the prompt that is probably in the engine's prefix cache, 0 to 1 */
   readonly cachedShare: (prompt: string) => number
 }
 
-/** What is to be routed. */
+/** Request to be routed. */
 export interface RoutingRequest {
   /** `team/adapter@version`, or undefined for the base model alone. */
   readonly adapter: string | undefined
@@ -41,22 +40,22 @@
   readonly promptTokens: number
   readonly maximumTokens: number
   readonly priority: number
-  /** The team's recent service over its share of all teams' service; 1 is fair, and taken when absent. */
+  /** The team's recent service divided by its fair share of all teams' service; 1, the fair value, is used when this is absent. */
   readonly shareUsed?: number
-  /** Endpoints that this request has already failed on. */
+  /** Endpoints on which this request has already failed. */
   readonly avoid: ReadonlySet<EndpointId>
 }
 
 /** Chooses an endpoint for each request. */
 export abstract class RoutingPolicy {
   /**
-   * @param question - the request
-   * @param endpoints - all engines that could be asked; leaving ones and ones of another base model among them
+   * @param request - the request to be routed
+   * @param endpoints - all known engines, including those that are leaving or serve another base model
    * @param now - monotonic milliseconds
-   * @returns the endpoint to ask, or undefined when none may take it
+   * @returns the endpoint to send the request to, or undefined when none can serve it
    */
-  abstract choose (question: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined
+  abstract choose (request: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined
 
-  /** Tells how an attempt ended, for ejection of endpoints that fail and their gentle return. */
+  /** Records the result of an attempt, used to eject failing endpoints and to penalise them after their return. */
   abstract observe (endpoint: EndpointId, result: 'answered' | 'failed', now: number): void
 }
--- a/packages/decisions/src/routing/weighted-routing-policy.ts
+++ b/packages/decisions/src/routing/weighted-routing-policy.ts
@@ -1,4 +1,3 @@
-/** Routing by expected wait: each thing that matters is turned into milliseconds and the smallest sum wins. */
 import type { EndpointId } from '@limpetwinch/core'
 import { OutlierEjection } from './outlier-ejection.js'
 import type { OutlierEjectionOptions } from './outlier-ejection.js'
@@ -6,44 +5,49 @@
 import { RoutingPolicy } from './routing-policy.js'
 import type { EndpointView, RoutingRequest } from './routing-policy.js'
 
-/** What the costs are made of. */
+/** Parameters of the cost model. */
 export interface WeightedRoutingOptions {
-  /** 0 puts load stalls first, 1 puts batch efficiency first. */
+  /** Trade-off between avoiding load stalls (0) and filling batches (1). */
   readonly batchEfficiencyWeight?: number
-  /** Loads a second of the whole deployment. */
+  /** Adapter loads per second of the whole deployment. */
   readonly loadsPerSecond?: number
-  /** Milliseconds of one decoding step. */
+  /** Duration of one decoding step, milliseconds. */
   readonly stepMilliseconds?: number
-  /** Output tokens of a usual request. */
+  /** Output tokens of a typical request. */
   readonly usualOutputTokens?: number
-  /** Prompt tokens read in a millisecond. */
+  /** Prefill rate, tokens per millisecond. */
   readonly promptTokensPerMillisecond?: number
-  /** Roles that take requests. */
+  /** Roles of engines that accept requests. */
   readonly roles?: readonly string[]
   readonly ejection?: OutlierEjectionOptions
 }
 
-/** Sums over all candidates, made once for each question. */
+/** Aggregates over all candidates, computed once per request. */
 interface CandidateTotals {
   readonly pendingLoads: number
+  /** Candidates on which the adapter is loaded or being loaded. */
   readonly copies: number
-  /** The shortest queue of an endpoint that holds the adapter. */
+  /** Length of the shortest queue among the copies; Infinity without copies. */
   readonly shortestQueueAtCopies: number
 }
 
 const DEFAULT_ROLES: readonly string[] = ['', 'generate', 'mixed', 'decode', 'serve']
 const FAILURE_PENALTY_MILLISECONDS = 2_000
-/** What an empty place in a batch is worth at a weight of 1; a request that waits for a place costs more than that. */
+/** Cost of an empty batch at a weight of 1, divided evenly between its places. One empty place costs less than one request that waits. */
 const EMPTY_BATCH_MILLISECONDS = 250
-/** What a full batch's longer steps cost at a weight of 0. */
+/** Cost of the longer steps of a full batch at a weight of 0. */
 const FULL_BATCH_MILLISECONDS = 20
+/** Maximum cost of an endpoint that is not the home of the adapter. */
 const HOME_PREFERENCE_MILLISECONDS = 20
-/** A team with less than this of its share has a claim that other teams' queues do not stand in the way of. */
+/** A team that had less than this part of its fair share may have another copy of an adapter loaded where its turn comes sooner. */
 const SERVED_SHARE_THRESHOLD = 0.6
-/** Requests of a queue that together bear half of a copy's price. */
+/** Length of the queue at which the cost of another copy is halved. */
 const COPY_COST_HALVING_QUEUE = 4
 
-/** Chooses the endpoint with the smallest expected wait. Asks only the endpoints handed in; adapters are never scanned. */
+/**
+ * Chooses the endpoint with the lowest cost. Every criterion is expressed as milliseconds of expected wait, and the sum is the
+ * cost. The time to choose depends on the number of endpoints passed in, not on the number of adapters.
+ */
 export class WeightedRoutingPolicy extends RoutingPolicy {
   private readonly batchEfficiencyWeight: number
   private readonly loadMilliseconds: number
@@ -62,16 +66,16 @@
     this.ejection = new OutlierEjection(options.ejection)
   }
 
-  choose (question: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined {
-    const suitable = endpoints.filter((view) => this.canServe(question, view))
-    const fresh = suitable.filter((view) => !question.avoid.has(view.endpoint))
-    // An endpoint that failed this request is better than none: its fault may have passed.
-    const candidates = this.ejection.usable(fresh.length > 0 ? fresh : suitable, now)
-    const surroundings = candidateTotals(question, candidates)
+  choose (request: RoutingRequest, endpoints: readonly EndpointView[], now: number): EndpointId | undefined {
+    const suitable = endpoints.filter((view) => this.canServe(request, view))
+    const untried = suitable.filter((view) => !request.avoid.has(view.endpoint))
+    // If all endpoints failed this request, one of them is tried again: the fault may have been transient.
+    const candidates = this.ejection.usable(untried.length > 0 ? untried : suitable, now)
+    const totals = candidateTotals(request, candidates)
     let best: EndpointView | undefined
     let bestCost = Infinity
     for (const view of candidates) {
-      const cost = this.cost(question, view, surroundings, now)
+      const cost = this.cost(request, view, totals, now)
       if (cost < bestCost) {
         best = view
         bestCost = cost
@@ -84,86 +88,86 @@
     this.ejection.observe(endpoint, result, now)
   }
 
-  /** @returns whether an endpoint could run the request at all */
-  private canServe (question: RoutingRequest, view: EndpointView): boolean {
-    return !view.leaving && view.baseModel === question.baseModel && this.roles.has(view.role)
+  /** @returns whether the endpoint is able to run the request */
+  private canServe (request: RoutingRequest, view: EndpointView): boolean {
+    return !view.leaving && view.baseModel === request.baseModel && this.roles.has(view.role)
   }
 
-  /** @returns the expected wait on an endpoint and what it costs others, milliseconds */
-  private cost (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals, now: number): number {
-    const queue = this.queueWait(question, view, surroundings)
-    const load = this.loadWait(question, view, surroundings)
-    const prompt = question.promptTokens * (1 - view.cachedShare(question.prompt)) / this.promptTokensPerMillisecond
+  /** @returns the expected wait on the endpoint plus the delay for other requests, milliseconds */
+  private cost (request: RoutingRequest, view: EndpointView, totals: CandidateTotals, now: number): number {
+    const queue = this.queueWait(request, view, totals)
+    const load = this.loadWait(request, view, totals)
+    const prompt = request.promptTokens * (1 - view.cachedShare(request.prompt)) / this.promptTokensPerMillisecond
     const failures = this.ejection.penalty(view.endpoint, now) * FAILURE_PENALTY_MILLISECONDS
-    // The load and the queue pass side by side: a request waits for the longer one.
-    return Math.max(queue, load.wait) + load.price + this.batchCost(view) + prompt + 2 * view.oneWayMilliseconds + failures +
-      this.homeCost(question, view)
+    // The adapter loads while the request is queued, so the longer of the two waits counts.
+    return Math.max(queue, load.wait) + load.delayToOthers + this.batchCost(view) + prompt + 2 * view.oneWayMilliseconds + failures +
+      this.homeCost(request, view)
   }
 
-  /** @returns the wait for a place in the batch; reports lag, so what was sent since the newest one counts as queued */
-  private queueWait (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals): number {
-    // A team's turn comes sooner where it has no queue yet. For a team that has its share that is no reason for a copy:
-    // its share is one over all engines, and in an overload copies of everything would only use up the loads.
-    const copy = surroundings.copies > 0 && question.adapter !== undefined && view.holds(question.adapter) === 'absent'
-    const hasShare = (question.shareUsed ?? 1) > SERVED_SHARE_THRESHOLD
-    const before = copy && hasShare ? view.queued : queuedBefore(question, view)
+  /** @returns the wait for a place in the batch, milliseconds; requests sent since the latest report count as queued */
+  private queueWait (request: RoutingRequest, view: EndpointView, totals: CandidateTotals): number {
+    // A team is served sooner on an engine where it has no queue yet. For a team that already gets its share, this is no reason
+    // to load another copy: its share counts over all engines, and in an overload copies would only use up the load capacity.
+    const isNewCopy = totals.copies > 0 && request.adapter !== undefined && view.holds(request.adapter) === 'absent'
+    const hasShare = (request.shareUsed ?? 1) > SERVED_SHARE_THRESHOLD
+    const before = isNewCopy && hasShare ? view.queued : queuedBefore(request, view)
     const ahead = view.running + before + view.sentSinceReport
-    const over = ahead + 1 - view.batchCapacity
-    if (over <= 0) return 0
-    return over / view.batchCapacity * this.serviceMilliseconds
+    const excess = ahead + 1 - view.batchCapacity
+    if (excess <= 0) return 0
+    return excess / view.batchCapacity * this.serviceMilliseconds
   }
 
-  /** @returns the wait for the adapter, and what a new load costs those whose loads wait behind it */
-  private loadWait (question: RoutingRequest, view: EndpointView, surroundings: CandidateTotals): { wait: number, price: number } {
-    if (question.adapter === undefined) return { wait: 0, price: 0 }
-    const held = view.holds(question.adapter)
-    if (held === 'loaded') return { wait: 0, price: 0 }
-    if (held === 'loading') return { wait: surroundings.pendingLoads * this.loadMilliseconds / 2, price: 0 }
-    const oneLoad = (surroundings.pendingLoads + 1) * this.loadMilliseconds
-    const stalled = view.evictionCost?.() ?? estimatedEvictionCost(question.adapter, view)
-    const slot = view.pinnedSlots >= view.slots || stalled === Infinity ? this.serviceMilliseconds : 0
-    // Loads run one at a time: another copy holds up each load behind it, so only a queue asks for it. All who wait in
-    // that queue share its price where the copy gets an idle place; between full engines it would gain nothing.
-    const sharing = this.queueWait(question, view, surroundings) > 0 ? 0 : surroundings.shortestQueueAtCopies / COPY_COST_HALVING_QUEUE
-    const copy = surroundings.copies > 0 ? oneLoad / (1 + sharing) : 0
-    const eviction = stalled === Infinity ? oneLoad : stalled * oneLoad
-    return { wait: oneLoad + slot, price: copy + eviction }
+  /** @returns the wait for the adapter, and the delay that a new load causes for the loads behind it, milliseconds */
+  private loadWait (request: RoutingRequest, view: EndpointView, totals: CandidateTotals): { wait: number, delayToOthers: number } {
+    if (request.adapter === undefined) return { wait: 0, delayToOthers: 0 }
+    const held = view.holds(request.adapter)
+    if (held === 'loaded') return { wait: 0, delayToOthers: 0 }
+    if (held === 'loading') return { wait: totals.pendingLoads * this.loadMilliseconds / 2, delayToOthers: 0 }
+    const oneLoad = (totals.pendingLoads + 1) * this.loadMilliseconds
+    const stalledRequests = view.evictionCost?.() ?? estimatedEvictionCost(request.adapter, view)
+    const slotWait = view.pinnedSlots >= view.slots || stalledRequests === Infinity ? this.serviceMilliseconds : 0
+    // Loads run one at a time, so another copy delays every load behind it and is justified only by a queue. The requests of
+    // that queue share the cost if the new copy gets a free place in a batch. Between full engines a copy gains nothing.
+    const sharing = this.queueWait(request, view, totals) > 0 ? 0 : totals.shortestQueueAtCopies / COPY_COST_HALVING_QUEUE
+    const copy = totals.copies > 0 ? oneLoad / (1 + sharing) : 0
+    const eviction = stalledRequests === Infinity ? oneLoad : stalledRequests * oneLoad
+    return { wait: oneLoad + slotWait, delayToOthers: copy + eviction }
   }
 
-  /** @returns the cost of a step that stays empty: a fuller batch gives more tokens for each step */
+  /** @returns the cost of the batch size: a fuller batch yields more tokens per step, but its steps take longer */
   private batchCost (view: EndpointView): number {
     const ahead = view.running + view.queued + view.sentSinceReport
     const filled = Math.min(1, ahead / view.batchCapacity)
-    const packing = this.batchEfficiencyWeight * EMPTY_BATCH_MILLISECONDS * (1 - filled)
-    const spreading = (1 - this.batchEfficiencyWeight) * FULL_BATCH_MILLISECONDS * filled
-    return packing + spreading
+    const emptiness = this.batchEfficiencyWeight * EMPTY_BATCH_MILLISECONDS * (1 - filled)
+    const fullness = (1 - this.batchEfficiencyWeight) * FULL_BATCH_MILLISECONDS * filled
+    return emptiness + fullness
   }
 
-  /** @returns less for an adapter's home, so that instances which route at the same moment share one load */
-  private homeCost (question: RoutingRequest, view: EndpointView): number {
-    const key = question.adapter ?? question.team
+  /** @returns a cost that is lowest for the adapter's home endpoint, so that instances that route at the same time share one load */
+  private homeCost (request: RoutingRequest, view: EndpointView): number {
+    const key = request.adapter ?? request.team
     return (1 - rendezvousWeight(key, view.endpoint)) * HOME_PREFERENCE_MILLISECONDS
   }
 }
 
-function candidateTotals (question: RoutingRequest, candidates: readonly EndpointView[]): CandidateTotals {
-  let loadsAhead = 0
+function candidateTotals (request: RoutingRequest, candidates: readonly EndpointView[]): CandidateTotals {
+  let pendingLoads = 0
   let copies = 0
-  let queuedAtCopies = Infinity
+  let shortestQueueAtCopies = Infinity
   for (const view of candidates) {
-    loadsAhead += view.pendingLoads
-    if (question.adapter === undefined || view.holds(question.adapter) === 'absent') continue
+    pendingLoads += view.pendingLoads
+    if (request.adapter === undefined || view.holds(request.adapter) === 'absent') continue
     copies += 1
-    queuedAtCopies = Math.min(queuedAtCopies, queuedBefore(question, view) + view.sentSinceReport)
+    shortestQueueAtCopies = Math.min(shortestQueueAtCopies, queuedBefore(request, view) + view.sentSinceReport)
   }
-  return { pendingLoads: loadsAhead, copies, shortestQueueAtCopies: queuedAtCopies }
+  return { pendingLoads, copies, shortestQueueAtCopies }
 }
 
-function queuedBefore (question: RoutingRequest, view: EndpointView): number {
-  return view.queuedBefore?.(question.team) ?? view.queued
+function queuedBefore (request: RoutingRequest, view: EndpointView): number {
+  return view.queuedBefore?.(request.team) ?? view.queued
 }
 
-/** Without the owner's word each adapter keeps to its home, so that loads spread over the engines and their slots. */
+/** Estimate for an engine whose owner reports no eviction cost. Each adapter prefers its home endpoint, which spreads loads over all slots. */
 function estimatedEvictionCost (adapter: string, view: EndpointView): number {
   return view.pinnedSlots / view.slots + 1 - rendezvousWeight(adapter, view.endpoint)
 }
