--- a/packages/decisions/src/eviction/eviction-policy.ts
+++ b/packages/decisions/src/eviction/eviction-policy.ts
@@ -1,38 +1,44 @@
-/** Which adapter leaves an engine when a slot is needed. */
-
-/** One slot of an engine. */
+/** An adapter in a slot of an engine. */
 export interface SlotView {
   /** `team/adapter@version`. */
   readonly adapter: string
-  /** Requests that use it; above 0 it may not be evicted. */
+  /** Running requests that use the adapter; it must not be evicted while this is above 0. */
   readonly pins: number
   readonly loadedAt: number
   readonly lastUsedAt: number
-  /** Requests that wait for it now. */
+  /** Requests that currently wait for the adapter. */
   readonly waiting: number
-  /** Copies on other engines of the data centre. */
+  /** Copies of the adapter on other engines of the data centre. */
   readonly otherCopies: number
 }
 
-/** Chooses victims. A policy learns from uses; it is shared by all engines of one owner. */
+/** Chooses which adapter to evict when an engine needs a slot. All engines with the same owner share one policy, which learns from adapter use. */
 export abstract class EvictionPolicy {
-  /** Tells of one request for the adapter, served or waiting. */
+  /**
+   * Records one request for the adapter, whether it is served at once or waits.
+   *
+   * @param adapter - `team/adapter@version`
+   * @param team - the team that sent the request
+   * @param tokens - expected service in tokens
+   * @param now - monotonic milliseconds
+   */
   abstract recordUse (adapter: string, team: string, tokens: number, now: number): void
 
   /**
-   * @param slots - the adapters of one engine
-   * @param incoming - the adapter that wants the slot
+   * @param slots - the adapters loaded on one engine
+   * @param incoming - the adapter to be loaded
    * @param now - monotonic milliseconds
-   * @returns an adapter with no pins, or undefined when all are pinned or worth more than the incoming one
+   * @returns the unpinned adapter to evict, or undefined when all are pinned or worth more than the incoming one
    */
   abstract victim (slots: readonly SlotView[], incoming: string, now: number): string | undefined
 
   /**
-   * @param slots - the adapters of one engine, none of them free
-   * @param wanted - other loads that already want a slot of this engine
+   * Estimates the cost of evicting an adapter for one more load. A policy that has no estimate omits this method.
+   *
+   * @param slots - the adapters loaded on one engine that has no free slot
+   * @param pendingLoads - other loads that already need a slot of this engine
    * @param now - monotonic milliseconds
-   * @returns how many requests the eviction for one more load is expected to stall; Infinity when none can leave.
-   *   Absent where a policy cannot tell
+   * @returns the number of requests that the eviction is expected to stall; Infinity when no adapter can be evicted
    */
-  cost? (slots: readonly SlotView[], wanted: number, now: number): number
+  cost? (slots: readonly SlotView[], pendingLoads: number, now: number): number
 }
--- a/packages/decisions/src/eviction/stall-eviction-policy.ts
+++ b/packages/decisions/src/eviction/stall-eviction-policy.ts
@@ -1,32 +1,34 @@
-/** Eviction by expected stall: the chance that an adapter is wanted again soon, times what its return would cost. */
 import { EvictionPolicy } from './eviction-policy.js'
 import type { SlotView } from './eviction-policy.js'
 import { UseRates } from './use-rates.js'
 
-/** Times that the expected stall is made of. */
+/** Parameters of the expected stall. */
 export interface StallEvictionOptions {
-  /** Half-life of the rate that sees a burst, milliseconds. */
+  /** Half-life of the short-term use rate, which reflects bursts, milliseconds. */
   readonly burstHalfLifeMilliseconds?: number
-  /** Half-life of the rate that sees lasting popularity, milliseconds. */
+  /** Half-life of the long-term use rate, which reflects lasting popularity, milliseconds. */
   readonly halfLifeMilliseconds?: number
-  /** How much the burst counts, 0 to 1. */
+  /** Weight of the short-term rate, 0 to 1; the long-term rate has the rest. */
   readonly burstWeight?: number
-  /** Odds that a lasting popularity has ended, before the silence since its last use is weighed. */
+  /** Prior odds that an adapter is out of use, before the time since its last use is taken into account. */
   readonly inactiveOdds?: number
-  /** How far ahead a use counts as soon, milliseconds. */
+  /** Period in which the next use of an adapter is expected to cause a stall if the adapter is evicted now, milliseconds. */
   readonly horizonMilliseconds?: number
-  /** Adapters remembered at most. */
+  /** Maximum number of adapters whose use is tracked. */
   readonly rememberedAdapters?: number
-  /** Time after its load in which an adapter that requests wait for stays, milliseconds. */
+  /** Time after its load during which an adapter is not evicted while requests wait for it, milliseconds. */
   readonly minimumResidenceMilliseconds?: number
-  /** Loads a second of the whole deployment. */
+  /** Adapter loads per second of the whole deployment. */
   readonly loadsPerSecond?: number
 }
 
-/** A pinned adapter may leave once its request has ended; until then the load waits, as if a request stalled. */
+/** A pinned adapter can be evicted only after its request has ended. The load that waits for it counts as one more stalled request. */
 const PINNED_STALL = 1
 
-/** Victim: the unpinned adapter whose absence is expected to stall least; one that requests wait for only after a while. */
+/**
+ * Evicts the unpinned adapter with the smallest expected stall: the chance that it is requested again soon and the requests
+ * that would wait for its reload. An adapter that requests wait for is protected for a minimum time after its load.
+ */
 export class StallEvictionPolicy extends EvictionPolicy {
   private readonly bursts: UseRates
   private readonly rates: UseRates
@@ -43,9 +45,9 @@
     this.loadMilliseconds = 1_000 / (options.loadsPerSecond ?? 4)
     this.burstWeight = options.burstWeight ?? 0.1
     this.inactiveOdds = options.inactiveOdds ?? 0.06
-    const most = options.rememberedAdapters ?? 20_000
-    this.bursts = new UseRates({ halfLifeMilliseconds: options.burstHalfLifeMilliseconds ?? 5_000, maximumAdapters: most })
-    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 120_000, maximumAdapters: most })
+    const maximumAdapters = options.rememberedAdapters ?? 20_000
+    this.bursts = new UseRates({ halfLifeMilliseconds: options.burstHalfLifeMilliseconds ?? 5_000, maximumAdapters })
+    this.rates = new UseRates({ halfLifeMilliseconds: options.halfLifeMilliseconds ?? 120_000, maximumAdapters })
   }
 
   recordUse (adapter: string, _team: string, tokens: number, now: number): void {
@@ -55,42 +57,42 @@
 
   victim (slots: readonly SlotView[], incoming: string, now: number): string | undefined {
     let victim: string | undefined
-    let least = Infinity
+    let smallestStall = Infinity
     for (const slot of slots) {
-      // A pinned adapter is read by a running request: without it, that request's answer would come from another adapter.
+      // A running request reads a pinned adapter. If it were evicted, the rest of the response would come from another adapter.
       if (slot.pins > 0 || slot.adapter === incoming) continue
-      // With a working set larger than all slots, evicting what requests wait for loads the same adapters for ever
-      // and serves none: each load first serves its waiters for a while. Not for ever, since in an overload every
-      // loaded adapter has waiters, and those of an absent one would never be served.
+      // If the working set is larger than all slots, evicting adapters that requests wait for would reload the same adapters
+      // again and again and serve nobody. So each load first serves its waiting requests, but for a limited time: in an
+      // overload every loaded adapter has waiting requests, and requests for other adapters would never be served.
       if (slot.waiting > 0 && now < slot.loadedAt + this.minimumResidence) continue
       const stall = this.expectedStall(slot, now)
-      if (stall >= least) continue
-      least = stall
+      if (stall >= smallestStall) continue
+      smallestStall = stall
       victim = slot.adapter
     }
     return victim
   }
 
-  override cost (slots: readonly SlotView[], wanted: number, now: number): number {
+  override cost (slots: readonly SlotView[], pendingLoads: number, now: number): number {
     const stalls = slots.map((slot) => this.expectedStall(slot, now) + (slot.pins > 0 ? PINNED_STALL : 0))
     stalls.sort((left, right) => left - right)
-    // Each load that waits takes the cheapest slot that is left, so that one engine does not seem cheap to all.
-    return stalls[wanted] ?? Infinity
+    // Each pending load is assumed to take the cheapest slot left. Otherwise an engine with one cheap slot would attract all loads.
+    return stalls[pendingLoads] ?? Infinity
   }
 
   /**
-   * With one half-life, either what was used a moment ago leaves before its second use (a long one), or what is used
-   * steadily but seldom leaves for what came once (a short one).
+   * Combines two half-lives, since one does not fit both cases: with a long half-life, an adapter used a moment ago is evicted
+   * before its second use; with a short one, an adapter used steadily but rarely is evicted for one that was used once.
    */
   private rate (adapter: string, now: number): number {
-    const lasting = this.rates.rate(adapter, now) * this.rates.alive(adapter, this.inactiveOdds, now)
-    return this.burstWeight * this.bursts.rate(adapter, now) + (1 - this.burstWeight) * lasting
+    const longTerm = this.rates.rate(adapter, now) * this.rates.alive(adapter, this.inactiveOdds, now)
+    return this.burstWeight * this.bursts.rate(adapter, now) + (1 - this.burstWeight) * longTerm
   }
 
-  /** @returns requests expected to stall: the first use within the horizon, those during its load, and those that wait */
+  /** @returns requests expected to stall: the first use within the horizon, the uses during the reload, and the requests that wait now */
   private expectedStall (slot: SlotView, now: number): number {
     const rate = this.rate(slot.adapter, now)
-    const first = 1 - Math.exp(-rate * this.horizon)
-    return (first + rate * this.loadMilliseconds + slot.waiting) / (1 + slot.otherCopies)
+    const firstUse = 1 - Math.exp(-rate * this.horizon)
+    return (firstUse + rate * this.loadMilliseconds + slot.waiting) / (1 + slot.otherCopies)
   }
 }
--- a/packages/decisions/src/eviction/use-rates.ts
+++ b/packages/decisions/src/eviction/use-rates.ts
@@ -1,25 +1,24 @@
-/** How often each adapter was used of late; memory is bounded, idle adapters fall out. */
 import { LRUCache } from 'lru-cache'
 
 interface UseRecord {
-  /** Uses, each halved with every half-life that has passed since. */
+  /** Number of uses, where each use loses half its weight with every half-life. */
   decayedUses: number
   decayedTokens: number
   updatedAt: number
 }
 
-/** Keeps the exponential finite. */
+/** Upper bound of the exponent, so that the exponential stays finite. */
 const MAXIMUM_MISSED_USES = 500
 
-/** Bounds and memory of {@link UseRates}. */
+/** Options of {@link UseRates}. */
 export interface UseRatesOptions {
-  /** Time after which a use counts half, milliseconds. */
+  /** Time after which a use has half its weight, milliseconds. */
   readonly halfLifeMilliseconds?: number
-  /** Adapters remembered at most. */
+  /** Maximum number of tracked adapters; the least recently used is dropped first. */
   readonly maximumAdapters?: number
 }
 
-/** Decayed counts of uses; each use costs the same time whatever the number of adapters. */
+/** Recent use rate of each adapter, from exponentially decayed counts. Recording a use takes constant time for any number of adapters. */
 export class UseRates {
   private readonly halfLife: number
   private readonly records: LRUCache<string, UseRecord>
@@ -29,7 +28,7 @@
     this.records = new LRUCache({ max: options.maximumAdapters ?? 20_000 })
   }
 
-  /** Counts one use. */
+  /** Records one use of the adapter by a request of `tokens` tokens. */
   recordUse (adapter: string, tokens: number, now: number): void {
     const record = this.records.get(adapter)
     if (record === undefined) {
@@ -42,7 +41,7 @@
     record.updatedAt = Math.max(now, record.updatedAt)
   }
 
-  /** @returns expected uses in a millisecond, from the decayed count */
+  /** @returns expected uses per millisecond, from the decayed count */
   rate (adapter: string, now: number): number {
     const record = this.records.peek(adapter)
     if (record === undefined) return 0
@@ -50,29 +49,29 @@
   }
 
   /**
-   * The chance that the adapter is still in use. One that was used every second and then not for ten has most likely
-   * lost its popularity, while its decayed count would hold its slot for minutes.
+   * Estimates the probability that the adapter is still in use. An adapter that was used every second and then not for ten
+   * seconds is most likely out of use, while its decayed count alone would keep it in a slot for minutes.
    *
-   * @param adapter - the adapter
-   * @param retired - odds against its being in use, before its silence is weighed
+   * @param adapter - `team/adapter@version`
+   * @param inactiveOdds - prior odds that the adapter is out of use, before the time since its last use is taken into account
    * @param now - monotonic milliseconds
-   * @returns 0 to 1; the more uses were to be expected since the last one, the less
+   * @returns a probability that falls with the number of uses expected since the last one
    */
-  alive (adapter: string, retired: number, now: number): number {
+  alive (adapter: string, inactiveOdds: number, now: number): number {
     const record = this.records.peek(adapter)
     if (record === undefined) return 0
-    const missed = record.decayedUses * Math.LN2 / this.halfLife * Math.max(0, now - record.updatedAt)
-    return 1 / (1 + retired * Math.exp(Math.min(MAXIMUM_MISSED_USES, missed)))
+    const missedUses = record.decayedUses * Math.LN2 / this.halfLife * Math.max(0, now - record.updatedAt)
+    return 1 / (1 + inactiveOdds * Math.exp(Math.min(MAXIMUM_MISSED_USES, missedUses)))
   }
 
-  /** @returns expected tokens in a millisecond */
+  /** @returns expected tokens per millisecond, from the decayed count */
   tokenRate (adapter: string, now: number): number {
     const record = this.records.peek(adapter)
     if (record === undefined) return 0
     return record.decayedTokens * this.decay(record, now) * Math.LN2 / this.halfLife
   }
 
-  /** @returns the adapters remembered, those used last first */
+  /** @returns the tracked adapters, most recently used first */
   recent (): Iterable<string> {
     return this.records.keys()
   }
