--- a/packages/decisions/src/overload/overload-guard.ts
+++ b/packages/decisions/src/overload/overload-guard.ts
@@ -1,24 +1,23 @@
-/** Who is refused when more comes than can be served in time. */
 import type { FairQueue, QueuedRequest } from '../fairness/fair-queue.js'
 
-/** Bounds of a queue. */
+/** Limits that the guard enforces on a queue. */
 export interface OverloadGuardOptions {
-  /** Requests in the queue at most. */
+  /** Maximum number of requests in the queue. */
   readonly maximumQueued?: number
-  /** Factor on the expected wait before it is compared with a deadline; below 1 refuses only what is hopeless. */
+  /** Factor on the expected time before it is compared with a deadline; below 1, only requests that are clearly too late are refused. */
   readonly waitFactor?: number
   readonly longestRetryAfterSeconds?: number
 }
 
-/** What is expected for a request at its place in the queue. */
+/** Expected times of a request at its position in the queue. */
 export interface WaitForecast {
-  /** Until the first token, milliseconds. */
+  /** Time until the first token, milliseconds. */
   readonly firstTokenMilliseconds: number
-  /** From the first token to the last, milliseconds. */
+  /** Time from the first token to the last, milliseconds. */
   readonly serviceMilliseconds: number
 }
 
-/** A refusal: the request was not run, and when to come back. */
+/** Refusal of a request that was not run, with the time after which the caller should retry. */
 export interface Refusal {
   readonly admitted: false
   readonly reason: 'queue full' | 'deadline cannot be met'
@@ -26,14 +25,17 @@
   readonly retryAfterSeconds: number
 }
 
-/** Admission, maybe in the place of another request that is to be refused. */
+/** Admission of a request, possibly in place of a queued request that is refused instead. */
 export interface Admission<Item> {
   readonly admitted: true
-  /** Taken out of the queue to make room; its caller gets the refusal now. */
+  /** Request that was removed from the queue to make room; the refusal is to be sent to its caller now. */
   readonly shed?: { readonly item: Item, readonly refusal: Refusal }
 }
 
-/** Refuses early and says when to come back; a request it gave up on is handed out at once, never held. */
+/**
+ * Load shedding for a queue: refuses requests that do not fit or cannot meet their deadline, as early as possible and with
+ * a time after which to retry.
+ */
 export class OverloadGuard<Item extends QueuedRequest> {
   private readonly maximumQueued: number
   private readonly waitFactor: number
@@ -46,54 +48,59 @@
   }
 
   /**
-   * Decides on an arrival; does not put it into the queue.
+   * Decides whether an arriving request may be queued. It does not add the request to the queue.
    *
-   * @param item - the request
-   * @param queue - where it would wait
-   * @param forecast - what is expected for it there
+   * @param item - the arriving request
+   * @param queue - the queue in which the request would wait; a request may be shed from it
+   * @param forecast - expected times of the request in that queue
    * @param now - monotonic milliseconds
    */
   admit (item: Item, queue: FairQueue<Item>, forecast: WaitForecast, now: number): Admission<Item> | Refusal {
     const expected = forecast.firstTokenMilliseconds + forecast.serviceMilliseconds
-    // Held until its deadline it would take a place from one that can be served, and its caller would learn no sooner.
+    // Queued until its deadline, the request would take the position of one that can be served, and its caller would learn later that it was not served.
     if (now + expected * this.waitFactor > item.deadlineAt) return this.refuse('deadline cannot be met', expected, item.deadlineAt - now)
     if (queue.size < this.maximumQueued) return { admitted: true }
-    const worst = queue.worst()
-    if (worst === undefined || !this.outranks(item, worst, queue)) return this.refuse('queue full', expected, 0)
-    queue.remove(worst.requestId)
-    return { admitted: true, shed: { item: worst, refusal: this.refuse('queue full', expected, 0) } }
+    const candidate = queue.worst()
+    if (candidate === undefined || !this.outranks(item, candidate, queue)) return this.refuse('queue full', expected, 0)
+    queue.remove(candidate.requestId)
+    return { admitted: true, shed: { item: candidate, refusal: this.refuse('queue full', expected, 0) } }
   }
 
   /**
-   * Takes out of the queue what can no longer make its deadline.
+   * Removes requests that can no longer meet their deadline from the queue.
    *
-   * @param queue - the queue to look through
-   * @param forecast - what is expected for an item if it went next
+   * @param queue - the queue to check
+   * @param forecast - expected times of a request if it were served next
    * @param now - monotonic milliseconds
-   * @returns the requests given up on, each to be answered now
+   * @returns the removed requests with the refusals to be sent to their callers now
    */
   expire (queue: FairQueue<Item>, forecast: (item: Item) => WaitForecast, now: number): { readonly item: Item, readonly refusal: Refusal }[] {
-    const given: { item: Item, refusal: Refusal }[] = []
+    const expired: { item: Item, refusal: Refusal }[] = []
     for (const item of [...queue.items()]) {
       const { firstTokenMilliseconds, serviceMilliseconds } = forecast(item)
       const expected = firstTokenMilliseconds + serviceMilliseconds
       if (now + expected * this.waitFactor <= item.deadlineAt) continue
       queue.remove(item.requestId)
-      given.push({ item, refusal: this.refuse('deadline cannot be met', expected, Math.max(0, item.deadlineAt - now)) })
+      expired.push({ item, refusal: this.refuse('deadline cannot be met', expected, Math.max(0, item.deadlineAt - now)) })
     }
-    return given
+    return expired
   }
 
-  /** @returns whether an arrival is worth the place of a waiting request */
-  private outranks (item: Item, worst: Item, queue: FairQueue<Item>): boolean {
-    if (item.priority !== worst.priority) return item.priority > worst.priority
-    if (item.team === worst.team) return false
-    return queue.shareUsed(item.team) < queue.shareUsed(worst.team)
+  /** @returns whether an arriving request should replace the queued request that would be shed first */
+  private outranks (item: Item, candidate: Item, queue: FairQueue<Item>): boolean {
+    if (item.priority !== candidate.priority) return item.priority > candidate.priority
+    if (item.team === candidate.team) return false
+    return queue.shareUsed(item.team) < queue.shareUsed(candidate.team)
   }
 
-  /** @returns a refusal whose time is when the wait is expected to have fallen to what the caller can bear */
-  private refuse (reason: Refusal['reason'], expected: number, bearable: number): Refusal {
-    const seconds = Math.ceil(Math.max(0, expected - Math.max(0, bearable)) / 1_000)
+  /**
+   * @param reason - why the request is refused
+   * @param expected - expected time until the response would be complete, milliseconds
+   * @param acceptable - time that the caller can wait for the complete response, milliseconds
+   * @returns a refusal whose retry time is when the expected time should have fallen to the acceptable one
+   */
+  private refuse (reason: Refusal['reason'], expected: number, acceptable: number): Refusal {
+    const seconds = Math.ceil(Math.max(0, expected - Math.max(0, acceptable)) / 1_000)
     const retryAfterSeconds = Math.min(this.longestRetryAfterSeconds, Math.max(1, seconds))
     return { admitted: false, reason, expectedMilliseconds: expected, retryAfterSeconds }
   }
