--- a/packages/decisions/src/retries/retry-budget.ts
+++ b/packages/decisions/src/retries/retry-budget.ts
@@ -1,10 +1,8 @@
-/** How many retries are allowed, so that they cannot grow into a storm. */
-
-/** Allows retries as a share of recent first attempts. */
+/** Limits retries to a share of the recent first attempts, so that retries cannot multiply the load of an overloaded service. */
 export abstract class RetryBudget {
-  /** Tells of a first attempt. */
+  /** Records a first attempt. */
   abstract deposit (now: number): void
 
-  /** @returns whether one retry may be made now; it is then spent */
+  /** @returns whether a retry may be made now; if so, it is deducted from the budget */
   abstract withdraw (now: number): boolean
 }
--- a/packages/decisions/src/retries/share-retry-budget.ts
+++ b/packages/decisions/src/retries/share-retry-budget.ts
@@ -1,11 +1,10 @@
-/** Retries as a share of the first attempts in a sliding window. */
 import { RetryBudget } from './retry-budget.js'
 
 /** Size of the budget. */
 export interface ShareRetryBudgetOptions {
-  /** Retries for each first attempt. */
+  /** Retries allowed per first attempt. */
   readonly share?: number
-  /** Retries allowed in a window whatever the number of first attempts, so that a quiet team can retry at all. */
+  /** Retries always allowed in a window, so that a team with few requests can retry at all. */
   readonly minimumRetries?: number | (() => number)
   readonly windowMilliseconds?: number
 }
@@ -18,18 +17,18 @@
 
 const BUCKETS = 10
 
-/** In any window, retries are at most `least + share × first attempts`. */
+/** Sliding-window budget: in any window, retries are at most `minimumRetries + share × first attempts`. */
 export class ShareRetryBudget extends RetryBudget {
   private readonly share: number
-  private readonly least: () => number
+  private readonly minimumRetries: () => number
   private readonly bucketMilliseconds: number
   private readonly buckets: Bucket[] = []
 
   constructor (options: ShareRetryBudgetOptions = {}) {
     super()
     this.share = options.share ?? 0.1
-    const { minimumRetries: least = 3 } = options
-    this.least = typeof least === 'number' ? () => least : least
+    const { minimumRetries = 3 } = options
+    this.minimumRetries = typeof minimumRetries === 'number' ? () => minimumRetries : minimumRetries
     this.bucketMilliseconds = (options.windowMilliseconds ?? 10_000) / BUCKETS
   }
 
@@ -45,8 +44,8 @@
       attempts += bucket.attempts
       retries += bucket.retries
     }
-    // A retry is paid by first attempts only: were retries counted as attempts, each would pay for the next.
-    if (retries + 1 > this.least() + this.share * attempts) return false
+    // Only first attempts add to the budget. If retries did as well, each retry would pay for the next one.
+    if (retries + 1 > this.minimumRetries() + this.share * attempts) return false
     current.retries += 1
     return true
   }
@@ -54,8 +53,8 @@
   private bucketAt (now: number): Bucket {
     const number = Math.floor(now / this.bucketMilliseconds)
     while (this.buckets[0] !== undefined && this.buckets[0].number <= number - BUCKETS) this.buckets.shift()
-    const newest = this.buckets.at(-1)
-    if (newest !== undefined && newest.number >= number) return newest
+    const latest = this.buckets.at(-1)
+    if (latest !== undefined && latest.number >= number) return latest
     const bucket = { number, attempts: 0, retries: 0 }
     this.buckets.push(bucket)
     return bucket
