--- a/packages/decisions/src/quarantine/crash-tracker.ts
+++ b/packages/decisions/src/quarantine/crash-tracker.ts
@@ -1,180 +1,184 @@
-/**
- * Finds the request that crashes the endpoints that run it.
- *
- * Whoever is aboard at a crash may be its cause or its victim. A run that comes to its end clears a request, crashes in a row
- * accuse it, and one that was run apart from all other accused is taken at its word. Each verdict ends with one more such run:
- * an adapter or an engine may have been mended, and what was convicted by chance must not be refused for good.
- */
 import { prefixOf } from './request-fingerprint.js'
 import type { FingerprintPrefix, RequestFingerprint } from './request-fingerprint.js'
 
-/** Crashes after which a request is run apart from all others that are accused. */
+/** Crashes after which a request is suspected and runs in isolation from all other suspected requests. */
 const CRASHES_TO_ISOLATE = 2
-/** A verdict needs at least so many crashes. */
+/** Minimum number of crashes for a quarantine decision. */
 const CRASHES_TO_QUARANTINE = 3
-/** A request that never came to its end in so many runs is held back, whatever else crashed meanwhile. */
+/** A request that crashed this often without a completed run is quarantined even if the crashes may be coincidence. */
 const MAXIMUM_CRASHES = 5
-/** Sends after the third crash, whatever comes of them: an endpoint that refuses the request was sent it all the same. */
+/** Maximum sends after the third crash. A send counts even if the endpoint refuses the request. */
 const MAXIMUM_LATE_SENDS = 2
-/** An innocent request is aboard at all of its crashes by chance less often than this. */
+/** A decision is certain only if an innocent request would be in flight at all these crashes with a lower probability than this. */
 const MAXIMUM_CHANCE = 0.00001
-/** A request that crashed its endpoints beyond doubt is held so long before it is tried again. */
+/** Duration of a quarantine whose decision is certain, before one more trial run. */
 const CERTAIN_QUARANTINE_MILLISECONDS = 3_600_000
-/** The first hold of one that may have been aboard by chance; each one that follows is longer by the factor. */
+/** Duration of the first quarantine of a request that may have been in flight by chance. Each repeated quarantine is longer by the factor. */
 const UNCERTAIN_QUARANTINE_MILLISECONDS = 60_000
 const QUARANTINE_GROWTH_FACTOR = 10
 /**
- * How often endpoints crash with no request to blame is read from the crashes in each of these times before; the highest rate
- * counts, since crashes come in crowds.
+ * Windows before a crash over which the rate of unrelated crashes is measured. The highest rate counts, since crashes come in
+ * bursts.
  */
 const CRASH_RATE_WINDOWS_MILLISECONDS = [10_000, 60_000] as const
-/** A request that has not come again for so long is forgotten. */
+/** Time after which a crash is forgotten, and with it the suspicion against requests that did not crash again. */
 const RETENTION_MILLISECONDS = 600_000
-/** Beyond these the oldest are forgotten. */
+/** Maximum number of crashes kept; the oldest are forgotten first. */
 const MAXIMUM_TRACKED_CRASHES = 250
 
-/** One crash, as one or several instances saw it. */
+/** Crash of an endpoint, as observed by one or several instances. */
 export interface EndpointCrash {
-  /** The endpoint and its life, equal at all instances. */
+  /** Identifies the endpoint and its incarnation; equal on all instances. */
   readonly life: string
   readonly service: string
-  /** Monotonic time at which it was heard of. */
+  /** Monotonic time at which this instance learnt of the crash, milliseconds. */
   readonly at: number
 }
 
-/** A request that ran when its endpoint crashed. */
+/** Request that was in flight when its endpoint crashed. */
 export interface InFlightRequest {
   readonly fingerprint: RequestFingerprint
-  /** How long it had been there. */
+  /** Time that the request had been at the endpoint, milliseconds. */
   readonly milliseconds: number
-  /** Whether no other accused request was to be there. */
+  /** Whether the request was sent as an isolated run, without other suspected requests at the endpoint. */
   readonly isolated: boolean
 }
 
-/** How a request is to be treated. */
+/** How a request is treated. */
 export type RequestStanding =
-  /** Nothing speaks against it, or too little to treat it apart. */
+  /** It was in flight at too few crashes to be treated differently from other requests. */
   | 'unsuspected'
-  /** It is run apart from all others that are accused, by one instance at a time. */
+  /** It runs in isolation from all other suspected requests, on one instance at a time. */
   | 'suspected'
-  /** It does not reach endpoints. */
+  /** It is not sent to endpoints. */
   | 'quarantined'
 
-/** Why and for how long a request is kept from endpoints. */
+/** Reason and duration of a quarantine. */
 export interface QuarantineDecision {
   readonly fingerprint: RequestFingerprint
-  /** Crashes that spoke against it. */
+  /** Crashes that are attributed to the request. */
   readonly crashes: number
-  /** Times that it was convicted in a row. */
+  /** Number of quarantines in a row without a completed run between them. */
   readonly strikes: number
-  /** Whether chance is ruled out. */
+  /** Whether coincidence is ruled out. */
   readonly certain: boolean
-  /** Monotonic time at which it may be tried once more. */
+  /** Monotonic time from which one trial run is allowed, milliseconds. */
   readonly until: number
 }
 
 interface CrashRecord extends EndpointCrash {
+  /** Requests that were in flight at the crash, without those cleared by a completed run. */
   readonly aboard: Map<RequestFingerprint, Omit<InFlightRequest, 'fingerprint'>>
 }
 
-/** What crashes say of requests. */
+/**
+ * Finds the requests that crash the endpoints on which they run.
+ *
+ * A request in flight at a crash may be its cause or its victim. Every such request is implicated; a completed run clears it.
+ * A request that is implicated repeatedly becomes suspected and runs in isolation. A crash during an isolated run identifies the
+ * request as the cause unless unrelated crashes are too frequent. Every quarantine ends with one trial run, since the adapter or the
+ * engine may have been fixed, and a request that was quarantined by coincidence must not be refused for ever.
+ */
 export class CrashTracker {
   private readonly crashes = new Map<string, CrashRecord>()
+  /** Unexplained crashes at which each request was in flight. */
   private readonly implicated = new Map<RequestFingerprint, Set<string>>()
   private readonly decisions = new Map<RequestFingerprint, QuarantineDecision>()
+  /** Number of times that each implicated request was sent after its third crash. */
   private readonly lateSends = new Map<RequestFingerprint, number>()
+  /** Number of implicated and quarantined requests by fingerprint prefix. */
   private readonly prefixes = new Map<FingerprintPrefix, number>()
   private readonly endpointCount: (service: string) => number
 
-  /** @param endpointCount - endpoints of a service, which share its crashes */
+  /** @param endpointCount - number of endpoints of a service, over which its crash rate is averaged */
   constructor (endpointCount: (service: string) => number) {
     this.endpointCount = endpointCount
   }
 
-  /** @returns whether some request with this prefix is accused; a cheap answer for nearly all requests */
+  /** @returns whether a request with this prefix is implicated or quarantined; the prefix is computed only if there is any such request */
   mayBeTracked (prefix: () => FingerprintPrefix): boolean {
     return this.prefixes.size > 0 && this.prefixes.has(prefix())
   }
 
-  /** How many requests are accused and not convicted. */
+  /** Number of requests that are implicated in a crash and not quarantined. */
   get implicatedCount (): number {
     return this.implicated.size
   }
 
-  /** How many requests have been convicted. */
+  /** Number of requests with a quarantine decision, including those whose quarantine has ended. */
   get quarantineCount (): number {
     return this.decisions.size
   }
 
-  /** How a request is to be treated. */
+  /** @returns how the request is treated at this time */
   standing (fingerprint: RequestFingerprint, now: number): RequestStanding {
-    const verdict = this.decisions.get(fingerprint)
-    if (verdict !== undefined) return now < verdict.until ? 'quarantined' : 'suspected'
+    const decision = this.decisions.get(fingerprint)
+    if (decision !== undefined) return now < decision.until ? 'quarantined' : 'suspected'
     return this.crashCount(fingerprint) >= CRASHES_TO_ISOLATE ? 'suspected' : 'unsuspected'
   }
 
-  /** @returns the verdict on a request, in force or over */
+  /** @returns the quarantine decision on the request, even if the quarantine has ended */
   verdict (fingerprint: RequestFingerprint): QuarantineDecision | undefined {
     return this.decisions.get(fingerprint)
   }
 
-  /** @returns all verdicts, for an instance that has heard of none */
+  /** @returns all quarantine decisions, to be sent to an instance that has none */
   allDecisions (): readonly QuarantineDecision[] {
     return [...this.decisions.values()]
   }
 
-  /** @returns lives of endpoints that have crashed */
+  /** @returns incarnations of endpoints that crashed, see {@link EndpointCrash.life} */
   crashedIncarnations (): readonly string[] {
     return [...this.crashes.keys()]
   }
 
-  /** @returns crashes that speak against the request */
+  /** @returns number of crashes in which the request is implicated */
   crashCount (fingerprint: RequestFingerprint): number {
     return this.implicated.get(fingerprint)?.size ?? 0
   }
 
   /**
-   * Takes up a crash, or what another instance saw of it.
+   * Records a crash, or another instance's report of a known crash.
    *
-   * @param crash - of an endpoint that was not about to stop
-   * @param aboard - what ran there
-   * @returns verdicts that it confirms; {@link decide} comes to new ones
+   * @param crash - crash of an endpoint that was not shutting down
+   * @param inFlight - requests that were in flight there
+   * @returns existing quarantine decisions that the crash confirms; {@link decide} makes new ones
    */
-  record (crash: EndpointCrash, aboard: readonly InFlightRequest[]): QuarantineDecision[] {
+  record (crash: EndpointCrash, inFlight: readonly InFlightRequest[]): QuarantineDecision[] {
     const record = this.crashes.get(crash.life) ?? { ...crash, aboard: new Map() }
-    const isNew = aboard.filter(({ fingerprint }) => !record.aboard.has(fingerprint))
+    const added = inFlight.filter(({ fingerprint }) => !record.aboard.has(fingerprint))
     this.crashes.set(crash.life, record)
-    for (const request of aboard) addInFlight(record, request)
+    for (const request of inFlight) addInFlight(record, request)
     this.forgetOldest()
-    const again = isNew.flatMap(({ fingerprint }) => this.decisions.get(fingerprint) ?? [])
-    if (again.length > 0) this.explain(record)
-    if (this.isExplained(record)) return again.map((verdict) => this.extendQuarantine(verdict, crash))
-    for (const { fingerprint } of aboard) this.implicate(fingerprint, crash.life)
+    const confirmed = added.flatMap(({ fingerprint }) => this.decisions.get(fingerprint) ?? [])
+    if (confirmed.length > 0) this.explain(record)
+    if (this.isExplained(record)) return confirmed.map((decision) => this.extendQuarantine(decision, crash))
+    for (const { fingerprint } of inFlight) this.implicate(fingerprint, crash.life)
     return []
   }
 
   /**
-   * Looks for the cause of a crash, once all instances have told what they had aboard: a request that seems to have run apart here
-   * may have had another suspected one beside it.
+   * Looks for the cause of a crash. To be called after all instances have reported their requests in flight: a run that seems
+   * isolated on this instance may have shared the endpoint with a suspected request of another instance.
    *
-   * @param life - of the endpoint that crashed
-   * @returns new verdicts
+   * @param life - incarnation of the endpoint that crashed
+   * @returns new quarantine decisions
    */
   decide (life: string): QuarantineDecision[] {
     const record = this.crashes.get(life)
     if (record === undefined || this.isExplained(record)) return []
     const decisions = [...record.aboard.keys()].flatMap((fingerprint) => this.decisionOn(fingerprint, record) ?? [])
-    for (const verdict of decisions) this.quarantine(verdict)
+    for (const decision of decisions) this.quarantine(decision)
     return decisions
   }
 
   /**
-   * A suspected request has reached an endpoint, here or elsewhere. The send that uses up what is left is followed by a verdict at
-   * once; if it comes to its end, that clears the request.
+   * Records that this or another instance sent a suspected request to an endpoint. When the allowed sends are used up, the
+   * request is quarantined at once; if its last run completes, {@link completed} lifts the quarantine.
    */
   sent (fingerprint: RequestFingerprint, now: number): void {
-    const verdict = this.decisions.get(fingerprint)
-    if (verdict !== undefined) return this.recordTrialSend(verdict, now)
+    const decision = this.decisions.get(fingerprint)
+    if (decision !== undefined) return this.recordTrialSend(decision, now)
     const crashes = this.crashCount(fingerprint)
     if (crashes < CRASHES_TO_QUARANTINE) return
     const sends = (this.lateSends.get(fingerprint) ?? 0) + 1
@@ -182,32 +186,35 @@
     if (sends >= MAXIMUM_LATE_SENDS) this.quarantine({ fingerprint, crashes, strikes: 1, certain: false, until: now + quarantineMilliseconds(false, 1) })
   }
 
-  /** A run of the request came to its end: it does not crash endpoints. @returns whether anything spoke against it */
+  /** Clears a request after a completed run, which shows that it does not crash endpoints. @returns whether it was implicated or quarantined */
   completed (fingerprint: RequestFingerprint): boolean {
-    const wasAccused = this.implicated.has(fingerprint)
+    const wasImplicated = this.implicated.has(fingerprint)
     for (const record of this.crashes.values()) record.aboard.delete(fingerprint)
     this.clear(fingerprint)
-    return this.release(fingerprint) || wasAccused
+    return this.release(fingerprint) || wasImplicated
   }
 
-  /** Keeps the request from endpoints. What was aboard with it is cleared of its crashes. A newer verdict replaces an older one. */
-  quarantine (verdict: QuarantineDecision): void {
-    const { fingerprint, strikes } = verdict
-    const present = this.decisions.get(fingerprint)
-    if (present !== undefined && present.strikes >= strikes) return
+  /**
+   * Quarantines a request and clears the other requests that were in flight at its crashes. Replaces an existing decision only if
+   * the new one has more strikes.
+   */
+  quarantine (decision: QuarantineDecision): void {
+    const { fingerprint, strikes } = decision
+    const existing = this.decisions.get(fingerprint)
+    if (existing !== undefined && existing.strikes >= strikes) return
     this.clear(fingerprint)
-    this.decisions.set(fingerprint, verdict)
-    if (present === undefined) this.count(fingerprint, 1)
+    this.decisions.set(fingerprint, decision)
+    if (existing === undefined) this.count(fingerprint, 1)
     for (const record of this.crashes.values()) if (record.aboard.has(fingerprint)) this.explain(record)
   }
 
-  /** Ends a verdict's time: the request may be tried once more now. */
+  /** Ends the quarantine of a request now, so that one trial run is allowed. */
   reconsider (fingerprint: RequestFingerprint): void {
-    const verdict = this.decisions.get(fingerprint)
-    if (verdict !== undefined) this.decisions.set(fingerprint, { ...verdict, until: -Infinity })
+    const decision = this.decisions.get(fingerprint)
+    if (decision !== undefined) this.decisions.set(fingerprint, { ...decision, until: -Infinity })
   }
 
-  /** Lets the request reach endpoints again, with nothing against it. @returns whether there was a verdict */
+  /** Removes the quarantine decision on a request and its part in all crashes. @returns whether there was a decision */
   release (fingerprint: RequestFingerprint): boolean {
     if (!this.decisions.delete(fingerprint)) return false
     this.count(fingerprint, -1)
@@ -215,7 +222,7 @@
     return true
   }
 
-  /** Forgets crashes that are too old to matter; to be called now and then. */
+  /** Forgets crashes that are older than the retention time. To be called regularly. */
   expire (now: number): void {
     for (const record of this.crashes.values()) {
       if (now - record.at < RETENTION_MILLISECONDS) return
@@ -223,11 +230,11 @@
     }
   }
 
-  /** @returns crashes that speak against somebody, for an instance that has heard of none */
+  /** @returns crashes in which a suspected request is implicated, to be sent to an instance that knows none */
   unexplainedCrashes (): readonly (EndpointCrash & { readonly aboard: readonly InFlightRequest[] })[] {
     return [...this.crashes.values()]
       .filter((record) => [...record.aboard.keys()].some((fingerprint) => this.crashCount(fingerprint) >= CRASHES_TO_ISOLATE))
-      .map(({ life, service, at, aboard }) => ({ life, service, at, aboard: [...aboard].map(([fingerprint, traits]) => ({ fingerprint, ...traits })) }))
+      .map(({ life, service, at, aboard }) => ({ life, service, at, aboard: [...aboard].map(([fingerprint, run]) => ({ fingerprint, ...run })) }))
   }
 
   private decisionOn (fingerprint: RequestFingerprint, crash: EndpointCrash): QuarantineDecision | undefined {
@@ -238,30 +245,30 @@
     return { fingerprint, crashes: crashes.length, strikes: 1, certain, until: crash.at + quarantineMilliseconds(certain, 1) }
   }
 
-  /** It was tried once more, or was under way already when it was convicted. */
-  private extendQuarantine (verdict: QuarantineDecision, { at }: EndpointCrash): QuarantineDecision {
-    const until = Math.max(verdict.until, at + quarantineMilliseconds(verdict.certain, verdict.strikes))
-    const next = { ...verdict, crashes: verdict.crashes + 1, until }
-    this.decisions.set(verdict.fingerprint, next)
+  /** Extends a quarantine after a crash during the trial run or during a run that began before the decision. */
+  private extendQuarantine (decision: QuarantineDecision, { at }: EndpointCrash): QuarantineDecision {
+    const until = Math.max(decision.until, at + quarantineMilliseconds(decision.certain, decision.strikes))
+    const next = { ...decision, crashes: decision.crashes + 1, until }
+    this.decisions.set(decision.fingerprint, next)
     return next
   }
 
-  /** A verdict whose time is over allows one send; one that was under way before changes nothing. */
-  private recordTrialSend (verdict: QuarantineDecision, now: number): void {
-    if (now < verdict.until) return
-    const strikes = verdict.strikes + 1
-    this.decisions.set(verdict.fingerprint, { ...verdict, strikes, until: now + quarantineMilliseconds(verdict.certain, strikes) })
+  /** Uses up the one trial run after a quarantine. Sends that began before the quarantine ended change nothing. */
+  private recordTrialSend (decision: QuarantineDecision, now: number): void {
+    if (now < decision.until) return
+    const strikes = decision.strikes + 1
+    this.decisions.set(decision.fingerprint, { ...decision, strikes, until: now + quarantineMilliseconds(decision.certain, strikes) })
   }
 
-  /** Whether the request ran apart; another one may have become suspected since it was sent there. */
+  /** @returns whether the request ran in isolation; another request at the endpoint may have become suspected only after that run began */
   private isConclusive ({ aboard }: CrashRecord, fingerprint: RequestFingerprint): boolean {
     if (aboard.get(fingerprint)?.isolated !== true) return false
     return [...aboard.keys()].every((other) => other === fingerprint || this.crashCount(other) < CRASHES_TO_ISOLATE)
   }
 
-  /** @returns how likely a request that causes no crash is aboard at all of these, at the rate at which others crash without it */
+  /** @returns probability that an innocent request is in flight at all these crashes, given the rate of crashes without the request */
   private chanceOf (fingerprint: RequestFingerprint, crashes: readonly CrashRecord[]): number {
-    // Crashes with a cause count as well: were a verdict wrong, each one would make the next wrong one likelier.
+    // Crashes with a known cause count as well. Otherwise each wrong decision would lower the rate and make the next wrong one more likely.
     const others = [...this.crashes.values()].filter((record) => !record.aboard.has(fingerprint))
     return crashes.reduce((chance, crash) => {
       const milliseconds = Math.max(1, crash.aboard.get(fingerprint)?.milliseconds ?? 0)
@@ -269,7 +276,7 @@
     }, 1)
   }
 
-  /** @returns crashes of one endpoint in a millisecond around the time of this one */
+  /** @returns crashes per endpoint and millisecond in the windows before this crash */
   private rateAt ({ service, at }: EndpointCrash, others: readonly CrashRecord[]): number {
     const endpoints = Math.max(1, this.endpointCount(service))
     const rates = CRASH_RATE_WINDOWS_MILLISECONDS.map((milliseconds) => {
@@ -283,26 +290,28 @@
     return [...this.implicated.get(fingerprint) ?? []].flatMap((life) => this.crashes.get(life) ?? [])
   }
 
+  /** @returns whether a request with a quarantine decision was in flight, which makes it the cause of the crash */
   private isExplained ({ aboard }: CrashRecord): boolean {
     return this.decisions.size > 0 && [...aboard.keys()].some((fingerprint) => this.decisions.has(fingerprint))
   }
 
+  /** Clears all requests in flight at a crash whose cause is known or no longer looked for. */
   private explain (record: CrashRecord): void {
     for (const fingerprint of record.aboard.keys()) this.exonerate(fingerprint, record.life)
   }
 
   private implicate (fingerprint: RequestFingerprint, life: string): void {
-    const lives = this.implicated.get(fingerprint) ?? new Set()
-    if (lives.size === 0) {
-      this.implicated.set(fingerprint, lives)
+    const incarnations = this.implicated.get(fingerprint) ?? new Set()
+    if (incarnations.size === 0) {
+      this.implicated.set(fingerprint, incarnations)
       this.count(fingerprint, 1)
     }
-    lives.add(life)
+    incarnations.add(life)
   }
 
   private exonerate (fingerprint: RequestFingerprint, life: string): void {
-    const lives = this.implicated.get(fingerprint)
-    if (lives?.delete(life) === true && lives.size === 0) this.clear(fingerprint)
+    const incarnations = this.implicated.get(fingerprint)
+    if (incarnations?.delete(life) === true && incarnations.size === 0) this.clear(fingerprint)
   }
 
   private clear (fingerprint: RequestFingerprint): void {
@@ -312,9 +321,9 @@
 
   private count (fingerprint: RequestFingerprint, difference: number): void {
     const prefix = prefixOf(fingerprint)
-    const counted = (this.prefixes.get(prefix) ?? 0) + difference
-    if (counted === 0) this.prefixes.delete(prefix)
-    else this.prefixes.set(prefix, counted)
+    const total = (this.prefixes.get(prefix) ?? 0) + difference
+    if (total === 0) this.prefixes.delete(prefix)
+    else this.prefixes.set(prefix, total)
   }
 
   private forgetOldest (): void {
@@ -334,11 +343,11 @@
   return certain ? CERTAIN_QUARANTINE_MILLISECONDS : UNCERTAIN_QUARANTINE_MILLISECONDS * QUARANTINE_GROWTH_FACTOR ** (strikes - 1)
 }
 
-/** Copies of one request may have been there, sent by several instances. */
+/** Adds a request to a crash. Several instances may have sent copies of it to the endpoint, so an existing entry is merged. */
 function addInFlight ({ aboard }: CrashRecord, { fingerprint, milliseconds, isolated }: InFlightRequest): void {
-  const present = aboard.get(fingerprint)
+  const existing = aboard.get(fingerprint)
   aboard.set(fingerprint, {
-    milliseconds: Math.max(milliseconds, present?.milliseconds ?? 0),
-    isolated: isolated || present?.isolated === true
+    milliseconds: Math.max(milliseconds, existing?.milliseconds ?? 0),
+    isolated: isolated || existing?.isolated === true
   })
 }
--- a/packages/decisions/src/quarantine/request-fingerprint.ts
+++ b/packages/decisions/src/quarantine/request-fingerprint.ts
@@ -1,14 +1,13 @@
-/** The identity of a request over all its arrivals, whatever ids they bear. */
 import type { Branded } from '@limpetwinch/core'
 
-/** Equal for two arrivals of the same request; made of a prefix that is cheap to compare and a digest of the body. */
+/** Identity of a request, equal for all its copies and retries whatever request id they carry. Consists of a cheap prefix and a digest of the body. */
 export type RequestFingerprint = Branded<string, 'RequestFingerprint'>
-/** The part of a fingerprint that needs no look at the body. */
+/** The part of a fingerprint that is computed without reading the request body. */
 export type FingerprintPrefix = Branded<string, 'FingerprintPrefix'>
 
 const SEPARATOR = '.'
 
-/** @returns the fingerprint of a prefix and the digest of a body */
+/** @returns the fingerprint made of a prefix and the digest of a body */
 export function joinFingerprint (prefix: FingerprintPrefix, bodyDigest: string): RequestFingerprint {
   return `${prefix}${SEPARATOR}${bodyDigest}` as RequestFingerprint
 }
