--- a/packages/decisions/src/fairness/reserved-places.ts
+++ b/packages/decisions/src/fairness/reserved-places.ts
@@ -1,12 +1,11 @@
-/** How the operators' weighting sets the places of a batch that are kept from a team that floods. */
-
 const MAXIMUM_RESERVED_SHARE = 0.25
 
 /**
- * Kept places stay empty while one team floods: others get their first token at once, and steps are less full.
+ * Computes how many places of a batch are withheld from a team that floods the queue. While one team floods, these places stay
+ * empty: requests of other teams get their first token without waiting, but the batch is less full.
  *
- * @param batchEfficiencyWeight - 0 puts load stalls first, 1 batch efficiency
- * @param batchCapacity - places of a batch
+ * @param batchEfficiencyWeight - the operator's trade-off between avoiding load stalls (0) and filling batches (1)
+ * @param batchCapacity - number of places in a batch
  * @returns a quarter of the places up to a weight of 0.5, then fewer, and none at 1
  */
 export function reservedPlacesFor (batchEfficiencyWeight: number, batchCapacity: number): number {
--- a/packages/decisions/src/fairness/service-accounting.ts
+++ b/packages/decisions/src/fairness/service-accounting.ts
@@ -1,38 +1,39 @@
-/** What service each team has had: virtual time for fairness, and a decayed sum that says who is over its share. */
-
-/** Memory of {@link ServiceAccounting}. */
+/** Options of {@link ServiceAccounting}. */
 export interface ServiceAccountingOptions {
-  /** Service of the whole deployment after which earlier service counts 1/e, tokens. */
+  /** Service of all teams after which earlier service has 1/e of its weight, tokens. */
   readonly memoryTokens?: number
 }
 
 interface TeamAccount {
   weight: number
-  /** Service divided by weight; lifted when the team comes back from idling. */
+  /** Service divided by weight; raised when the team becomes backlogged again after being idle. */
   virtualTime: number
-  /** Decayed service, in units of the ledger's growing scale. */
+  /** Decayed service, multiplied by the growing `scale`. */
   recent: number
-  /** Requests that wait in all queues of this ledger. */
+  /** Number of queued requests in all queues that share this accounting. */
   waiting: number
 }
 
+/** Scale at which all accounts are rescaled, well below the largest floating-point number. */
 const MAXIMUM_SCALE = 1e100
+/** Number of charges between two recounts of the active teams. */
 const CHARGES_PER_COUNT = 100
-/** A team with less than this of the recent service counts as idle. */
+/** A team with less than this share of the recent service counts as idle. */
 const MINIMUM_ACTIVE_SHARE = 1e-3
 
 /**
- * Accounts of teams, shared by all queues of one instance; service by other instances of the data centre comes in
- * through `charge`. One ledger for several queues keeps a team from having a full share on each engine that it uses.
+ * Records the service that each team received: a virtual time for fair queueing, and a decayed sum that shows which teams are over
+ * their share. All queues of an instance share one accounting, so that a team does not get a full share on each engine that it
+ * uses. Service by other instances of the data centre is added with {@link ServiceAccounting.charge}.
  */
 export class ServiceAccounting {
   private readonly accounts = new Map<string, TeamAccount>()
   private readonly backlogged = new Set<string>()
   private readonly memoryTokens: number
-  /** Grows with service, in place of shrinking every account. */
+  /** Grows with service, which decays all accounts relative to new service without updating each of them. */
   private scale = 1
-  /** Virtual time of the team served last, for teams that arrive when nobody waits. */
-  private lastVirtualTime = 0
+  /** Largest virtual time reached so far; the start value for a team that arrives when no team is backlogged. */
+  private maximumVirtualTime = 0
   private activeService = 0
   private activeWeight = 0
   private chargesUntilCount = 0
@@ -41,36 +42,36 @@
     this.memoryTokens = options.memoryTokens ?? 300_000
   }
 
-  /** Sets a team's weight; the service it had stays. */
+  /** Sets the weight of a team. Its recorded service does not change. */
   setWeight (team: string, weight: number): void {
     const account = this.account(team)
-    // Its lead or lag over the others is kept in time, not multiplied by a change of weight.
+    // The virtual time stays as it is, so that the team's lead or lag is not multiplied by the change of weight.
     account.weight = weight
   }
 
-  /** Tells that a request of the team began to wait. */
+  /** Records that a request of the team was queued. */
   arrived (team: string): void {
     const account = this.account(team)
     if (account.waiting === 0) {
-      // A team that idled would come back with a low virtual time and be served alone until it caught up.
+      // Otherwise a team that was idle would return with a low virtual time and be served alone until it had caught up.
       account.virtualTime = Math.max(account.virtualTime, this.minimumVirtualTime())
       this.backlogged.add(team)
     }
     account.waiting += 1
   }
 
-  /** Tells that a request no longer waits. */
+  /** Records that a request of the team left the queue. */
   left (team: string): void {
     const account = this.account(team)
     account.waiting = Math.max(0, account.waiting - 1)
     if (account.waiting === 0) this.backlogged.delete(team)
   }
 
-  /** Charges service; negative when less came than was expected. */
+  /** Charges service to a team; a negative number of tokens corrects an earlier charge. */
   charge (team: string, tokens: number): void {
     const account = this.account(team)
     account.virtualTime += tokens / account.weight
-    this.lastVirtualTime = Math.max(this.lastVirtualTime, account.virtualTime)
+    this.maximumVirtualTime = Math.max(this.maximumVirtualTime, account.virtualTime)
     this.chargesUntilCount -= 1
     if (tokens > 0) this.growScale(tokens)
     account.recent = Math.max(0, account.recent + tokens * this.scale)
@@ -81,12 +82,12 @@
     return this.account(team).weight
   }
 
-  /** @returns the team's virtual time; lower is served first */
+  /** @returns the team's virtual time; the team with the lowest one is served first */
   virtualTime (team: string): number {
     return this.account(team).virtualTime
   }
 
-  /** @returns the team's recent service over its weighted share of the backlogged teams' recent service; 1 is fair */
+  /** @returns the team's recent service divided by its weighted share of the backlogged teams' recent service; 1 is fair */
   shareUsed (team: string): number {
     const account = this.account(team)
     let service = account.waiting === 0 ? account.recent : 0
@@ -101,10 +102,10 @@
   }
 
   /**
-   * A team that floods is often the only one that waits, since the others are served at once; among those that wait it
-   * has no more than its share. Among all that were served of late it has.
+   * Compares a team with all recently served teams. A team that floods the queue is often the only backlogged one, since the
+   * others are served at once, so {@link ServiceAccounting.shareUsed} does not show that it is over its share.
    *
-   * @returns the team's recent service over its weighted share of all teams' recent service; 1 is fair
+   * @returns the team's recent service divided by its weighted share of all teams' recent service; 1 is fair
    */
   shareUsedAmongActive (team: string): number {
     if (this.chargesUntilCount <= 0) this.countActive()
@@ -113,7 +114,7 @@
     return (account.recent / this.activeService) / (account.weight / this.activeWeight)
   }
 
-  /** Goes through all teams, once for many charges. */
+  /** Recomputes the totals over all teams. Its linear cost is spread over many charges. */
   private countActive (): void {
     this.chargesUntilCount = CHARGES_PER_COUNT
     this.activeService = 0
@@ -124,11 +125,11 @@
     }
   }
 
-  /** @returns the least virtual time of the teams that wait, else that of the service last given */
+  /** @returns the lowest virtual time of the backlogged teams, or the largest one reached if no team is backlogged */
   private minimumVirtualTime (): number {
-    let least = Infinity
-    for (const team of this.backlogged) least = Math.min(least, this.account(team).virtualTime)
-    return least === Infinity ? this.lastVirtualTime : least
+    let minimum = Infinity
+    for (const team of this.backlogged) minimum = Math.min(minimum, this.account(team).virtualTime)
+    return minimum === Infinity ? this.maximumVirtualTime : minimum
   }
 
   private growScale (tokens: number): void {
--- a/packages/decisions/src/fairness/virtual-time-fair-queue.ts
+++ b/packages/decisions/src/fairness/virtual-time-fair-queue.ts
@@ -1,21 +1,20 @@
-/** Weighted fair queueing by virtual time over tokens and loads. */
 import { FairQueue } from './fair-queue.js'
 import type { QueuedRequest } from './fair-queue.js'
 import { ServiceAccounting } from './service-accounting.js'
 
-/** How priorities age, and with whom accounts are shared. */
+/** Options of {@link VirtualTimeFairQueue}. */
 export interface VirtualTimeFairQueueOptions {
-  /** Accounts shared with the other queues of this instance; its own unless given. */
+  /** Accounting shared with the other queues of this instance; by default the queue has its own. */
   readonly accounting?: ServiceAccounting
-  /** Within its team a request rises by one level of priority each time it has waited this long, milliseconds. */
+  /** Waiting time that raises a request by one priority level within its team, milliseconds. */
   readonly agingMilliseconds?: number
-  /** Between teams a level of priority goes before so much service of the others, tokens for a weight of 1. */
+  /** Reduction of virtual time per priority level when teams are compared, in tokens for a team of weight 1. */
   readonly tokensPerPriorityLevel?: number
-  /** Places of a batch kept from a team that floods. */
+  /** Number of places in a batch that are withheld from a team that floods the queue. */
   readonly reservedPlaces?: number
-  /** A team floods only while more of its requests than this wait. */
+  /** A team can count as flooding only while it has more queued requests than this. */
   readonly floodQueueLength?: number
-  /** A team floods when it had so many times its share of the service of late. */
+  /** A team counts as flooding when its recent service is more than this many times its share. */
   readonly floodShareFactor?: number
 }
 
@@ -23,12 +22,14 @@
 const DEFAULT_TOKENS_PER_PRIORITY_LEVEL = 4_000
 
 /**
- * Within a team the highest priority goes first, and age raises it. Between teams the least virtual time goes first, and
- * a priority is a head start in it: a request goes before what others are served meanwhile, but its team's service
- * counts as ever, so that no priority takes more than the team's share in the long run and none starves.
+ * Weighted fair queueing by virtual time.
  *
- * Time: `push` and `remove` are linear in the team's own waiting requests, `next` in the requests looked at until one
- * is eligible. None depends on the number of adapters.
+ * Within a team, the request with the highest priority is served first, and waiting raises the priority. Between teams, the
+ * request of the team with the lowest virtual time is served first, where a priority lowers the virtual time that is compared. It
+ * does not lower the service charged, so in the long run no priority gets a team more than its share and no team starves.
+ *
+ * Complexity: `push` and `remove` are linear in the team's own queued requests, `next` in the requests checked until one is
+ * eligible. Neither depends on the number of adapters.
  */
 export class VirtualTimeFairQueue<Item extends QueuedRequest> extends FairQueue<Item> {
   private readonly accounting: ServiceAccounting
@@ -51,7 +52,7 @@
     this.floodShareFactor = options.floodShareFactor ?? 2
   }
 
-  /** Takes up another number of kept places, as when the operators' weighting has changed. */
+  /** Changes the number of reserved places, for example after the operator changed the batch efficiency weight. */
   setReservedPlaces (places: number): void {
     this.reservedPlaces = places
   }
@@ -104,22 +105,22 @@
   }
 
   worst (): Item | undefined {
-    let worst: Item | undefined
-    let worstShare = -Infinity
+    let candidate: Item | undefined
+    let candidateShare = -Infinity
     for (const [team, waiting] of this.byTeam) {
       const item = youngestOfLowestPriority(waiting)
       if (item === undefined) continue
       const share = this.accounting.shareUsed(team)
-      const worse = worst === undefined || item.priority < worst.priority ||
-        (item.priority === worst.priority && share > worstShare)
-      if (!worse) continue
-      worst = item
-      worstShare = share
+      const goesFirst = candidate === undefined || item.priority < candidate.priority ||
+        (item.priority === candidate.priority && share > candidateShare)
+      if (!goesFirst) continue
+      candidate = item
+      candidateShare = share
     }
-    return worst
+    return candidate
   }
 
-  /** A team is served in its turn: what others have waiting counts only up to what they get while this team is served. */
+  /** Teams are served in turn, so another team's queue counts only up to the service that the team gets while this team's queue is served. */
   override tokensAhead (item: Item): number {
     const own = this.costByTeam.get(item.team) ?? 0
     const turns = (own + item.cost) / this.accounting.weight(item.team)
@@ -139,9 +140,11 @@
   }
 
   /**
-   * A team that floods fills each place as it comes free, and others wait for one of its requests to end, however low
-   * their virtual time. With the last places kept from it, others find one at once. A popular team without a long queue
-   * takes nobody's place.
+   * A team that floods the queue takes every place in the batch as soon as it becomes free. Requests of other teams, however low
+   * their virtual time, then wait until one of its requests ends. Withholding the last places from the flooding team leaves room
+   * for them. A popular team without a long queue does not count, since it does not delay others.
+   *
+   * @returns whether the team floods the queue
    */
   private isFlooding (team: string, waiting: number): boolean {
     return waiting > this.floodQueueLength && this.accounting.shareUsedAmongActive(team) > this.floodShareFactor
@@ -161,8 +164,9 @@
 }
 
 /**
- * Age and priority are one number: a level is worth `aging` milliseconds, so the order within a team never changes.
- * Without ageing, a steady stream of high priorities would keep the team's low ones waiting for ever.
+ * Finds the position of a request in its team's queue by binary search. Age and priority are combined in one rank, where a priority
+ * level equals `aging` milliseconds, so the order of queued requests never changes. Without ageing, a steady stream of
+ * high-priority requests would keep the team's low-priority ones waiting for ever.
  */
 function insertionIndex (item: QueuedRequest, waiting: readonly QueuedRequest[], aging: number): number {
   const rank = item.enqueuedAt - item.priority * aging
@@ -178,13 +182,13 @@
   return low
 }
 
-/** @returns the youngest of the lowest priority: it has waited least */
+/** @returns the request of the lowest priority that has waited least */
 function youngestOfLowestPriority<Item extends QueuedRequest> (waiting: readonly Item[]): Item | undefined {
-  let lowestItem: Item | undefined
+  let lowest: Item | undefined
   for (const item of waiting) {
-    const worse = lowestItem === undefined || item.priority < lowestItem.priority ||
-      (item.priority === lowestItem.priority && item.enqueuedAt >= lowestItem.enqueuedAt)
-    if (worse) lowestItem = item
+    const isLower = lowest === undefined || item.priority < lowest.priority ||
+      (item.priority === lowest.priority && item.enqueuedAt >= lowest.enqueuedAt)
+    if (isLower) lowest = item
   }
-  return lowestItem
+  return lowest
 }
