--- a/packages/decisions/src/loads/load-ahead.ts
+++ b/packages/decisions/src/loads/load-ahead.ts
@@ -1,14 +1,15 @@
-/** What is loaded before anybody waits for it, when the weight store is idle and a slot is free. */
-
-/** Suggests loads; it never takes a slot from another adapter. */
+/**
+ * Suggests adapters to load before any request waits for them, while the weight store is idle and a slot is free. No adapter is
+ * evicted for such a load.
+ */
 export abstract class LoadAhead {
-  /** Tells of one request for the adapter. */
+  /** Records one request for the adapter. */
   abstract recordUse (adapter: string, now: number): void
 
   /**
-   * @param isHeld - whether the adapter is loaded or being loaded somewhere in the data centre
+   * @param isHeld - whether an adapter is loaded or being loaded on any engine of the data centre
    * @param now - monotonic milliseconds
-   * @returns the adapter to load into a free slot, or undefined when none is worth it
+   * @returns the adapter to load into a free slot, or undefined when no load is worthwhile
    */
   abstract suggest (isHeld: (adapter: string) => boolean, now: number): string | undefined
 }
--- a/packages/decisions/src/loads/load-backoff.ts
+++ b/packages/decisions/src/loads/load-backoff.ts
@@ -1,6 +1,4 @@
-/** When a load that failed may be tried again. */
-
-/** Bounds of the wait. */
+/** Bounds of the delay before a failed load is retried. */
 export interface LoadBackoffOptions {
   readonly firstMilliseconds?: number
   readonly longestMilliseconds?: number
@@ -9,12 +7,13 @@
 const MAXIMUM_DOUBLINGS = 20
 
 /**
- * A load that fails holds the only full-speed place; tried again at once it would block all others.
+ * Computes the exponential backoff of a failed load. Loads run one at a time at full speed, so a load that is retried at once and
+ * fails again would block all others.
  *
- * @param failures - failed tries in a row, 1 or more
+ * @param failures - number of consecutive failed attempts, at least 1
  * @param now - monotonic milliseconds
- * @param options - bounds of the wait
- * @returns the time before which it is not to be tried, monotonic milliseconds
+ * @param options - bounds of the delay
+ * @returns the time before which the load must not be retried, monotonic milliseconds
  */
 export function notBeforeAfterFailure (failures: number, now: number, options: LoadBackoffOptions = {}): number {
   const first = options.firstMilliseconds ?? 500
--- a/packages/decisions/src/loads/load-ordering-policy.ts
+++ b/packages/decisions/src/loads/load-ordering-policy.ts
@@ -1,32 +1,31 @@
-/** Which load goes next: for the deployment about four a second run, one at a time at full speed. */
-
-/** A load that is wanted; all requests for one adapter on one engine share it. */
+/** Pending load of an adapter on one engine, shared by all requests that wait for it. */
 export interface LoadCandidate {
   readonly adapter: string
   readonly team: string
   readonly endpoint: string
-  /** When its first request began to wait, monotonic milliseconds. */
+  /** Time at which the first request began to wait, monotonic milliseconds. */
   readonly waitingSince: number
+  /** Number of requests that wait for the load. */
   readonly waitingRequests: number
   readonly highestPriority: number
-  /** The team's service so far over its share: above 1 it had more than its share. */
+  /** The team's recent service divided by its share; above 1 the team had more than its share. */
   readonly shareUsed: number
-  /** Failed tries in a row. */
+  /** Number of consecutive failed attempts. */
   readonly failures: number
-  /** Not to be tried before, monotonic milliseconds. */
+  /** Time before which the load must not be attempted, monotonic milliseconds. */
   readonly notBefore: number
 }
 
-/** Ranks wanted loads. */
+/** Ranks pending loads. The deployment runs about four loads per second, one at a time at full speed, so their order matters. */
 export abstract class LoadOrderingPolicy {
   /**
-   * @param load - a wanted load
+   * @param load - a pending load
    * @param now - monotonic milliseconds
-   * @returns its urgency; higher goes first
+   * @returns the urgency of the load; the load with the highest urgency runs first
    */
   abstract urgency (load: LoadCandidate, now: number): number
 
-  /** @returns the load to run next, or undefined when none may run yet */
+  /** @returns the most urgent load that may run now, or undefined */
   next (loads: readonly LoadCandidate[], now: number): LoadCandidate | undefined {
     let best: LoadCandidate | undefined
     let bestUrgency = -Infinity
--- a/packages/decisions/src/loads/load-queue.ts
+++ b/packages/decisions/src/loads/load-queue.ts
@@ -1,145 +1,154 @@
-/**
- * The line of adapters that wait for a load on one engine, and which of them comes next.
- *
- * The load it answers: in a crowd on cold slots more adapters are asked for than can come at once. First come, first served
- * then makes every answer late: each adapter comes when the time of those that asked first has already passed. Those that
- * can still be answered on time go first, by how many requests one load serves; the others follow in the order they came.
- *
- * What it buys: a crowd gets more answers on time than first come, first served gives, and no fewer in all; where slots suffice
- * nothing changes (`crowd-on-cold-slots`).
- */
-
-/** Whoever waits asks again and again; a request that was not repeated in this time waits no more. */
+/** A waiting request repeats its load request every 300 ms. A request that did not repeat it for this long no longer waits. */
 const REQUEST_EXPIRY_MILLISECONDS = 800
 /**
- * Whoever waits asks every 300 ms. One that is overdue has been served elsewhere or refused, or its asking is late: a load for it
- * serves nobody, as a rule, and takes a slot from those that wait. It stays in line, since it may still ask.
+ * A request that did not repeat its load request for this long was served elsewhere or refused, or the repetition is delayed. A load
+ * for it would usually serve nobody and take a slot from requests that wait. It stays queued, since it may still be repeated.
  */
 const REQUEST_OVERDUE_MILLISECONDS = 450
-/** A want of overdue requests alone comes after any other that somebody waits for. */
+/** Weight of a load for which only overdue requests wait; below that of any load with a request that is not overdue. */
 const OVERDUE_WEIGHT = 0.1
-/** A request without a known objective counts as on time for so long: usual objectives are near a second. */
+/** Time for which a response counts as on time if the request has no known latency objective; usual objectives are near a second. */
 const DEFAULT_ON_TIME_MILLISECONDS = 1_000
-/** A late answer is worth a third to a half of one on time to its caller, as users say; the order is the same with either. */
+/** Weight of a request whose response will be late. To callers, it is worth a third to a half of one on time; the order is the same with either. */
 const LATE_WEIGHT = 0.5
 /**
- * Weight that a want gains with each second of its wait. Within the time that a request waits at all, a want of one late
- * request thus overtakes one of one request on time, so no adapter is passed over for ever.
+ * Weight that a load gains per second in the queue. Within the longest time that a request waits, a load for one late request
+ * thereby overtakes a load for one request that is still on time, so that no adapter is passed over for ever.
  */
 const WEIGHT_PER_SECOND = 0.35
-/** What the engine caches takes a tenth of the time of a load and nothing from the weight store. */
+/** Factor on the weight of an adapter in the engine's cache. Its load takes a tenth of the time and no capacity of the weight store. */
 const CACHED_FACTOR = 3
 
-/** What a load may wait for. */
+/** Reason why a load has not started yet. */
 export type LoadDelayReason = 'nothing' | 'travelling loads' | 'slots in use' | 'a silent engine' | 'runs of the old version'
 
 /** A request that waits for an adapter. */
 interface WaitingRequest {
-  /** Monotonic time after which its answer is late. */
+  /** Monotonic time after which its response is late. */
   readonly onTimeUntil: number
+  /** Monotonic time of its latest load request. */
   requestedAt: number
 }
 
-/** Who asks. */
+/** The waiting request on whose behalf a load is requested. */
 export interface WaitingRequestFacts {
+  /** Id of the request. */
   readonly request: string
-  /** Until its answer is late, milliseconds; undefined where that is not known. */
+  /** Time until its response is late, milliseconds; undefined if the request has no known latency objective. */
   readonly onTimeMilliseconds: number | undefined
 }
 
-/** One wanted adapter. */
+/** Adapter that waits to be loaded. */
 export interface PendingLoad<Key extends string = string> {
   readonly key: Key
-  /** The least version that is of use. */
+  /** Lowest version that the requests can use. */
   version: number
   readonly firstRequestedAt: number
-  /** What it waited for last; for the log. */
+  /** Reason why the load was last passed over; logged when the load is ordered. */
   heldUpBy: LoadDelayReason
 }
 
 interface QueueEntry<Key extends string> extends PendingLoad<Key> {
   readonly waitingRequests: Map<string, WaitingRequest>
-  /** When it was last asked for without a request that waits: a further copy, or a newer version. */
+  /** Monotonic time of the latest load request without a waiting request, which asks for another copy or a newer version. */
   copyRequestedAt: number
 }
 
-/** Wants by adapter. */
+/**
+ * Adapters that wait to be loaded on one engine, and the order in which they are loaded.
+ *
+ * The workload it is designed for: more adapters are requested at once than the engine has slots. First come, first served then
+ * makes every response late, since each adapter is loaded when the requests that came first are late already. So adapters whose
+ * requests can still be served on time are loaded first, ordered by the number of requests that one load serves; the others
+ * follow in the order of arrival. More responses are on time than with first come, first served, and no fewer are given in all.
+ * If the slots suffice, the order makes no difference.
+ */
 export class LoadQueue<Key extends string = string> {
   private readonly entries = new Map<Key, QueueEntry<Key>>()
 
-  /** Adapters that are wanted. */
+  /** Number of adapters that wait to be loaded. */
   get length (): number {
     return this.entries.size
   }
 
-  /** Notes a want, or that it is still one. @param waiter - undefined where no request waits for it */
-  requestLoad (key: Key, version: number, waiter: WaitingRequestFacts | undefined, now: number): void {
-    let place = this.entries.get(key)
-    if (place === undefined) {
-      place = { key, version, firstRequestedAt: now, heldUpBy: 'nothing', waitingRequests: new Map(), copyRequestedAt: -Infinity }
-      this.entries.set(key, place)
+  /**
+   * Adds a load request, or repeats it to keep it in the queue.
+   *
+   * @param key - the adapter
+   * @param version - lowest version that is needed
+   * @param waiting - the request that waits for the adapter; undefined for another copy or a newer version
+   * @param now - monotonic milliseconds
+   */
+  requestLoad (key: Key, version: number, waiting: WaitingRequestFacts | undefined, now: number): void {
+    let entry = this.entries.get(key)
+    if (entry === undefined) {
+      entry = { key, version, firstRequestedAt: now, heldUpBy: 'nothing', waitingRequests: new Map(), copyRequestedAt: -Infinity }
+      this.entries.set(key, entry)
     }
-    place.version = Math.max(place.version, version)
-    if (waiter === undefined) {
-      place.copyRequestedAt = now
+    entry.version = Math.max(entry.version, version)
+    if (waiting === undefined) {
+      entry.copyRequestedAt = now
       return
     }
-    const known = place.waitingRequests.get(waiter.request)
+    const known = entry.waitingRequests.get(waiting.request)
     if (known !== undefined) known.requestedAt = now
-    else place.waitingRequests.set(waiter.request, { requestedAt: now, onTimeUntil: now + (waiter.onTimeMilliseconds ?? DEFAULT_ON_TIME_MILLISECONDS) })
+    else entry.waitingRequests.set(waiting.request, { requestedAt: now, onTimeUntil: now + (waiting.onTimeMilliseconds ?? DEFAULT_ON_TIME_MILLISECONDS) })
   }
 
-  /** @returns the want of an adapter */
+  /** @returns the pending load of an adapter, or undefined */
   find (key: Key): PendingLoad<Key> | undefined {
     return this.entries.get(key)
   }
 
-  /** The want is met. */
+  /** Removes the pending load of an adapter, which was loaded or is being loaded. */
   met (key: Key): void {
     this.entries.delete(key)
   }
 
-  /** @returns the adapters that are wanted */
+  /** @returns the adapters that wait to be loaded */
   keys (): readonly Key[] {
     return [...this.entries.keys()]
   }
 
-  /** Drops wants that nobody has any more. */
+  /** Removes requests whose load request was not repeated in time, and the pending loads that then have none. */
   expire (now: number): void {
-    for (const place of this.entries.values()) {
-      for (const [request, waiter] of place.waitingRequests) if (now - waiter.requestedAt > REQUEST_EXPIRY_MILLISECONDS) place.waitingRequests.delete(request)
-      if (place.waitingRequests.size === 0 && now - place.copyRequestedAt > REQUEST_EXPIRY_MILLISECONDS) this.entries.delete(place.key)
+    for (const entry of this.entries.values()) {
+      for (const [id, request] of entry.waitingRequests) if (now - request.requestedAt > REQUEST_EXPIRY_MILLISECONDS) entry.waitingRequests.delete(id)
+      if (entry.waitingRequests.size === 0 && now - entry.copyRequestedAt > REQUEST_EXPIRY_MILLISECONDS) this.entries.delete(entry.key)
     }
   }
 
   /**
-   * @param isBlocked - adapters that cannot be loaded now
-   * @param isCached - adapters that the engine loads without the weight store
-   * @param travelMilliseconds - until a load from the weight store is there
-   * @returns the want whose load is worth most
+   * @param isBlocked - whether an adapter cannot be loaded now
+   * @param isCached - whether the engine has the adapter in its cache and loads it without the weight store
+   * @param loadMilliseconds - duration of a load from the weight store
+   * @param now - monotonic milliseconds
+   * @returns the pending load with the highest weight, or undefined when none can be loaded
    */
-  next (isBlocked: (key: Key) => boolean, isCached: (key: Key) => boolean, travelMilliseconds: number, now: number): PendingLoad<Key> | undefined {
+  next (isBlocked: (key: Key) => boolean, isCached: (key: Key) => boolean, loadMilliseconds: number, now: number): PendingLoad<Key> | undefined {
     let best: QueueEntry<Key> | undefined
     let bestWeight = -1
-    for (const place of this.entries.values()) {
-      if (isBlocked(place.key)) continue
-      const weight = weightOf(place, isCached(place.key), travelMilliseconds, now)
+    for (const entry of this.entries.values()) {
+      if (isBlocked(entry.key)) continue
+      const weight = weightOf(entry, isCached(entry.key), loadMilliseconds, now)
       if (weight <= bestWeight) continue
-      best = place
+      best = entry
       bestWeight = weight
     }
     return best
   }
 }
 
-function weightOf (place: QueueEntry<string>, cached: boolean, travelMilliseconds: number, now: number): number {
-  // A further copy is for requests that another engine serves as well.
-  if (place.waitingRequests.size === 0) return 0
-  const present = [...place.waitingRequests.values()].filter(({ requestedAt: askedAt }) => now - askedAt <= REQUEST_OVERDUE_MILLISECONDS)
-  const weight = present.length === 0 ? OVERDUE_WEIGHT : weightOfRequests(present, cached ? now : now + travelMilliseconds) + WEIGHT_PER_SECOND * (now - place.firstRequestedAt) / 1_000
+function weightOf (entry: QueueEntry<string>, cached: boolean, loadMilliseconds: number, now: number): number {
+  // A load without waiting requests is for another copy of an adapter, whose requests another engine serves as well.
+  if (entry.waitingRequests.size === 0) return 0
+  const active = [...entry.waitingRequests.values()].filter(({ requestedAt }) => now - requestedAt <= REQUEST_OVERDUE_MILLISECONDS)
+  const weight = active.length === 0
+    ? OVERDUE_WEIGHT
+    : weightOfRequests(active, cached ? now : now + loadMilliseconds) + WEIGHT_PER_SECOND * (now - entry.firstRequestedAt) / 1_000
   return cached ? weight * CACHED_FACTOR : weight
 }
 
-function weightOfRequests (waiters: readonly WaitingRequest[], usableAt: number): number {
-  return waiters.reduce((weight, { onTimeUntil }) => weight + (usableAt < onTimeUntil ? 1 : LATE_WEIGHT), 0)
+function weightOfRequests (requests: readonly WaitingRequest[], usableAt: number): number {
+  return requests.reduce((weight, { onTimeUntil }) => weight + (usableAt < onTimeUntil ? 1 : LATE_WEIGHT), 0)
 }
--- a/packages/decisions/src/loads/popularity-load-ahead.ts
+++ b/packages/decisions/src/loads/popularity-load-ahead.ts
@@ -1,19 +1,22 @@
-/** Loads ahead what was used most of late and is held nowhere, as after a cold restart or when its popularity rises. */
 import { UseRates } from '../eviction/use-rates.js'
 import { LoadAhead } from './load-ahead.js'
 
-/** When a load ahead is worth it. */
+/** Options of {@link PopularityLoadAhead}. */
 export interface PopularityLoadAheadOptions {
+  /** Half-life of the use rates, milliseconds. */
   readonly halfLifeMilliseconds?: number
-  /** Adapters looked at, those used last first. */
+  /** Number of adapters considered, most recently used first. */
   readonly candidates?: number
-  /** Expected uses in a minute below which nothing is loaded ahead. */
+  /** Expected uses per minute below which an adapter is not loaded ahead of demand. */
   readonly minimumUsesPerMinute?: number
 }
 
 const MINUTE_MILLISECONDS = 60_000
 
-/** Looks only at the adapters used last, whatever the number of all. */
+/**
+ * Suggests the adapter with the highest recent use rate that is on no engine, as after a cold restart or when an adapter becomes
+ * popular. Considers only the most recently used adapters, so the cost does not depend on the number of all adapters.
+ */
 export class PopularityLoadAhead extends LoadAhead {
   private readonly rates: UseRates
   private readonly candidates: number
@@ -33,10 +36,10 @@
   suggest (isHeld: (adapter: string) => boolean, now: number): string | undefined {
     let best: string | undefined
     let bestRate = this.minimumRate
-    let looked = 0
+    let considered = 0
     for (const adapter of this.rates.recent()) {
-      looked += 1
-      if (looked > this.candidates) break
+      considered += 1
+      if (considered > this.candidates) break
       const rate = this.rates.rate(adapter, now)
       if (rate <= bestRate || isHeld(adapter)) continue
       best = adapter
--- a/packages/decisions/src/loads/queue-pace.ts
+++ b/packages/decisions/src/loads/queue-pace.ts
@@ -1,37 +1,35 @@
-/** How fast an engine's line moves, for the forecast of those who might join it. */
-
-/** Between two loads before anything is learnt: the orders that one load takes, on an engine that answers at once. */
+/** Interval between two loads before any was measured: the time of the orders for one load on an engine that responds at once. */
 const INITIAL_INTERVAL_MILLISECONDS = 40
-/** Weight of the newest interval: half of the memory is the last three loads, since slots come free in bursts. */
+/** Weight of the latest interval. The last three loads make up half of the average, which evens out slots that become free in bursts. */
 const SMOOTHING_FACTOR = 0.2
-/** One interval counts as no longer than this: an engine that was silent for seconds takes loads again at its usual pace. */
+/** Upper bound of one measured interval, since an engine that was unresponsive for seconds resumes loading at its usual pace. */
 const MAXIMUM_INTERVAL_MILLISECONDS = 1_000
 
-/** The pace of one line. */
+/** Average interval between loads from the load queue of one engine, used to forecast the wait of requests that may join the queue. */
 export class QueuePace {
   private interval = INITIAL_INTERVAL_MILLISECONDS
-  /** Since when the line waits for its next load; undefined while it is empty. */
+  /** Monotonic time since which the queue waits for its next load to start; undefined while the queue is empty. */
   private waitingSince: number | undefined
 
-  /** The line is as long as this now. */
+  /** Records the current length of the queue. */
   recordLength (length: number, now: number): void {
     if (length === 0) this.waitingSince = undefined
     else this.waitingSince ??= now
   }
 
-  /** A load began; so many adapters still wait. */
-  recordLoadStart (left: number, now: number): void {
+  /** Records the start of a load. @param remaining - number of adapters that still wait */
+  recordLoadStart (remaining: number, now: number): void {
     if (this.waitingSince !== undefined) {
       const sample = Math.min(MAXIMUM_INTERVAL_MILLISECONDS, now - this.waitingSince)
       this.interval += SMOOTHING_FACTOR * (sample - this.interval)
     }
-    this.waitingSince = left > 0 ? now : undefined
+    this.waitingSince = remaining > 0 ? now : undefined
   }
 
-  /** @returns how long one more load waits for its turn behind so many, milliseconds */
+  /** @returns expected wait of one more load behind `length` others, milliseconds */
   waitMilliseconds (length: number, now: number): number {
     if (length === 0) return 0
-    const standing = this.waitingSince === undefined ? 0 : now - this.waitingSince
-    return length * this.interval + Math.max(0, standing - this.interval)
+    const elapsed = this.waitingSince === undefined ? 0 : now - this.waitingSince
+    return length * this.interval + Math.max(0, elapsed - this.interval)
   }
 }
--- a/packages/decisions/src/loads/queue-position.ts
+++ b/packages/decisions/src/loads/queue-position.ts
@@ -1,46 +1,46 @@
-/**
- * The place of one request in the lines of engines that should load its adapter.
- *
- * A request that weighed all engines anew at each look left every line before its turn came, and each line was fed by
- * requests that had gone: in a crowd three engines loaded what one was asked for. So a request keeps its place, and
- * leaves it once at most for a line that is shorter by more than its own load takes.
- *
- * What it buys, with the order of the line: fewer askings and fewer refusals in a crowd.
- */
-
-/** Another line has to be this much shorter: a load from the weight store is lost by a move, and some time in line. */
+/** Wait that a move to another queue must save, since the request gives up its time in the queue and possibly a load from the weight store. */
 const MINIMUM_MOVE_GAIN_MILLISECONDS = 400
-/** A request that has moved once stays. */
+/** Preference for the current queue after a move, large enough that the request does not move again. */
 const STAY_PREFERENCE_MILLISECONDS = 5_000
-/** One that orders an engine's loads speaks at each change of its line; silent for so long it does not order them any more. */
+/** The load owner of an engine announces every change of its load queue. Without an announcement for this long, it counts as unresponsive. */
 const UNRESPONSIVE_MILLISECONDS = 900
+/** Extra wait assumed for an engine whose load owner is unresponsive. */
 const UNRESPONSIVE_PENALTY_MILLISECONDS = 1_000
 
+/** The load queue of an engine, and when the request joined it. */
 interface JoinedQueue {
   readonly endpoint: string
   readonly since: number
 }
 
-/** Places of one request, the present one last. */
+/**
+ * Load queues that one request has joined while it waits for an engine to load its adapter; the current queue is the last one.
+ *
+ * A request that compares all engines anew before each load request leaves every queue before its turn, and each queue contains
+ * loads for requests that have left: under many requests, three engines load an adapter that one should load. So a request keeps
+ * its queue and moves at most once, to a queue that is shorter by more than its own load takes. Together with the order of the
+ * load queue, this reduces load requests and refusals when many requests wait.
+ */
 export class QueuePosition {
   private readonly joined: JoinedQueue[] = []
 
-  /** The request asks this engine's line now. */
+  /** Records that the request now asks for a load on this engine. */
   join (endpoint: string, now: number): void {
     if (this.joined.at(-1)?.endpoint !== endpoint) this.joined.push({ endpoint, since: now })
   }
 
   /**
    * @param endpoint - an engine that might load the adapter
-   * @param heardAt - when its line was last heard of; undefined if never
-   * @returns milliseconds by which the engine is nearer (below 0) or farther to this request than to others
+   * @param lastUpdateAt - monotonic time of the last update about the engine's load queue; undefined if there was none
+   * @param now - monotonic milliseconds
+   * @returns milliseconds to add to the expected wait on the engine when this request compares engines; negative favours the engine
    */
-  bias (endpoint: string, heardAt: number | undefined, now: number): number {
-    const present = this.joined.at(-1)
-    if (present === undefined) return 0
-    const asked = this.joined.find((place) => place.endpoint === endpoint)
-    if (asked !== undefined && now - asked.since > UNRESPONSIVE_MILLISECONDS && (heardAt ?? -Infinity) < asked.since) return UNRESPONSIVE_PENALTY_MILLISECONDS
-    if (present.endpoint !== endpoint) return 0
+  bias (endpoint: string, lastUpdateAt: number | undefined, now: number): number {
+    const current = this.joined.at(-1)
+    if (current === undefined) return 0
+    const past = this.joined.find((queue) => queue.endpoint === endpoint)
+    if (past !== undefined && now - past.since > UNRESPONSIVE_MILLISECONDS && (lastUpdateAt ?? -Infinity) < past.since) return UNRESPONSIVE_PENALTY_MILLISECONDS
+    if (current.endpoint !== endpoint) return 0
     return this.joined.length > 1 ? -STAY_PREFERENCE_MILLISECONDS : -MINIMUM_MOVE_GAIN_MILLISECONDS
   }
 }
--- a/packages/decisions/src/loads/stall-load-ordering-policy.ts
+++ b/packages/decisions/src/loads/stall-load-ordering-policy.ts
@@ -1,20 +1,19 @@
-/** Loads in the order of the stall they end. */
 import { LoadOrderingPolicy } from './load-ordering-policy.js'
 import type { LoadCandidate } from './load-ordering-policy.js'
 
-/** How the parts of the urgency weigh. */
+/** Weights of the factors of the urgency. */
 export interface StallLoadOrderingOptions {
-  /** Waiters count by this power: 0 is first come first served, 1 counts each waiter whole. */
+  /** Exponent of the number of waiting requests: 0 is first come, first served; with 1 the urgency is proportional to the number. */
   readonly waitingRequestsExponent?: number
-  /** Age that every load is given, so that a new load with many waiters need not wait, milliseconds. */
+  /** Added to the age of every load, so that a new load with many waiting requests becomes urgent at once, milliseconds. */
   readonly baseAgeMilliseconds?: number
-  /** Factor for each level of priority. */
+  /** Factor on the urgency per priority level. */
   readonly priorityFactor?: number
-  /** How strongly a team over its share is put back; 0 not at all. */
+  /** Exponent of the share used by a team that is over its share, by which the urgency is divided; 0 ignores shares. */
   readonly shareExponent?: number
 }
 
-/** Urgency: waiters × (age + head start), more for a higher priority, less for a team over its share. */
+/** Urgency grows with the age of the load, the number of waiting requests and their priority, and falls with the share that the team used. */
 export class StallLoadOrderingPolicy extends LoadOrderingPolicy {
   private readonly waitingRequestsExponent: number
   private readonly baseAge: number
@@ -31,10 +30,10 @@
 
   urgency (load: LoadCandidate, now: number): number {
     const age = Math.max(0, now - load.waitingSince) + this.baseAge + 1
-    const waiters = Math.max(1, load.waitingRequests) ** this.waitingRequestsExponent
+    const requests = Math.max(1, load.waitingRequests) ** this.waitingRequestsExponent
     const priority = this.priorityFactor ** load.highestPriority
     const share = Math.max(1, load.shareUsed) ** this.shareExponent
-    // A load that failed before has a poorer chance; its time goes to one that will end a stall.
-    return age * waiters * priority / share / (1 + load.failures)
+    // A load that failed before is less likely to succeed, so a load that is likely to end a stall goes first.
+    return age * requests * priority / share / (1 + load.failures)
   }
 }
