--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,7 @@
-/** The decisions: where a request goes, what is loaded and evicted, who waits, who is refused. No input or output here. */
+/**
+ * Policies for routing, adapter loading and eviction, queueing, admission limits, retries and quarantine.
+ * They do no input or output and read no clock: the caller passes the time.
+ */
 export * from './routing/routing-policy.js'
 export * from './routing/outlier-ejection.js'
 export * from './routing/error-rates.js'
