--- a/packages/decisions/test/engine-speeds.test.ts
+++ b/packages/decisions/test/engine-speeds.test.ts
@@ -1,17 +1,18 @@
 import { describe, expect, it } from 'vitest'
 import { EngineSpeeds, EventSpacing } from '../src/index.js'
 
-describe('the speeds of engines', () => {
-  it('are told apart by the spacing of events, once a few streams were seen', () => {
+describe('engine speeds', () => {
+  it('are distinguished by the event spacing after a few streams', () => {
     const speeds = new EngineSpeeds()
     for (let stream = 0; stream < 10; stream += 1) speeds.recordEventSpacing('fast', 28)
     speeds.recordEventSpacing('slow', 36.4)
     const before = speeds.slowness('slow')
     for (let stream = 0; stream < 10; stream += 1) speeds.recordEventSpacing('slow', 36.4)
-    expect({ before, fast: speeds.slowness('fast'), slow: speeds.slowness('slow'), unknown: speeds.slowness('new') }).toEqual({ before: 1, fast: 1, slow: 1.3, unknown: 1 })
+    expect({ before, fast: speeds.slowness('fast'), slow: speeds.slowness('slow'), unknown: speeds.slowness('new') })
+      .toEqual({ before: 1, fast: 1, slow: 1.3, unknown: 1 })
   })
 
-  it.each([12, 30.6, 90])('are learnt from long prompts, at %d tokens a millisecond on the fastest engine', (rate) => {
+  it.each([12, 30.6, 90])('are learnt from long prompts, at %d tokens per millisecond on the fastest engine', (rate) => {
     const speeds = new EngineSpeeds()
     for (let stream = 0; stream < 10; stream += 1) {
       speeds.recordEventSpacing('fast', 28)
@@ -21,14 +22,14 @@
     expect(speeds.prefillMilliseconds('fast', 9_000) / (9_000 / rate)).toBeCloseTo(1, 1)
   })
 
-  it('take nothing from short prompts, whose way there and back counts for more', () => {
+  it('ignore short prompts, for which network delay dominates', () => {
     const speeds = new EngineSpeeds()
     const before = speeds.prefillMilliseconds('e', 1_000)
     for (let prompt = 0; prompt < 100; prompt += 1) speeds.recordPrefill('e', 600, 200)
     expect(speeds.prefillMilliseconds('e', 1_000)).toBe(before)
   })
 
-  it('are forgotten with the engine', () => {
+  it('are dropped with the engine', () => {
     const speeds = new EngineSpeeds()
     for (let stream = 0; stream < 4; stream += 1) {
       speeds.recordEventSpacing('gone', 20)
@@ -39,14 +40,14 @@
   })
 })
 
-describe('the spacing of a stream', () => {
-  it('leaves out the pauses in which the engine read prompts of others, and events that came together', () => {
+describe('the event spacing of a stream', () => {
+  it('excludes pauses for the prefill of other prompts and events that arrive together', () => {
     const spacing = new EventSpacing()
     for (const gap of [28, 0, 28, 320, 29, 49, 28, 0, 70, 28, 30, 51]) spacing.recordGap(gap)
     expect(spacing.milliseconds).toBe(28)
   })
 
-  it('is not told by a few events', () => {
+  it('is undefined after only a few events', () => {
     const spacing = new EventSpacing()
     for (const gap of [28, 28, 28]) spacing.recordGap(gap)
     expect(spacing.milliseconds).toBeUndefined()
--- a/packages/decisions/test/overload.test.ts
+++ b/packages/decisions/test/overload.test.ts
@@ -9,23 +9,23 @@
 }
 
 describe('overload guard', () => {
-  // The caller learns at once that its deadline cannot be met, and when to come back. Held until near its deadline, the
-  // request would keep a place from one that can be served.
-  it('refuses what cannot make its deadline at once and says when to come back', () => {
+  // Guards against queueing a request until its deadline although it cannot be met. The request would take the position of one that
+  // can be served, and its caller would learn too late to retry.
+  it('refuses a request that cannot meet its deadline at once, with a retry time', () => {
     const guard = new OverloadGuard()
     const forecast = { firstTokenMilliseconds: 20_000, serviceMilliseconds: 4_000 }
     const refusal = guard.admit(request('a', 'team', { deadlineAt: 10_000 }), new VirtualTimeFairQueue(), forecast, 0)
     expect(refusal).toEqual({ admitted: false, reason: 'deadline cannot be met', expectedMilliseconds: 24_000, retryAfterSeconds: 14 })
   })
 
-  it('hands out what can no longer make its deadline as soon as that is known', () => {
+  it('removes a queued request as soon as it can no longer meet its deadline', () => {
     const guard = new OverloadGuard()
     const queue = new VirtualTimeFairQueue<QueuedRequest>()
     queue.push(request('late', 'team', { deadlineAt: 5_000 }))
     queue.push(request('early', 'team'))
-    const given = guard.expire(queue, () => ({ firstTokenMilliseconds: 0, serviceMilliseconds: 4_000 }), 1_500)
-    expect(given.map(({ item }) => item.requestId)).toEqual(['late'])
-    expect(given[0]?.refusal.retryAfterSeconds).toBeGreaterThanOrEqual(1)
+    const expired = guard.expire(queue, () => ({ firstTokenMilliseconds: 0, serviceMilliseconds: 4_000 }), 1_500)
+    expect(expired.map(({ item }) => item.requestId)).toEqual(['late'])
+    expect(expired[0]?.refusal.retryAfterSeconds).toBeGreaterThanOrEqual(1)
     expect(queue.size).toBe(1)
   })
 
@@ -44,7 +44,7 @@
     expect(second).toMatchObject({ admitted: true, shed: { item: { requestId: 'greedy' } } })
   })
 
-  it('never holds more than its bound, and refuses what is worth no place', () => {
+  it('never queues more than its maximum, and refuses a request that outranks no queued one', () => {
     const guard = new OverloadGuard<QueuedRequest>({ maximumQueued: 2 })
     const queue = new VirtualTimeFairQueue<QueuedRequest>()
     queue.push(request('one', 'a'))
@@ -55,7 +55,7 @@
 })
 
 describe('priorities', () => {
-  it('put a request first within its team, and age lifts the others', () => {
+  it('order the requests of a team, and waiting raises them', () => {
     const queue = new VirtualTimeFairQueue<QueuedRequest>({ agingMilliseconds: 1_000 })
     queue.push(request('old-low', 'a', { priority: 3, enqueuedAt: 0 }))
     queue.push(request('new-high', 'a', { priority: 5, enqueuedAt: 1_000 }))
@@ -64,7 +64,7 @@
     expect(order).toEqual(['new-high', 'old-low', 'newer-high'])
   })
 
-  it('let a team go first, but give it no more than its share in the long run', () => {
+  it('let a team be served first, but give it no more than its share in the long run', () => {
     const queue = new VirtualTimeFairQueue<QueuedRequest>({ tokensPerPriorityLevel: 200 })
     for (let index = 0; index < 200; index++) {
       queue.push(request(`high-${index}`, 'high', { priority: 9 }))
--- a/packages/decisions/test/properties.test.ts
+++ b/packages/decisions/test/properties.test.ts
@@ -11,7 +11,7 @@
   return { requestId: `${team}-${number}`, team, priority: 5, adapter: undefined, cost, enqueuedAt, deadlineAt: 1e9 }
 }
 
-/** Fills the queue so that no team runs out, serves it, and returns the tokens that each team had. */
+/** Queues enough requests that every team stays backlogged, and serves some. @returns the tokens that each team received */
 function serveBacklog (weights: readonly number[], costs: readonly number[], rounds: number): number[] {
   const queue = new VirtualTimeFairQueue<QueuedRequest>()
   const served = weights.map(() => 0)
@@ -30,7 +30,7 @@
 }
 
 describe('eviction', () => {
-  it('never chooses a pinned adapter, one just loaded that requests wait for, or the incoming one', () => {
+  it('never evicts a pinned adapter, one just loaded that requests wait for, or the incoming one', () => {
     const slot = fc.record({
       adapter: fc.constantFrom('a', 'b', 'c', 'd', 'e'),
       pins: fc.nat(2),
@@ -77,7 +77,7 @@
 })
 
 describe('retry budget', () => {
-  it('allows at most the share of first attempts and the least number in any window', () => {
+  it('allows at most the share of first attempts plus the minimum in any window', () => {
     const events = fc.array(fc.record({ after: fc.nat(300), retry: fc.boolean() }), { maxLength: 200 })
     fc.assert(fc.property(events, (list) => {
       const budget = new ShareRetryBudget({ share: 0.2, minimumRetries: 2, windowMilliseconds: 1000 })
@@ -99,7 +99,7 @@
 })
 
 describe('outlier ejection', () => {
-  it('keeps the floor in use whatever fails', () => {
+  it('keeps the minimum share usable however many endpoints fail', () => {
     const endpoints = Array.from({ length: 9 }, (_, index) => ({ endpoint: `e${index}` as EndpointId }))
     const failures = fc.array(fc.record({ endpoint: fc.nat(8), after: fc.nat(500) }), { maxLength: 100 })
     fc.assert(fc.property(failures, fc.integer({ min: 1, max: 10 }), (list, tenths) => {
