--- a/packages/entry/src/scheduling/admission-queue.ts
+++ b/packages/entry/src/scheduling/admission-queue.ts
@@ -1,46 +1,46 @@
-/** The requests that wait at an owner, by id and by the adapter that they wait for. */
+/** The requests that wait for admission at an owner, indexed by id and by adapter. */
 import type { Result } from 'neverthrow'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import type { FairQueue } from '@limpetwinch/decisions'
 import type { Grant, WaitingRequest } from './admission.js'
 
-/** Answers a request that waits, once. */
+/** Completes the wait of a request with its result. Called once for each request. */
 export type Settle = (result: Result<Grant, LimpetwinchError>) => void
 
-const NOBODY: ReadonlySet<WaitingRequest> = new Set()
+const NO_REQUESTS: ReadonlySet<WaitingRequest> = new Set()
 
-/** Keeps queue and look-ups in step. */
+/** Keeps the fair queue and the indexes of its requests consistent. */
 export class AdmissionQueue {
   private readonly queue: FairQueue<WaitingRequest>
   private readonly waiting = new Map<string, { item: WaitingRequest, settle: Settle }>()
   private readonly byAdapter = new Map<string, Set<WaitingRequest>>()
 
-  /** @param queue - decides who goes next */
+  /** @param queue - the fair queue, which decides which request is admitted next */
   constructor (queue: FairQueue<WaitingRequest>) {
     this.queue = queue
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size (): number {
     return this.waiting.size
   }
 
-  /** @returns the ids of all that wait */
+  /** @returns the ids of all waiting requests */
   ids (): string[] {
     return [...this.waiting.keys()]
   }
 
-  /** @returns whether a request waits */
+  /** @returns whether the request is waiting */
   has (requestId: string): boolean {
     return this.waiting.has(requestId)
   }
 
-  /** @returns a request that waits */
+  /** @returns the waiting request with an id, or undefined if there is none */
   get (requestId: string): WaitingRequest | undefined {
     return this.waiting.get(requestId)?.item
   }
 
-  /** Puts a request into the queue. */
+  /** Adds a request to the queue and the indexes. */
   add (item: WaitingRequest, settle: Settle): void {
     this.queue.push(item)
     this.waiting.set(item.requestId, { item, settle })
@@ -50,7 +50,7 @@
     this.byAdapter.set(item.adapter, waiting)
   }
 
-  /** Answers a request and takes it out; nothing happens when it does not wait. */
+  /** Removes a waiting request and completes it with a result. Does nothing if the request is not waiting. */
   settle (requestId: string, result: Result<Grant, LimpetwinchError>): void {
     const entry = this.waiting.get(requestId)
     if (entry === undefined) return
@@ -60,14 +60,14 @@
     entry.settle(result)
   }
 
-  /** @returns adapters that requests wait for */
+  /** @returns the adapters that requests wait for */
   adapters (): string[] {
     return [...this.byAdapter.keys()]
   }
 
-  /** @returns requests that wait for an adapter */
+  /** @returns the requests that wait for an adapter */
   forAdapter (adapter: string): ReadonlySet<WaitingRequest> {
-    return this.byAdapter.get(adapter) ?? NOBODY
+    return this.byAdapter.get(adapter) ?? NO_REQUESTS
   }
 
   private forgetAdapter (item: WaitingRequest): void {
--- a/packages/entry/src/scheduling/data-centre-service-accounting.ts
+++ b/packages/entry/src/scheduling/data-centre-service-accounting.ts
@@ -1,4 +1,4 @@
-/** The service that teams have had in the whole data centre, so that a team cannot have a full share of each owner. */
+/** Accounting of the service that teams use in the whole data centre, so that no team gets a full share at every owner. */
 import { ServiceAccounting } from '@limpetwinch/decisions'
 import { LoadAccounting } from './load-accounting.js'
 import type { InstanceId, OperatorSettings, TeamServiceFrame } from '@limpetwinch/core'
@@ -7,10 +7,10 @@
 
 const MOST_TEAMS_IN_A_FRAME = 100
 
-/** One ledger for all queues of this instance; service by others comes in by frames. */
+/** The accounting for all queues of this instance. Other owners report the service they provided in `team-service` frames. */
 export class DataCentreServiceAccounting {
   readonly accounting = new ServiceAccounting()
-  /** Loads are shared by the same weights. */
+  /** Accounting of adapter loads, with the same team weights. */
   readonly loads = new LoadAccounting()
   private readonly network: PeerNetwork
   private readonly membership: Membership
@@ -19,15 +19,15 @@
   private settings: OperatorSettings | undefined
 
   /**
-   * @param network - frames to the other owners
-   * @param membership - who they are
+   * @param network - sends frames to the other owners
+   * @param membership - the members of the data centre
    */
   constructor (network: PeerNetwork, membership: Membership) {
     this.network = network
     this.membership = membership
   }
 
-  /** Takes up the weights in force; a team that lost its line is back at 1. */
+  /** Applies the current weights. A team that is no longer listed gets weight 1 again. */
   setWeights (settings: OperatorSettings): void {
     if (this.settings?.shares === settings.shares) return
     this.settings = settings
@@ -42,18 +42,18 @@
     this.loads.setWeight(team, weight)
   }
 
-  /** Counts service here, to be told to the other owners. The queue has charged it to the ledger already. */
+  /** Records service provided here, to be sent to the other owners. The queue has charged it to the local accounting already. */
   served (team: string, tokens: number): void {
     this.unsentTokens.set(team, (this.unsentTokens.get(team) ?? 0) + tokens)
   }
 
-  /** Takes up service by another owner. */
+  /** Charges the service that another owner has reported. */
   receive (from: InstanceId, frame: TeamServiceFrame): void {
     if (from === this.network.self.instance) return
     for (const { team, tokens } of frame.tokens) this.accounting.charge(team, tokens)
   }
 
-  /** Tells the members of the data centre what was served here since the last time. */
+  /** Sends the service provided here since the previous call to the other members of the data centre. */
   broadcast (): void {
     if (this.unsentTokens.size === 0) return
     const tokens = [...this.unsentTokens].slice(0, MOST_TEAMS_IN_A_FRAME).map(([team, amount]) => ({ team, tokens: amount }))
--- a/packages/entry/src/scheduling/digest.ts
+++ b/packages/entry/src/scheduling/digest.ts
@@ -1,18 +1,21 @@
-/** What an owner tells the others about an endpoint, for their routing. */
+/** Digests: what the owner of an endpoint broadcasts about it, so that other instances can route requests. */
 import type { EndpointDigestFrame, EndpointId } from '@limpetwinch/core'
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 
-/** What a digest tells beside the scheduler's own state. */
+/** What a digest contains in addition to the state of the scheduler. */
 export interface DigestState {
-  /** All adapters and not only changes. */
+  /** Whether the digest lists all loaded adapters instead of the changes since the previous digest. */
   readonly full: boolean
   readonly leaving: boolean
-  /** Whether the engine's reports come. */
+  /** Whether the owner currently receives the engine's reports. */
   readonly healthy: boolean
   readonly evictionCost: number
 }
 
-/** Makes digests of one endpoint: the adapters as changes, each numbered so that a receiver sees a gap. */
+/**
+ * Builds the digests of one endpoint. Digests list adapters as changes and carry sequence numbers, so that a receiver
+ * detects a missed one.
+ */
 export class DigestMaker {
   private sequence = 0
   private lastAdapters = new Set<string>()
@@ -21,7 +24,8 @@
   /**
    * @param scheduler - the endpoint's scheduler
    * @param state - what the scheduler does not know
-   * @returns the frame to broadcast, or undefined when it would tell nothing new
+   * @returns the frame to broadcast, or undefined if neither the load nor the adapters have changed since the
+   *   previous digest
    */
   make (scheduler: EndpointScheduler, state: DigestState): EndpointDigestFrame | undefined {
     const { full, leaving, healthy, evictionCost } = state
@@ -31,9 +35,9 @@
     const added = [...loaded].filter((adapter) => full || !this.lastAdapters.has(adapter))
     const removed = full ? [] : [...this.lastAdapters].filter((adapter) => !loaded.has(adapter))
     const load = { queued: scheduler.queued, running: scheduler.running.size, pinnedSlots: scheduler.slots.pinnedCount, leaving, healthy }
-    const telling = JSON.stringify(load)
-    if (!full && telling === this.lastLoad && added.length === 0 && removed.length === 0) return undefined
-    this.lastLoad = telling
+    const serialisedLoad = JSON.stringify(load)
+    if (!full && serialisedLoad === this.lastLoad && added.length === 0 && removed.length === 0) return undefined
+    this.lastLoad = serialisedLoad
     this.lastAdapters = loaded
     this.sequence += 1
     return {
@@ -52,8 +56,8 @@
   }
 }
 
-/** Tells which adapters other engines hold, as their owners' digests say. */
+/** Counts the copies of adapters on other engines, based on the digests of their owners. */
 export abstract class CopyCounter {
-  /** @returns copies of an adapter on engines other than the one named */
+  /** @returns the number of copies of an adapter on engines other than `endpoint` */
   abstract copiesElsewhere (adapter: string, endpoint: EndpointId): number
 }
--- a/packages/entry/src/scheduling/endpoint-scheduler.ts
+++ b/packages/entry/src/scheduling/endpoint-scheduler.ts
@@ -1,4 +1,4 @@
-/** Admission to one engine by its owner: one fair queue, pins, and the slots. */
+/** Admission of requests to one engine by its owner: a fair queue, the pins of admitted requests and the adapter slots. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { formatAdapter, LimpetwinchError, loadedNameOf, splitLoadedName } from '@limpetwinch/core'
@@ -12,19 +12,19 @@
 import { WaitForecaster } from './wait-forecaster.js'
 import { AdmissionQueue } from './admission-queue.js'
 
-/** Requests granted beyond the engine's batch, so that a finished sequence is replaced in the next step. */
+/** Requests admitted beyond the engine's batch capacity, so that the engine replaces a finished sequence in its next step. */
 const GRANTED_BEYOND_BATCH = 2
-/** Clocks of engines and instances may differ by so much. */
+/** Largest clock difference that is expected between engines and instances. */
 const REPORT_MARGIN_MILLISECONDS = 2_000
 
-/** A granted request. */
+/** A request that has been admitted and has not ended yet. */
 export interface Running {
   readonly request: IncomingAdmissionRequest
   readonly loadedName: LoadedName | undefined
   readonly grantedAt: number
 }
 
-/** What a scheduler works with. */
+/** Dependencies and callbacks of a scheduler. */
 export interface EndpointSchedulerOptions {
   readonly engine: EngineSettings
   readonly record: OwnershipRecord
@@ -34,15 +34,15 @@
   readonly loadMilliseconds: () => number
   readonly clock: Clock
   readonly logger: Logger
-  /** Called with each request that names an adapter. */
+  /** Called for each queued request that names an adapter. */
   readonly onAdapterRequested: (adapter: string, team: string, tokens: number, now: number) => void
-  /** Called when a load may be wanted. */
+  /** Called when an adapter may have to be loaded. */
   readonly onLoadNeeded: () => void
-  /** Called with the service that a request has had, in tokens. */
+  /** Called with the service that a request has used, in weighted tokens. */
   readonly onServed: (team: string, tokens: number) => void
 }
 
-/** The queue, the pins and the slots of one owned engine. */
+/** Schedules the requests to one owned engine: its queue, its pins and its adapter slots. */
 export class EndpointScheduler {
   readonly engine: EngineSettings
   readonly record: OwnershipRecord
@@ -51,17 +51,17 @@
   private readonly options: EndpointSchedulerOptions
   private readonly waiting: AdmissionQueue
   private readonly forecaster: WaitForecaster
-  /** Service of all that wait, tokens. */
+  /** Expected service of all waiting requests, weighted tokens. */
   private waitingCost = 0
   private readonly adopted = new Set<LoadedName>()
-  /** Names whose unload had no answer; it may be carried out at any later time. */
+  /** Names whose unload order got no response. The engine may still carry out the order at any later time. */
   private readonly unconfirmedUnloads = new Set<LoadedName>()
-  /** Wall time at which the last order ended; an older report says nothing of it. */
+  /** Wall time at which the last order ended. Engine reports made earlier may not reflect that order. */
   lastOrderAt = 0
   private engineRun: string | undefined
   private released: LimpetwinchError | undefined
 
-  /** @param options - what it works with */
+  /** @param options - dependencies and callbacks */
   constructor (options: EndpointSchedulerOptions) {
     this.options = options
     this.engine = options.engine
@@ -71,63 +71,63 @@
     this.forecaster = new WaitForecaster(options.engine)
   }
 
-  /** Requests that wait here. */
+  /** Number of waiting requests. */
   get queued (): number {
     return this.waiting.size
   }
 
-  /** The fencing token of every order and grant. */
+  /** The fencing token that every order and grant carries. */
   get token (): FencingToken {
     return this.record.token
   }
 
-  /** Whether engine reports have told what is loaded since this owner took over. */
+  /** Whether an engine report has been received since this owner took over, so that the loaded adapters are known. */
   get knowsSlots (): boolean {
     return this.engineRun !== undefined
   }
 
-  /** @returns requests that wait for an adapter */
+  /** @returns the requests that wait for an adapter */
   waitingFor (adapter: string): ReadonlySet<WaitingRequest> {
     return this.waiting.forAdapter(adapter)
   }
 
-  /** @returns adapters that requests wait for and that no slot holds ready */
+  /** @returns the adapters that requests wait for and that are not confirmed as loaded */
   adaptersAwaitingLoad (): string[] {
-    return this.waiting.adapters().filter((adapter) => this.slots.usable(adapter)?.state !== 'loaded')
+    return this.waiting.adapters().filter((adapter) => this.slots.usableSlot(adapter)?.state !== 'loaded')
   }
 
   /**
-   * Waits for admission.
+   * Waits until a request is admitted or refused.
    *
-   * @param ask - the request
-   * @param signal - the asker gave up or is gone
-   * @returns the grant, or why nothing was run
+   * @param request - the request
+   * @param signal - aborted when the requesting instance cancels the request or has left
+   * @returns the grant, or the reason why the request was not run
    */
-  async admit (ask: IncomingAdmissionRequest, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
-    const running = this.running.get(ask.requestId)
-    // The asker asks again when the answer to its first ask was lost with a connection: it holds the pin already.
+  async admit (request: IncomingAdmissionRequest, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
+    const running = this.running.get(request.requestId)
+    // An instance retries its admission request if the response was lost with a connection; the request is pinned already.
     if (running !== undefined) return ok(this.grantOf(running, 0, 0))
     if (this.released !== undefined) return err(this.released)
-    const item = this.itemOf(ask)
+    const item = this.itemOf(request)
     const decision = this.options.guard.admit(item, this.options.queue, this.forecast(item, this.costAhead(item)), item.enqueuedAt)
     if (!decision.admitted) return err(refusalError(decision))
     if (decision.shed !== undefined) this.settle(decision.shed.item, err(refusalError(decision.shed.refusal)))
     return await this.wait(item, signal)
   }
 
-  /** Refuses at once whoever can no longer be answered in time. */
+  /** Refuses waiting requests that can no longer be completed before their deadlines. */
   expire (): void {
     const { guard, queue, clock } = this.options
-    const given = guard.expire(queue, (item) => this.forecast(item, 0), clock.now())
-    for (const { item, refusal } of given) this.settle(item, err(refusalError(refusal)))
+    const expired = guard.expire(queue, (item) => this.forecast(item, 0), clock.now())
+    for (const { item, refusal } of expired) this.settle(item, err(refusalError(refusal)))
   }
 
   /**
-   * Ends a pin, or withdraws a request that waits.
+   * Removes the pin of an admitted request, or withdraws a waiting request.
    *
    * @param requestId - the request
-   * @param outcome - how it ended
-   * @param outputTokens - what it generated
+   * @param outcome - how the request ended
+   * @param outputTokens - number of tokens that the request generated
    */
   done (requestId: string, outcome: AdmissionOutcome, outputTokens: number): void {
     this.withdraw(requestId)
@@ -135,16 +135,16 @@
     if (running === undefined) return
     this.running.delete(requestId)
     this.unpin(running, outcome)
-    const { request: ask } = running
-    const expected = expectedCost(ask.promptTokens, ask.maximumTokens)
-    const actual = outcome === 'answered' || outcome === 'failed' ? expectedCost(ask.promptTokens, outputTokens) : 0
-    this.options.queue.charge(ask.team, actual - expected)
-    if (actual > 0) this.options.onServed(ask.team, actual)
+    const { request } = running
+    const expected = expectedCost(request.promptTokens, request.maximumTokens)
+    const actual = outcome === 'answered' || outcome === 'failed' ? expectedCost(request.promptTokens, outputTokens) : 0
+    this.options.queue.charge(request.team, actual - expected)
+    if (actual > 0) this.options.onServed(request.team, actual)
     this.recordOutcome(running, outcome, outputTokens, actual)
     this.grantReady()
   }
 
-  /** Takes up names that the earlier owner handed over; it gives no orders any more, so they stay loaded. */
+  /** Accepts loaded names from a hand-over. The previous owner no longer sends orders, so these names stay loaded. */
   adopt (names: readonly LoadedName[]): void {
     for (const name of names) {
       this.adopted.add(name)
@@ -155,9 +155,10 @@
   }
 
   /**
-   * Takes up what was granted under the same token and other settings: it runs on, and its adapters stay in use.
+   * Takes over the admitted requests of a scheduler with the same token and different engine settings. The requests keep
+   * running, so their adapters stay pinned.
    *
-   * @param earlier - the scheduler before, which grants nothing more
+   * @param earlier - the previous scheduler, which admits no more requests
    */
   takeOverPins (earlier: EndpointScheduler): void {
     for (const [requestId, running] of earlier.running) {
@@ -169,9 +170,9 @@
   }
 
   /**
-   * Takes up what is known of orders under the same token. Until then nothing may be ordered here.
+   * Takes over what a scheduler with the same token knows about its orders. No order may be sent before this call.
    *
-   * @param earlier - the scheduler before, whose orders have all ended
+   * @param earlier - the previous scheduler, whose orders have all ended
    */
   takeOverOrders (earlier: EndpointScheduler): void {
     this.lastOrderAt = Math.max(this.lastOrderAt, earlier.lastOrderAt)
@@ -180,10 +181,10 @@
     for (const slot of this.slots.all()) slot.usable = this.isUsable(slot.name)
   }
 
-  /** Takes up what the engine says is loaded. The report lags, so nothing is believed to be ready by it alone. */
+  /** Applies an engine report. Reports lag, so an adapter is never treated as loaded because of a report alone. */
   applyReport (report: EngineReport): void {
     const coldStart = this.engineRun !== undefined && this.engineRun !== report.engineRun
-    if (coldStart) this.options.logger.warn('The engine was restarted cold.', { endpoint: this.engine.endpoint })
+    if (coldStart) this.options.logger.warn('The engine restarted with no adapters loaded.', { endpoint: this.engine.endpoint })
     const first = this.engineRun === undefined || coldStart
     this.engineRun = report.engineRun
     if (first || report.madeAt > this.lastOrderAt) this.compareSlots(report)
@@ -192,27 +193,29 @@
   }
 
   /**
-   * Drops pins of instances that have ended, and of requests that are older than any can be.
+   * Drops the pins of requests whose instance has ended, and of requests that exceeded the longest request time.
    *
-   * An instance can send its request long after the grant, with its last breath, and an engine's queue has no names. So
-   * only a report counts that was made after the instance was known to have ended, with nothing queued.
+   * An instance can send a request to the engine long after the grant, just before the instance ends, and reports only
+   * count queued requests without naming them. So a pin is dropped only on a report that was made after the instance was
+   * known to have ended, that has an empty queue and that does not list the request as running.
    *
-   * @param endedAt - when an instance was known to have ended, wall time in milliseconds; undefined while it may live
-   * @param report - the engine's newest
-   * @param longestRequest - by the settings in force, milliseconds; a request keeps the longer time that it came with
+   * @param endedAt - when an instance was known to have ended, wall time in milliseconds; undefined while it may be alive
+   * @param report - the latest report of the engine
+   * @param longestRequest - longest request time of the current settings, milliseconds; a request that was admitted with
+   *   a longer patience keeps it
    */
   dropEndedPins (endedAt: (instance: InstanceId) => number | undefined, report: EngineReport, longestRequest: number): void {
     const now = this.options.clock.now()
     const running = new Set(report.running.map((entry) => entry.requestId as string))
     for (const [requestId, entry] of this.running) {
       const ended = endedAt(entry.request.from)
-      const told = ended !== undefined && report.queued === 0 && report.madeAt > ended + REPORT_MARGIN_MILLISECONDS
-      const over = now - entry.grantedAt > Math.max(longestRequest, entry.request.patience)
-      if (over || (told && !running.has(requestId))) this.done(requestId, 'failed', 0)
+      const reportIsConclusive = ended !== undefined && report.queued === 0 && report.madeAt > ended + REPORT_MARGIN_MILLISECONDS
+      const expired = now - entry.grantedAt > Math.max(longestRequest, entry.request.patience)
+      if (expired || (reportIsConclusive && !running.has(requestId))) this.done(requestId, 'failed', 0)
     }
   }
 
-  /** @returns instances whose grants are older than so many milliseconds */
+  /** @returns the instances that hold pins older than so many milliseconds */
   holdersOfPinsOlderThan (milliseconds: number): ReadonlySet<InstanceId> {
     const now = this.options.clock.now()
     const old = [...this.running.values()].filter((entry) => now - entry.grantedAt > milliseconds)
@@ -220,21 +223,21 @@
   }
 
   /**
-   * Drops the pins of an instance that it does not hold: the word that they ended was lost with a connection.
+   * Drops the pins of an instance that the instance no longer reports. Their `admission-done` message was lost with a connection.
    *
    * @param from - the instance
-   * @param held - all of its requests here by its own word, those that it has asked for among them
-   * @param grantedBefore - when it was asked, monotonic milliseconds; later grants are not in its answer
+   * @param held - all requests to this endpoint that the instance reports, including requests that wait for admission
+   * @param grantedBefore - when the instance was queried, monotonic milliseconds; later grants are not in its response
    */
   dropPinsNotHeld (from: InstanceId, held: ReadonlySet<string>, grantedBefore: number): void {
     for (const [requestId, entry] of this.running) {
-      const forgotten = entry.request.from === from && entry.grantedAt < grantedBefore && !held.has(requestId)
-      if (forgotten) this.done(requestId, 'failed', 0)
+      const notHeld = entry.request.from === from && entry.grantedAt < grantedBefore && !held.has(requestId)
+      if (notHeld) this.done(requestId, 'failed', 0)
     }
   }
 
   /**
-   * Grants nothing more; whoever waits or asks is told where to ask.
+   * Stops admitting requests. Waiting and later requests are refused with the id of the next owner.
    *
    * @param newOwner - the next owner, if known
    */
@@ -244,7 +247,7 @@
     this.waitingCost = 0
   }
 
-  /** Grants what can run now. */
+  /** Admits the waiting requests that can run now. */
   grantReady (): void {
     const { queue, clock, rights } = this.options
     while (this.released === undefined && rights().mayAdmit && this.freePlaces() > 0) {
@@ -254,19 +257,19 @@
     }
   }
 
-  /** Refuses everyone who waits for an adapter. */
+  /** Refuses all requests that wait for an adapter. */
   refuseWaiting (adapter: string, error: LimpetwinchError): void {
     for (const item of [...this.waitingFor(adapter)]) this.settle(item, err(error))
   }
 
-  /** @returns whether a name may be granted by this owner */
+  /** @returns whether this owner may admit requests to a loaded name */
   isUsable (name: LoadedName): boolean {
     if (this.unconfirmedUnloads.has(name)) return false
     if (this.engine.fencing === 'refuses') return true
     return this.adopted.has(name) || splitLoadedName(name).token === this.token
   }
 
-  /** @returns the name under which an adapter is to be loaded now */
+  /** @returns the name under which an adapter has to be loaded now */
   nameFor (reference: AdapterReference): LoadedName {
     const plain = loadedNameOf(reference, this.engine.fencing === 'ignores' ? this.token : undefined)
     if (!this.unconfirmedUnloads.has(plain)) return plain
@@ -276,8 +279,8 @@
   }
 
   /**
-   * Uses a name no more, since an unload of it had no answer. The engine may have been frozen and may carry the order
-   * out after a load that confirmed the adapter; a request granted on that name would lose its adapter.
+   * Stops using a name whose unload order got no response. The engine may have been paused and may carry out the order
+   * after a later load confirmed the adapter; a request admitted to that name would then lose its adapter.
    */
   abandonName (slot: Slot): void {
     this.unconfirmedUnloads.add(slot.name)
@@ -290,38 +293,38 @@
     this.waitingCost += item.cost
     if (item.adapter !== undefined) this.options.onAdapterRequested(item.adapter, item.team, item.cost, item.enqueuedAt)
     const timer = setTimeout(() => this.settle(item, err(this.deadlineError(item))), item.request.patience)
-    const giveUp = (): void => this.withdraw(item.requestId)
-    signal.addEventListener('abort', giveUp)
+    const cancel = (): void => this.withdraw(item.requestId)
+    signal.addEventListener('abort', cancel)
     this.grantReady()
     if (this.waiting.has(item.requestId)) this.options.onLoadNeeded()
     const result = await answer
     clearTimeout(timer)
-    signal.removeEventListener('abort', giveUp)
+    signal.removeEventListener('abort', cancel)
     return result
   }
 
-  private itemOf (ask: IncomingAdmissionRequest): WaitingRequest {
+  private itemOf (request: IncomingAdmissionRequest): WaitingRequest {
     const now = this.options.clock.now()
     return {
-      requestId: ask.requestId,
-      team: ask.team,
-      priority: ask.priority,
-      adapter: ask.adapter === undefined ? undefined : formatAdapter(ask.adapter),
-      cost: expectedCost(ask.promptTokens, ask.maximumTokens),
+      requestId: request.requestId,
+      team: request.team,
+      priority: request.priority,
+      adapter: request.adapter === undefined ? undefined : formatAdapter(request.adapter),
+      cost: expectedCost(request.promptTokens, request.maximumTokens),
       enqueuedAt: now,
-      deadlineAt: now + ask.patience,
-      request: ask,
+      deadlineAt: now + request.patience,
+      request,
       loadedSince: undefined
     }
   }
 
-  /** Under fair queueing the long queue of another team is not in the way. */
+  /** Under fair queueing the long queue of another team does not delay a request, so the queue's estimate replaces the total of all waiting requests. */
   private costAhead (item: WaitingRequest): number {
     return this.options.queue.tokensAhead?.(item) ?? this.waitingCost
   }
 
   private forecast (item: WaitingRequest, costAhead: number): WaitForecast {
-    const loaded = item.adapter === undefined || this.slots.usable(item.adapter)?.state === 'loaded'
+    const loaded = item.adapter === undefined || this.slots.usableSlot(item.adapter)?.state === 'loaded'
     return this.forecaster.forecast({
       maximumTokens: item.request.maximumTokens,
       costAhead,
@@ -338,8 +341,8 @@
 
   private grant (item: WaitingRequest): void {
     const now = this.options.clock.now()
-    const slot = item.adapter === undefined ? undefined : this.slots.usable(item.adapter)
-    // Time in which nothing ran says nothing of the engine's speed.
+    const slot = item.adapter === undefined ? undefined : this.slots.usableSlot(item.adapter)
+    // Time during which no request ran must not count towards the engine's measured speed.
     if (this.running.size === 0) this.forecaster.served(0, false, now)
     const running: Running = { request: item.request, loadedName: slot?.name, grantedAt: now }
     this.running.set(item.requestId, running)
@@ -355,7 +358,7 @@
 
   private isReady (item: WaitingRequest): boolean {
     if (item.adapter === undefined) return true
-    const ready = this.slots.usable(item.adapter)?.state === 'loaded'
+    const ready = this.slots.usableSlot(item.adapter)?.state === 'loaded'
     if (ready && item.loadedSince === undefined) item.loadedSince = this.options.clock.now()
     return ready
   }
@@ -380,7 +383,7 @@
     const slot = this.slots.get(running.loadedName)
     if (slot === undefined) return
     slot.pins.delete(running.request.requestId)
-    // The engine said that it does not hold the adapter, or it failed: a load order finds out before the next grant.
+    // The engine rejected the request, for example because it does not hold the adapter; a load order checks that before the next grant.
     if (outcome === 'not-run' && slot.state === 'loaded') this.markUnverified(slot)
   }
 
@@ -390,8 +393,9 @@
   }
 
   /**
-   * Mends what was believed of the slots by a report made after the last order ended. What the report lists and the
-   * table lacks takes a slot; what it lacks is doubted, and a load order finds out before the next grant.
+   * Corrects the slot table by a report made after the last order ended. A name that only the report lists takes a slot.
+   * A loaded name that the report does not list becomes unverified, and a load order checks it before the next grant. An
+   * unverified name that the report does not list is removed unless it is pinned.
    */
   private compareSlots (report: EngineReport): void {
     const now = this.options.clock.now()
--- a/packages/entry/src/scheduling/load-accounting.ts
+++ b/packages/entry/src/scheduling/load-accounting.ts
@@ -1,7 +1,7 @@
-/** Loads as a service of their own: a team of rare adapters would else keep the others' loads waiting. */
+/** Counts adapter loads as a service of their own, so that a team with many rarely used adapters cannot delay the loads of other teams. */
 import { ServiceAccounting } from '@limpetwinch/decisions'
 
-/** Loads after which earlier ones hardly count. */
+/** Number of loads after which earlier loads have little influence. */
 const MEMORY_LOADS = 200
 
 /** Counts the loads of each team on the engines of this instance. */
@@ -9,16 +9,16 @@
   private readonly ledger = new ServiceAccounting({ memoryTokens: MEMORY_LOADS })
   private readonly waiting = new Map<string, string>()
 
-  /** Takes up a team's weight. */
+  /** Sets a team's weight. */
   setWeight (team: string, weight: number): void {
     this.ledger.setWeight(team, weight)
   }
 
   /**
-   * Takes up which loads wait on one engine.
+   * Updates which loads are pending on one engine.
    *
    * @param endpoint - the engine
-   * @param teams - the team of each adapter that waits for a load there
+   * @param teams - the team of each adapter that waits to be loaded on the engine
    */
   setWaitingLoads (endpoint: string, teams: ReadonlyMap<string, string>): void {
     const prefix = `${endpoint} `
@@ -39,7 +39,7 @@
     this.ledger.charge(team, 1)
   }
 
-  /** @returns a team's loads over its share; 1 is fair */
+  /** @returns a team's loads relative to its fair share; 1 is fair */
   shareUsed (team: string): number {
     return this.ledger.shareUsed(team)
   }
--- a/packages/entry/src/scheduling/loader.ts
+++ b/packages/entry/src/scheduling/loader.ts
@@ -1,4 +1,4 @@
-/** Loads and evictions on one owned engine: one task that runs one order after another. */
+/** Loads and evicts adapters on one owned engine, in one task that sends one order at a time. */
 import { formatAdapter, LimpetwinchError } from '@limpetwinch/core'
 import type { AdapterReference, Clock, EngineClient, LoadedName, Logger } from '@limpetwinch/core'
 import type { EvictionPolicy, LoadAhead, LoadOrderingPolicy, SlotView, LoadCandidate } from '@limpetwinch/decisions'
@@ -10,18 +10,18 @@
 
 const FIRST_BACKOFF_MILLISECONDS = 500
 const LONGEST_BACKOFF_MILLISECONDS = 30_000
-/** After so many failures in a row those who wait are refused; later requests wait for the back-off. */
+/** Consecutive failures after which the waiting requests are refused. Later requests wait until the back-off is over. */
 const FAILURES_BEFORE_REFUSAL = 3
 const IDLE_MILLISECONDS = 1_000
 const RETRY_MILLISECONDS = 100
-/** A load that nobody waits for goes behind all others. */
+/** Urgency of a load that no request waits for, so that it runs after all other loads. */
 const LEAST_URGENCY = 0
-/** Stands for an engine none of whose adapters can leave. */
+/** Upper bound of the eviction cost, which stands for an engine that cannot evict any adapter. */
 const LARGEST_COST = 1e9
-/** Clocks of engines and instances may differ by so much. */
+/** Largest clock difference that is expected between engines and instances. */
 const CLOCK_MARGIN_MILLISECONDS = 1_000
 
-/** What a loader works with. */
+/** Dependencies of a loader. */
 export interface LoaderOptions {
   readonly scheduler: EndpointScheduler
   readonly client: EngineClient
@@ -29,12 +29,12 @@
   readonly loadOrder: LoadOrderingPolicy
   readonly loadTurns: LoadTurns
   readonly rights: () => OwnerRights
-  /** Names that requests admitted by an earlier owner may use. */
+  /** Loaded names that requests admitted by an earlier owner may still use. */
   readonly earlierPins: () => ReadonlySet<LoadedName>
   readonly otherCopies: (adapter: string) => number
   readonly loadAccounting: LoadAccounting
   readonly loadAhead: LoadAhead
-  /** @returns an adapter that the settings still name and this engine can serve */
+  /** @returns the reference of an adapter, or undefined if it is not in the settings or this engine cannot serve it */
   readonly servable: (adapter: string) => AdapterReference | undefined
   readonly clock: Clock
   readonly logger: Logger
@@ -45,24 +45,24 @@
   notBefore: number
 }
 
-/** Orders loads and unloads; it alone changes the engine's slots. */
+/** Sends load and unload orders. No other task changes which adapters the engine holds. */
 export class Loader {
   private readonly options: LoaderOptions
   private readonly failures = new Map<string, Failures>()
   private endPause: () => void = () => undefined
   private readonly stopping = new AbortController()
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: LoaderOptions) {
     this.options = options
   }
 
-  /** Looks for wanted loads soon. */
+  /** Ends the current pause, so that the loader checks for pending loads at once. */
   wake (): void {
     this.endPause()
   }
 
-  /** Orders nothing more; an order under way is finished by {@link Loader.run}. */
+  /** Stops sending orders. {@link Loader.run} returns once an order in progress has ended. */
   stop (): void {
     this.stopping.abort()
   }
@@ -71,21 +71,21 @@
     return this.stopping.signal.aborted
   }
 
-  /** Runs until stopped or the signal ends it; when it has returned no order is under way. */
+  /** Runs until stopped or aborted by the signal. No order is in progress after it has returned. */
   async run (signal: AbortSignal): Promise<void> {
     const either = AbortSignal.any([signal, this.stopping.signal])
     while (!either.aborted) {
-      const wanted = this.mostUrgentLoad()
-      if (wanted === undefined) await this.idle(either)
-      else await this.loadInTurn(wanted, either)
+      const candidate = this.mostUrgentLoad()
+      if (candidate === undefined) await this.idle(either)
+      else await this.loadInTurn(candidate, either)
     }
   }
 
-  /** @returns requests that one more load is expected to stall by its eviction, 0 while a slot is free */
+  /** @returns the number of requests that the eviction for one more load is expected to stall; 0 while a slot is free */
   evictionCost (): number {
     const { scheduler, eviction, clock } = this.options
-    const wanted = scheduler.adaptersAwaitingLoad().filter((adapter) => scheduler.slots.usable(adapter) === undefined).length
-    const beyondFree = wanted - scheduler.slots.freeSlots
+    const pendingLoads = scheduler.adaptersAwaitingLoad().filter((adapter) => scheduler.slots.usableSlot(adapter) === undefined).length
+    const beyondFree = pendingLoads - scheduler.slots.freeSlots
     if (beyondFree < 0) return 0
     const cost = eviction.cost?.(this.evictable().map(({ view }) => view), beyondFree, clock.now()) ?? 0
     return Math.min(LARGEST_COST, cost)
@@ -96,25 +96,25 @@
     return scheduler.slots.evictable((adapter) => scheduler.waitingFor(adapter).size, otherCopies, earlierPins())
   }
 
-  private async loadInTurn (wanted: LoadCandidate, signal: AbortSignal): Promise<void> {
-    const release = await this.turn(wanted, signal)
+  private async loadInTurn (candidate: LoadCandidate, signal: AbortSignal): Promise<void> {
+    const release = await this.turn(candidate, signal)
     if (release === undefined) return
     try {
-      // While it waited for the turn, another load may have become more urgent, or this one may not be wanted any more.
-      const now = this.mostUrgentLoad()
-      const progressed = now !== undefined && await this.loadOne(now)
+      // During the wait for the turn another load may have become more urgent, or the original one unnecessary.
+      const current = this.mostUrgentLoad()
+      const progressed = current !== undefined && await this.loadOne(current)
       if (!progressed) await this.pause(RETRY_MILLISECONDS, signal)
     } finally {
       release()
     }
   }
 
-  /** @returns what gives the turn back, or undefined when the wait was given up */
-  private async turn (wanted: LoadCandidate, signal: AbortSignal): Promise<(() => void) | undefined> {
+  /** @returns a function that releases the turn, or undefined if the wait was cancelled */
+  private async turn (candidate: LoadCandidate, signal: AbortSignal): Promise<(() => void) | undefined> {
     const { scheduler, loadOrder, loadTurns, clock } = this.options
-    // Confirming what the engine holds already costs the weight store nothing.
-    if (scheduler.slots.usable(wanted.adapter)?.state === 'unverified') return () => undefined
-    return await this.waitForTurn(() => loadTurns.acquire(loadOrder.urgency(wanted, clock.now()), signal), signal)
+    // A load order for an adapter that the engine already holds puts no load on the weight store, so it needs no turn.
+    if (scheduler.slots.usableSlot(candidate.adapter)?.state === 'unverified') return () => undefined
+    return await this.waitForTurn(() => loadTurns.acquire(loadOrder.urgency(candidate, clock.now()), signal), signal)
   }
 
   private async waitForTurn (acquire: () => Promise<() => void>, signal: AbortSignal): Promise<(() => void) | undefined> {
@@ -126,13 +126,13 @@
     }
   }
 
-  private async loadOne (wanted: LoadCandidate): Promise<boolean> {
+  private async loadOne (candidate: LoadCandidate): Promise<boolean> {
     const { scheduler } = this.options
-    const reference = this.referenceOf(wanted.adapter)
+    const reference = this.referenceOf(candidate.adapter)
     if (reference === undefined || this.stopped) return false
-    const present = scheduler.slots.usable(wanted.adapter)
+    const present = scheduler.slots.usableSlot(candidate.adapter)
     if (present?.state === 'loaded') return false
-    if (present === undefined && !scheduler.slots.hasFreeSlot && !await this.evictFor(wanted.adapter)) return false
+    if (present === undefined && !scheduler.slots.hasFreeSlot && !await this.evictFor(candidate.adapter)) return false
     if (this.stopped) return false
     const name = present?.name ?? scheduler.nameFor(reference)
     const slot = scheduler.slots.occupy(name, 'loading', true, this.options.clock.now())
@@ -151,14 +151,14 @@
       scheduler.grantReady()
       return true
     }
-    logger.warn('A load failed.', { endpoint: scheduler.engine.endpoint, adapter: slot.adapter, kind: result.error.kind, reason: result.error.message })
+    logger.warn('An adapter load failed.', { endpoint: scheduler.engine.endpoint, adapter: slot.adapter, kind: result.error.kind, reason: result.error.message })
     this.afterFailure(slot, result.error)
     return true
   }
 
   private afterFailure (slot: Slot, error: LimpetwinchError): void {
     const { scheduler, clock } = this.options
-    // An order whose answer was lost may have taken effect, so the slot stays taken until an order or a report tells.
+    // An order whose response was lost may have taken effect, so the slot stays occupied until an order or a report clarifies it.
     if (error.outcome === 'unknown') slot.state = 'unverified'
     else if (slot.pins.size === 0) scheduler.slots.free(slot.name)
     const failures = this.failures.get(slot.adapter) ?? { count: 0, notBefore: 0 }
@@ -175,12 +175,12 @@
     const { scheduler, client, eviction, rights, clock, logger } = this.options
     if (!rights().mayEvict) return false
     const candidates = this.evictable()
-    // Names that this owner may not grant are of no use to anyone here, so they go first.
+    // Requests cannot be admitted to names that this owner may not use, so these names are evicted first.
     const useless = candidates.find(({ slot }) => !slot.usable)
     const chosen = useless?.view.adapter ?? eviction.victim(candidates.map(({ view }) => view), incoming, clock.now())
     const slot = (useless ?? candidates.find(({ view }) => view.adapter === chosen))?.slot
     if (slot === undefined) return false
-    // From here no grant uses the slot, so that none can come between this check and the order.
+    // This state keeps requests from being admitted to the slot between this check and the end of the order.
     slot.state = 'unloading'
     const result = await client.unload({ name: slot.name, token: scheduler.token })
     scheduler.lastOrderAt = this.options.clock.wallTime() + CLOCK_MARGIN_MILLISECONDS
@@ -188,7 +188,7 @@
       scheduler.slots.free(slot.name)
       return true
     }
-    logger.warn('An unload failed.', { endpoint: scheduler.engine.endpoint, adapter: slot.adapter, kind: result.error.kind })
+    logger.warn('An adapter unload failed.', { endpoint: scheduler.engine.endpoint, adapter: slot.adapter, kind: result.error.kind })
     scheduler.abandonName(slot)
     return false
   }
@@ -196,13 +196,13 @@
   private mostUrgentLoad (): LoadCandidate | undefined {
     const { scheduler, loadOrder, clock, rights } = this.options
     if (!rights().mayAdmit || !scheduler.knowsSlots) return undefined
-    const wanted = scheduler.adaptersAwaitingLoad().map((adapter) => this.wantedLoad(adapter))
-    this.options.loadAccounting.setWaitingLoads(scheduler.engine.endpoint, new Map(wanted.map(({ adapter, team }) => [adapter, team])))
-    return loadOrder.next(wanted, clock.now())
+    const candidates = scheduler.adaptersAwaitingLoad().map((adapter) => this.candidateFor(adapter))
+    this.options.loadAccounting.setWaitingLoads(scheduler.engine.endpoint, new Map(candidates.map(({ adapter, team }) => [adapter, team])))
+    return loadOrder.next(candidates, clock.now())
   }
 
-  private wantedLoad (adapter: string): LoadCandidate {
-    const { scheduler, loadAccounting: accounts } = this.options
+  private candidateFor (adapter: string): LoadCandidate {
+    const { scheduler, loadAccounting } = this.options
     const waiting = [...scheduler.waitingFor(adapter)]
     const team = waiting[0]?.team ?? ''
     const failures = this.failures.get(adapter)
@@ -213,7 +213,7 @@
       waitingSince: Math.min(...waiting.map((item) => item.enqueuedAt)),
       waitingRequests: waiting.length,
       highestPriority: Math.max(...waiting.map((item) => item.priority)),
-      shareUsed: accounts.shareUsed(team),
+      shareUsed: loadAccounting.shareUsed(team),
       failures: failures?.count ?? 0,
       notBefore: failures?.notBefore ?? 0
     }
@@ -233,18 +233,18 @@
     if (!signal.aborted && scheduler.queued === 0) await this.loadAhead(signal)
   }
 
-  /** Fills a free slot, while nobody waits, with what was used most of late and is held nowhere. */
+  /** Loads a recently popular adapter that no engine holds into a free slot, while no request waits. */
   private async loadAhead (signal: AbortSignal): Promise<void> {
     const { scheduler, loadAhead, otherCopies, servable, loadTurns, rights, clock } = this.options
     if (!scheduler.slots.hasFreeSlot || !scheduler.knowsSlots || !rights().mayAdmit) return
-    const isHeld = (adapter: string): boolean => scheduler.slots.usable(adapter) !== undefined || otherCopies(adapter) > 0
+    const isHeld = (adapter: string): boolean => scheduler.slots.usableSlot(adapter) !== undefined || otherCopies(adapter) > 0
     const adapter = loadAhead.suggest(isHeld, clock.now())
     const reference = adapter === undefined ? undefined : servable(adapter)
     if (reference === undefined) return
     const release = await this.waitForTurn(() => loadTurns.acquire(LEAST_URGENCY, signal), signal)
     if (release === undefined) return
     try {
-      const stillFree = scheduler.slots.hasFreeSlot && scheduler.slots.usable(formatAdapter(reference)) === undefined
+      const stillFree = scheduler.slots.hasFreeSlot && scheduler.slots.usableSlot(formatAdapter(reference)) === undefined
       if (stillFree && !this.stopped) await this.order(scheduler.slots.occupy(scheduler.nameFor(reference), 'loading', true, clock.now()), reference)
     } finally {
       release()
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -1,4 +1,4 @@
-/** The endpoints that this instance owns: a scheduler, a loader and a reporter for each, and the frames that reach them. */
+/** The endpoints that this instance owns. Each has a scheduler, a loader and a task that polls its engine reports. */
 import { adapterOf, LimpetwinchError, parseModelName } from '@limpetwinch/core'
 import type { AdapterReference, AdmissionAskFrame, AdmissionDoneFrame, Clock, EndpointId, EngineClient, EngineReport, EngineSettings, InstanceId, LoadedName, Logger, OperatorSettings } from '@limpetwinch/core'
 import { DataCentreServiceAccounting } from './data-centre-service-accounting.js'
@@ -16,18 +16,19 @@
 import { Loader } from './loader.js'
 import { PinAudit } from './pin-audit.js'
 
+/** Interval between polls of a busy engine's report. */
 const REPORT_MILLISECONDS = 500
-/** An engine with nothing to do is asked less often: each report costs its owner about 2.4 ms of processor. */
+/** Interval for an idle engine, which is polled less often because each report costs its owner about 2.4 ms of processor time. */
 const IDLE_REPORT_MILLISECONDS = 2_500
 const MOST_QUEUED = 2_000
-/** Full digests mend what a receiver missed with a broken connection. */
+/** Interval between full digests, which restore what a receiver missed because of a broken connection. */
 const FULL_DIGEST_MILLISECONDS = 30_000
 const REPORTS_MISSED_BEFORE_UNHEALTHY = 4
-/** Digests are sent to each member, so their pace falls with the number of members: bytes stay within the budget. */
+/** Digests are sent to each member, so the interval between them grows with the number of members to keep the traffic within its budget. */
 const DIGEST_MILLISECONDS_PER_MEMBER = 50
 const SHORTEST_DIGEST_MILLISECONDS = 100
 
-/** What owned endpoints work with. */
+/** Dependencies of {@link OwnedEndpoints}. */
 export interface OwnedEndpointsOptions {
   readonly supervisor: Supervisor
   readonly network: PeerNetwork
@@ -49,21 +50,21 @@
   readonly client: EngineClient
   readonly digests: DigestMaker
   readonly controller: AbortController
-  /** Its loader, or undefined while it is handed over. */
+  /** The loader of the endpoint, or undefined during a hand-over. */
   loader: RunningLoader | undefined
-  /** While it is handed over it stays here although the record names the next owner. */
+  /** Whether a hand-over is in progress. Until it ends the endpoint stays in the map, even if its record names the next owner. */
   handingOver: boolean
   latestReport: EngineReport | undefined
   missedReports: number
 }
 
-/** A loader and the end of its task, after which no order is under way. */
+/** A loader and a promise for the end of its task, after which no order is in progress. */
 export interface RunningLoader {
   readonly loader: Loader
   readonly ended: Promise<void>
 }
 
-/** Keeps one scheduler for each endpoint that this instance owns. */
+/** Maintains one scheduler for each endpoint that this instance owns. */
 export class OwnedEndpoints {
   private readonly options: OwnedEndpointsOptions
   private readonly owned = new Map<EndpointId, OwnedEndpoint>()
@@ -76,7 +77,7 @@
   private nextFullDigestsAt = 0
   private connected: ReadonlySet<InstanceId> = new Set()
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: OwnedEndpointsOptions) {
     this.options = options
     this.service = new DataCentreServiceAccounting(options.network, options.membership)
@@ -97,12 +98,12 @@
     return this.owned.get(endpoint)
   }
 
-  /** @returns a team's recent service over its share; 1 is fair */
+  /** @returns a team's recent service relative to its fair share; 1 is fair */
   shareUsed (team: string): number {
     return this.service.accounting.shareUsedAmongActive(team)
   }
 
-  /** Takes up the records and settings in force. */
+  /** Starts and drops schedulers to match the current ownership records and settings. */
   reconcile (): void {
     const settings = this.options.settings()
     if (settings === undefined) return
@@ -124,7 +125,7 @@
     }
   }
 
-  /** Stops orders for a hand-over; resolves when none is under way. Grants for what is loaded go on. */
+  /** Stops orders for a hand-over and resolves when none is in progress. Requests for loaded adapters are still admitted. */
   async stopOrders (endpoint: EndpointId): Promise<void> {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return
@@ -135,7 +136,7 @@
     await running?.ended
   }
 
-  /** Gives orders again after a hand-over that was not written. */
+  /** Resumes orders after a hand-over whose record was not written. */
   resumeOrders (endpoint: EndpointId): void {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return
@@ -144,7 +145,7 @@
     this.reconcile()
   }
 
-  /** Tells the data centre about all owned endpoints, again and again. */
+  /** Broadcasts digests of all owned endpoints and the service used by teams at intervals, until the signal is aborted. */
   async broadcast (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const full = this.fullDigestsAreDue()
@@ -155,7 +156,7 @@
     }
   }
 
-  /** Stops everything on one endpoint. */
+  /** Stops the scheduler, the loader and the report polling of one endpoint. */
   drop (endpoint: EndpointId, newOwner: InstanceId | undefined): void {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return
@@ -163,10 +164,10 @@
     owned.scheduler.release(newOwner)
     owned.loader?.loader.stop()
     owned.controller.abort()
-    this.options.logger.info('An endpoint is owned here no more.', { endpoint, token: owned.scheduler.token, owner: newOwner })
+    this.options.logger.info('This instance no longer owns an endpoint.', { endpoint, token: owned.scheduler.token, owner: newOwner })
   }
 
-  /** @param earlier - the same ownership under other settings; all that it granted still runs */
+  /** @param earlier - the same ownership with earlier engine settings, whose admitted requests still run */
   private startOwning (engine: EngineSettings, record: OwnershipRecord, earlier: OwnedEndpoint | undefined): void {
     const { clock, logger, ownership, clientOf, supervisor } = this.options
     const client = clientOf(engine)
@@ -195,7 +196,7 @@
       controller: new AbortController(),
       loader: undefined,
       handingOver: false,
-      // Without it the others would hear that the engine is not healthy, and refuse requests, until the next report.
+      // Without this report the digests would call the engine unhealthy, and instances would refuse requests, until the next report.
       latestReport: earlier?.client === client ? earlier.latestReport : undefined,
       missedReports: 0
     }
@@ -203,7 +204,7 @@
     if (earlier !== undefined) scheduler.takeOverPins(earlier.scheduler)
     owned.loader = this.startLoader(owned, earlier)
     void supervisor.start(`reports ${engine.endpoint}`, async (signal) => await this.pollReports(owned, signal), owned.controller.signal)
-    logger.info('An endpoint is owned here.', { endpoint: engine.endpoint, token: record.token, handedOverFrom: record.handedOverFrom })
+    logger.info('This instance now owns an endpoint.', { endpoint: engine.endpoint, token: record.token, handedOverFrom: record.handedOverFrom })
   }
 
   private reservedPlaces (engine: EngineSettings): number {
@@ -230,7 +231,7 @@
       logger
     })
     const ended = supervisor.start(`loader ${endpoint}`, async (signal) => {
-      // An order of the earlier loader carries the same token; two at a time could unload what the other has confirmed.
+      // Orders of the earlier loader carry the same token. With two loaders at once, one could unload what the other has confirmed.
       await earlier?.loader?.ended
       if (earlier !== undefined) scheduler.takeOverOrders(earlier.scheduler)
       await loader.run(signal)
@@ -271,7 +272,7 @@
     }
   }
 
-  /** A peer that has just connected knows nothing yet; at rest there is little else to tell. */
+  /** A peer that has just connected needs full digests, since an idle endpoint sends hardly any other digests. */
   private fullDigestsAreDue (): boolean {
     const { network, clock } = this.options
     const before = this.connected
@@ -313,7 +314,7 @@
   return one !== undefined && JSON.stringify(one) === JSON.stringify(other)
 }
 
-/** An adapter or version may have left the settings since it was used. */
+/** Checks the current settings, because an adapter or version may have been removed since it was last used. */
 function servableBy (settings: OperatorSettings | undefined, engine: EngineSettings, adapter: string): AdapterReference | undefined {
   const model = parseModelName(adapter)
   if (settings === undefined || model.isErr()) return undefined
--- a/packages/entry/src/scheduling/pin-audit.ts
+++ b/packages/entry/src/scheduling/pin-audit.ts
@@ -1,16 +1,19 @@
-/** Finds pins that nobody holds any more, whose end was never told. */
+/** Finds pins of requests that have ended without the owner receiving the message about their end. */
 import type { Clock, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 
+/** Interval between audits of one endpoint. */
 const AUDIT_MILLISECONDS = 10_000
+/** Age from which a pin is audited. */
 const OLD_MILLISECONDS = 20_000
 const ANSWER_MILLISECONDS = 2_000
 
 /**
- * A notice that a request is done is lost when its connection breaks. Its pin would keep the adapter's slot until the
- * longest request time has passed, and loads would stall for want of a slot; so whoever holds old pins is asked.
+ * Asks the instances with old pins which requests they still have. The message that a request is done is lost when its
+ * connection breaks. Without an audit the pin would occupy the adapter's slot until the longest request time has passed,
+ * and loads would stall because no slot is free.
  */
 export class PinAudit {
   private readonly network: PeerNetwork
@@ -20,9 +23,9 @@
   private readonly nextAt = new Map<EndpointId, number>()
 
   /**
-   * @param network - asks the holders
-   * @param membership - who has ended
-   * @param clock - time
+   * @param network - calls the instances that hold pins
+   * @param membership - which instances have ended
+   * @param clock - the clock to use
    */
   constructor (network: PeerNetwork, membership: Membership, clock: Clock) {
     this.network = network
@@ -30,7 +33,7 @@
     this.clock = clock
   }
 
-  /** @returns when an instance was first seen as gone, wall time; undefined while it may live */
+  /** @returns when an instance was first seen as gone, wall time in milliseconds; undefined while it may be alive */
   endedAt (instance: InstanceId): number | undefined {
     if (this.membership.member(instance)?.state !== 'gone') return undefined
     const since = this.goneSince.get(instance) ?? this.clock.wallTime()
@@ -45,14 +48,14 @@
     if (now < (this.nextAt.get(endpoint) ?? 0)) return
     this.nextAt.set(endpoint, now + AUDIT_MILLISECONDS)
     const holders = [...scheduler.holdersOfPinsOlderThan(OLD_MILLISECONDS)]
-    await Promise.all(holders.map(async (holder) => await this.ask(holder, scheduler)))
+    await Promise.all(holders.map(async (holder) => await this.query(holder, scheduler)))
   }
 
-  private async ask (holder: InstanceId, scheduler: EndpointScheduler): Promise<void> {
-    const asked = this.clock.now()
+  private async query (holder: InstanceId, scheduler: EndpointScheduler): Promise<void> {
+    const queriedAt = this.clock.now()
     const { engine, token } = scheduler
     const answer = await this.network.call(holder, { kind: 'pins-ask', endpoint: engine.endpoint, token }, ANSWER_MILLISECONDS)
     if (answer.isErr() || answer.value.kind !== 'pins-report') return
-    scheduler.dropPinsNotHeld(holder, new Set(answer.value.pins.map((pin) => pin.requestId as string)), asked)
+    scheduler.dropPinsNotHeld(holder, new Set(answer.value.pins.map((pin) => pin.requestId as string)), queriedAt)
   }
 }
--- a/packages/entry/src/scheduling/scheduler-hand-over.ts
+++ b/packages/entry/src/scheduling/scheduler-hand-over.ts
@@ -1,18 +1,18 @@
-/** The schedulers' side of a hand-over. */
+/** The part of an endpoint hand-over that schedulers do: orders stop, and loaded names and pins pass to the next owner. */
 import type { EndpointId, FencingToken, InstanceId, LoadedName } from '@limpetwinch/core'
 import { HandOverSource } from '../ownership/hand-over-source.js'
 import type { EarlierPin } from '../ownership/earlier-pins.js'
 import type { HandedOverPin, HandOverState } from '../ownership/hand-over-source.js'
 import type { OwnedEndpoint, OwnedEndpoints } from './owned-endpoints.js'
 
-/** Hands over what {@link OwnedEndpoints} holds. */
+/** Hands over the endpoints of {@link OwnedEndpoints}. */
 export class SchedulerHandOver extends HandOverSource {
   private readonly owned: OwnedEndpoints
   private readonly earlierPins: (endpoint: EndpointId) => readonly EarlierPin[]
 
   /**
    * @param owned - the owned endpoints
-   * @param earlierPins - requests of earlier owners that may still run
+   * @param earlierPins - requests admitted by earlier owners that may still run
    */
   constructor (owned: OwnedEndpoints, earlierPins: (endpoint: EndpointId) => readonly EarlierPin[]) {
     super()
@@ -28,7 +28,7 @@
     this.owned.resumeOrders(endpoint)
   }
 
-  /** Nothing is granted here any more by then: the record that is written names the next owner. */
+  /** By the time of this call the written record names the next owner, so no more requests are admitted here. */
   override state (endpoint: EndpointId): HandOverState {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return { loaded: [], pins: [] }
@@ -58,10 +58,10 @@
 }
 
 function grantedPins (owned: OwnedEndpoint): HandedOverPin[] {
-  return [...owned.scheduler.running.values()].map(({ request: ask, loadedName }) => ({
-    requestId: ask.requestId,
-    instance: ask.from,
+  return [...owned.scheduler.running.values()].map(({ request, loadedName }) => ({
+    requestId: request.requestId,
+    instance: request.from,
     loadedName,
-    team: ask.team
+    team: request.team
   }))
 }
--- a/packages/entry/src/scheduling/slot-table.ts
+++ b/packages/entry/src/scheduling/slot-table.ts
@@ -1,11 +1,12 @@
-/** What an owner knows of the adapter slots of one engine. */
+/** What an owner knows about the adapter slots of one engine. */
 import { splitLoadedName } from '@limpetwinch/core'
 import type { LoadedName } from '@limpetwinch/core'
 import type { SlotView } from '@limpetwinch/decisions'
 
 /**
- * `loaded`: confirmed under the present token. `unverified`: reported, or doubted, and to be confirmed by a load order,
- * which an engine that holds the adapter answers at once. `loading`, `unloading`: an order is under way.
+ * `loaded`: confirmed under the current token. `unverified`: reported by the engine or no longer certain, and to be
+ * confirmed by a load order, to which an engine that holds the adapter responds at once. `loading`, `unloading`: an order
+ * is in progress.
  */
 export type SlotState = 'loaded' | 'unverified' | 'loading' | 'unloading'
 
@@ -15,25 +16,25 @@
   /** `team/adapter@version`. */
   readonly adapter: string
   state: SlotState
-  /** Requests that use it, by request id. */
+  /** Ids of the admitted requests that use the slot. */
   readonly pins: Set<string>
   readonly loadedAt: number
   lastUsedAt: number
-  /** False for a name that a late unload may still touch: of an earlier owner, or of this one when its answer was lost. */
+  /** False for a name that a late unload order may still remove: an order of an earlier owner, or one whose response was lost. */
   usable: boolean
 }
 
-/** The slots of one engine; every entry takes one, also while its order is under way. */
+/** The slots of one engine. Every entry occupies a slot, including entries whose order is in progress. */
 export class SlotTable {
   private readonly slots = new Map<LoadedName, Slot>()
   private readonly capacity: number
 
-  /** @param capacity - how many adapters the engine holds */
+  /** @param capacity - how many adapters the engine can hold */
   constructor (capacity: number) {
     this.capacity = capacity
   }
 
-  /** Slots that hold nothing; an engine may report more than its settings say. */
+  /** Number of empty slots. An engine may report more adapters than its settings allow, so the difference is kept at 0 or above. */
   get freeSlots (): number {
     return Math.max(0, this.capacity - this.slots.size)
   }
@@ -43,7 +44,7 @@
     return this.freeSlots > 0
   }
 
-  /** Slots that hold a pinned adapter. */
+  /** Number of slots with a pinned adapter. */
   get pinnedCount (): number {
     return this.all().filter((slot) => slot.pins.size > 0).length
   }
@@ -53,17 +54,17 @@
     return [...this.slots.values()]
   }
 
-  /** @returns the slot of a name */
+  /** @returns the slot of a loaded name */
   get (name: LoadedName): Slot | undefined {
     return this.slots.get(name)
   }
 
-  /** @returns the usable slot of an adapter, whatever its state */
-  usable (adapter: string): Slot | undefined {
+  /** @returns the usable slot of an adapter, in any state except `unloading` */
+  usableSlot (adapter: string): Slot | undefined {
     return this.all().find((slot) => slot.usable && slot.adapter === adapter && slot.state !== 'unloading')
   }
 
-  /** Adds a slot, or returns the one that is there. */
+  /** Adds a slot, or returns the existing slot of that name. */
   occupy (name: LoadedName, state: SlotState, usable: boolean, now: number): Slot {
     const present = this.slots.get(name)
     if (present !== undefined) return present
@@ -73,16 +74,16 @@
     return slot
   }
 
-  /** Forgets a slot. */
+  /** Removes a slot from the table. */
   free (name: LoadedName): void {
     this.slots.delete(name)
   }
 
   /**
-   * @param waiting - requests that wait for an adapter
-   * @param otherCopies - copies of an adapter on other engines
-   * @param protectedNames - names that requests admitted by an earlier owner may use
-   * @returns what may be evicted, for the eviction policy
+   * @param waiting - returns the number of requests that wait for an adapter
+   * @param otherCopies - returns the number of copies of an adapter on other engines
+   * @param protectedNames - loaded names that requests admitted by an earlier owner may still use
+   * @returns the slots that may be evicted, with their views for the eviction policy
    */
   evictable (waiting: (adapter: string) => number, otherCopies: (adapter: string) => number, protectedNames: ReadonlySet<LoadedName>): { view: SlotView, slot: Slot }[] {
     return this.all()
--- a/packages/entry/test/scheduling/engine-settings.failure.test.ts
+++ b/packages/entry/test/scheduling/engine-settings.failure.test.ts
@@ -7,7 +7,7 @@
 
 afterEach(async () => { await running.stop() })
 
-/** Changes the batch of the only engine by the admin API, as an operator does. */
+/** Changes the batch capacity of the only engine through the admin API, as an operator does. */
 async function changeBatch (batchCapacity: number): Promise<void> {
   const document = {
     engines: { 'engine-1': { url: running.engine.url, dataCentre: 'north', baseModel: 'base-1', slots: 1, batchCapacity, fencing: 'refuses' } },
@@ -23,12 +23,12 @@
 }
 
 describe('an engine whose settings change', () => {
-  // The caller in progress sees its whole answer; the caller of the other adapter is served after it.
-  // Guards against an owner that forgets its pins with the earlier settings and evicts an adapter in use.
-  it('ends the request that it runs whole', async () => {
+  // Guards against an owner that loses its pins when the settings of an engine change, and evicts an adapter in use. The
+  // running request must complete, and the request for the other adapter is served after it.
+  it('completes the request that it is running', async () => {
     running = new RunningEntry({ engine: { slots: 1, stepMilliseconds: 10 }, slots: 1 })
     await running.start()
-    // An eviction tells that the owner has recovered, and may evict from then on.
+    // The second request needs an eviction, so its response shows that the owner has finished recovery and may evict.
     for (const version of ['v1', 'v2']) expect((await running.complete({ model: `history/essays@${version}` })).status).toBe(200)
     const inProgress = running.complete({ max_tokens: 400 }, { 'x-limpetwinch-idempotent': 'false' })
     await vi.waitFor(() => expect(running.runs).toBe(3), WAIT)
--- a/packages/entry/test/scheduling/owned-engine.ts
+++ b/packages/entry/test/scheduling/owned-engine.ts
@@ -1,4 +1,4 @@
-/** One owned engine for tests: the real scheduler and loader before a stand-in engine. */
+/** One owned engine for tests: the real scheduler and loader in front of a stand-in engine. */
 import { expect, vi } from 'vitest'
 import { formatAdapter, HttpEngineClient, silentLogger, SystemClock } from '@limpetwinch/core'
 import type { AdapterReference, DataCentreId, EndpointId, EngineReport, EngineSettings, FencingToken, InstanceId, LimpetwinchError, LoadedName, RequestId } from '@limpetwinch/core'
@@ -23,23 +23,23 @@
   return { team: 'history', adapter, version: 'v1' } as unknown as AdapterReference
 }
 
-/** What a test may vary. */
+/** What a test can configure, beside the options of the stand-in engine. */
 export interface OwnedEngineOptions extends Partial<StandInEngineOptions> {
   readonly mayEvict?: boolean
   readonly earlierPins?: ReadonlySet<LoadedName>
   readonly mostQueued?: number
-  /** Another client than the usual one. */
+  /** Creates the engine client; the default is a plain {@link HttpEngineClient}. */
   readonly clientOf?: (url: string) => HttpEngineClient
 }
 
-/** An engine that one scheduler owns. */
+/** A stand-in engine with its scheduler and loader. */
 export class OwnedEngine {
   readonly engine: StandInEngine
   scheduler!: EndpointScheduler
   private client!: HttpEngineClient
   private readonly options: OwnedEngineOptions
   private readonly controller = new AbortController()
-  private loading: Promise<void> = Promise.resolve()
+  private loaderTask: Promise<void> = Promise.resolve()
   private requests = 0
 
   constructor (options: OwnedEngineOptions = {}) {
@@ -48,7 +48,7 @@
     this.engine = new StandInEngine({ name: 'engine-1', slots: 2, stepMilliseconds: 2, loadMilliseconds: 5, reportLag: 0, reportInterval: 20, ...engine })
   }
 
-  /** Starts engine, scheduler and loader, under a token. */
+  /** Starts the engine, and a scheduler and a loader with a fencing token. */
   async start (token = 1): Promise<void> {
     const url = await this.engine.listen()
     this.client = this.options.clientOf?.(url) ?? new HttpEngineClient('engine-1' as EndpointId, url)
@@ -56,12 +56,12 @@
     await this.report()
   }
 
-  /** Asks for admission. */
-  async ask (adapter: string, patience = 30_000): Promise<Result<Grant, LimpetwinchError>> {
+  /** Requests admission of a new request. */
+  async requestAdmission (adapter: string, patience = 30_000): Promise<Result<Grant, LimpetwinchError>> {
     return await this.scheduler.admit(this.request(adapter, patience), new AbortController().signal)
   }
 
-  /** @returns an ask that is not sent yet */
+  /** @returns a new admission request, without sending it */
   request (adapter: string, patience = 30_000, priority = 5): IncomingAdmissionRequest {
     this.requests += 1
     return {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Hands the scheduler a report made now, and returns it. */
+  /** Applies a report made after this call to the scheduler, and returns it. */
   async report (): Promise<EngineReport> {
     const made = Date.now()
     return await vi.waitFor(async () => {
@@ -87,20 +87,20 @@
     }, { timeout: 10_000 })
   }
 
-  /** @returns the orders that the engine carried out */
+  /** @returns the loaded names of the orders that the engine carried out */
   orders (order: 'load' | 'unload'): string[] {
     return this.engine.history.all().flatMap((event) =>
       event.event === 'order' && event.order === order && event.result === 'done' ? [event.name] : [])
   }
 
-  /** @returns how often the load of a name was ordered, carried out or not */
+  /** @returns how many load orders for a name the engine received, whether carried out or not */
   loadAttempts (name: string): number {
     return this.engine.history.all().filter((event) => event.event === 'order' && event.order === 'load' && event.name === name).length
   }
 
   async stop (): Promise<void> {
     this.controller.abort()
-    await this.loading.catch(() => undefined)
+    await this.loaderTask.catch(() => undefined)
     await this.client.close()
     await this.engine.close()
   }
@@ -149,13 +149,13 @@
       clock,
       logger
     })
-    this.loading = this.loader.run(this.controller.signal)
+    this.loaderTask = this.loader.run(this.controller.signal)
   }
 
   private loader: Loader | undefined
 }
 
-/** @returns the name of an adapter as it is loaded on an engine that refuses old tokens */
+/** @returns the loaded name of an adapter on an engine that refuses old tokens */
 export function plainName (adapter: string): string {
   return formatAdapter(adapterNamed(adapter))
 }
