--- a/packages/entry/src/loads/coordinated-load-turns.ts
+++ b/packages/entry/src/loads/coordinated-load-turns.ts
@@ -1,4 +1,4 @@
-/** Load turns granted by one member that all agree on by rendezvous hashing. */
+/** Load turns granted by one coordinator, a member that all instances choose by rendezvous hashing. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, InstanceId, Logger } from '@limpetwinch/core'
 import { uuidv7 } from 'uuidv7'
@@ -8,43 +8,47 @@
 import { LoadTurnCoordinator } from './load-turn-coordinator.js'
 import { LoadTurns } from './load-turns.js'
 
-const ASK_MILLISECONDS = 10_000
+/** Timeout of one request for a turn. */
+const REQUEST_TIMEOUT_MILLISECONDS = 10_000
 const LONGEST_TURN_MILLISECONDS = 10_000
 
-/** What the turns are made of. */
+/** Dependencies and settings of {@link CoordinatedLoadTurns}. */
 export interface CoordinatedLoadTurnsOptions {
   readonly peers: PeerNetwork
   readonly membership: Membership
   readonly logger: Logger
-  /** Turns at this instance's share of the rate, taken while there is no conductor. */
+  /** Turns at this instance's share of the load rate, used while no coordinator can be reached. */
   readonly fallback: LoadTurns
-  /** One conductor for each data centre, or one for the deployment, with which only one load runs at a time. */
+  /** Whether each data centre has a coordinator of its own, or one coordinator lets one load at a time run in the whole deployment. */
   readonly scope: 'data-centre' | 'deployment'
   readonly clock?: Clock
-  /** A load that takes longer no longer keeps the others waiting. */
+  /** Time after which a turn ends, so that a slow load no longer delays others. */
   readonly longestTurnMilliseconds?: number
 }
 
-/** {@link LoadTurns} from a conductor, with a share of the rate as the fallback. It needs no fencing: two loads at once are slower, not wrong. */
+/**
+ * {@link LoadTurns} that a coordinator grants, with this instance's share of the load rate as the fallback. Turns need no
+ * fencing, because two loads at once are only slower.
+ */
 export class CoordinatedLoadTurns extends LoadTurns {
-  /** Turns taken without a conductor so far. */
+  /** Number of turns taken without a coordinator. */
   turnsWithoutCoordinator = 0
   private readonly options: CoordinatedLoadTurnsOptions
   private readonly clock: Clock
-  private readonly conductor: LoadTurnCoordinator
+  private readonly localCoordinator: LoadTurnCoordinator
 
-  /** @param options - the surroundings */
+  /** @param options - dependencies and settings */
   constructor (options: CoordinatedLoadTurnsOptions) {
     super()
     this.options = options
     this.clock = options.clock ?? new SystemClock()
-    this.conductor = new LoadTurnCoordinator(this.clock, options.longestTurnMilliseconds ?? LONGEST_TURN_MILLISECONDS)
+    this.localCoordinator = new LoadTurnCoordinator(this.clock, options.longestTurnMilliseconds ?? LONGEST_TURN_MILLISECONDS)
     const { peers } = options
-    peers.onNotice('load-turn-done', (from, frame) => this.conductor.done(from, frame.turn))
+    peers.onNotice('load-turn-done', (from, frame) => this.localCoordinator.done(from, frame.turn))
     peers.onCall('load-turn-ask', async (from, frame, signal) => {
-      const granted = await this.conductor.acquire(from, frame.turn, frame.urgency, signal)
+      const granted = await this.localCoordinator.acquire(from, frame.turn, frame.urgency, signal)
       if (granted) return { kind: 'accepted' }
-      return { kind: 'refused', error: 'overloaded', details: { reason: 'the turn lapsed' }, outcome: 'not_run' }
+      return { kind: 'refused', error: 'overloaded', details: { reason: 'the load turn request was cancelled' }, outcome: 'not_run' }
     })
   }
 
@@ -52,15 +56,15 @@
     const turn = uuidv7()
     const began = this.clock.now()
     for (;;) {
-      if (signal.aborted) throw new Error('the wait for a load turn was given up')
-      const conductor = this.currentCoordinator()
-      if (conductor === undefined) break
+      if (signal.aborted) throw new Error('the wait for a load turn was cancelled')
+      const coordinator = this.currentCoordinator()
+      if (coordinator === undefined) break
       const waited = this.clock.now() - began
-      const answer = await this.options.peers.call(conductor, { kind: 'load-turn-ask', turn, urgency: urgency + waited }, ASK_MILLISECONDS, signal)
-      if (answer.isOk() && answer.value.kind === 'accepted') return this.releaseOf(conductor, turn)
-      // An ask that was given up may have been granted meanwhile; the conductor is told, or the turn would block others.
-      this.options.peers.notify(conductor, { kind: 'load-turn-done', turn })
-      const queued = answer.isErr() && answer.error.kind === 'peer-silent' && this.options.peers.connected().includes(conductor)
+      const answer = await this.options.peers.call(coordinator, { kind: 'load-turn-ask', turn, urgency: urgency + waited }, REQUEST_TIMEOUT_MILLISECONDS, signal)
+      if (answer.isOk() && answer.value.kind === 'accepted') return this.releaseOf(coordinator, turn)
+      // The coordinator may have granted a request that timed out here. Without this message the unused turn would block other loads.
+      this.options.peers.notify(coordinator, { kind: 'load-turn-done', turn })
+      const queued = answer.isErr() && answer.error.kind === 'peer-silent' && this.options.peers.connected().includes(coordinator)
       if (!queued) break
     }
     this.turnsWithoutCoordinator += 1
@@ -75,10 +79,10 @@
     return rendezvousRank(key, alive.map((member) => member.instance))[0]
   }
 
-  private releaseOf (conductor: InstanceId, turn: string): () => void {
+  private releaseOf (coordinator: InstanceId, turn: string): () => void {
     let held = true
     return () => {
-      if (held) this.options.peers.notify(conductor, { kind: 'load-turn-done', turn })
+      if (held) this.options.peers.notify(coordinator, { kind: 'load-turn-done', turn })
       held = false
     }
   }
--- a/packages/entry/src/loads/load-turn-coordinator.ts
+++ b/packages/entry/src/loads/load-turn-coordinator.ts
@@ -1,4 +1,4 @@
-/** The side of load turns that grants them, one at a time. */
+/** The coordinator of load turns, which grants one turn at a time. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 
 interface WaitingTurn {
@@ -7,20 +7,20 @@
   readonly urgency: number
   readonly since: number
   readonly grant: (granted: boolean) => void
-  /** Listens no longer for the end of the asker's connection, which outlives its turns by far. */
-  readonly forget: () => void
+  /** Removes the listener for the end of the requesting instance's connection, which outlives its turns by far. */
+  readonly removeListener: () => void
 }
 
-/** Grants turns by urgency. It remembers nothing that must last: a new conductor starts empty. */
+/** Grants turns by urgency. Its state is never handed over: a new coordinator starts empty. */
 export class LoadTurnCoordinator {
   private readonly clock: Clock
   private readonly longestTurnMilliseconds: number
   private readonly waiting = new Map<string, WaitingTurn>()
-  private current: { readonly key: string, readonly timer: NodeJS.Timeout, readonly forget: () => void } | undefined
+  private current: { readonly key: string, readonly timer: NodeJS.Timeout, readonly removeListener: () => void } | undefined
 
   /**
-   * @param clock - ages what waits
-   * @param longestTurnMilliseconds - a load that takes longer no longer keeps the others waiting
+   * @param clock - measures how long turns have waited
+   * @param longestTurnMilliseconds - time after which a turn ends, so that a slow load no longer delays others
    */
   constructor (clock: Clock, longestTurnMilliseconds: number) {
     this.clock = clock
@@ -28,25 +28,28 @@
   }
 
   /**
-   * Waits for a turn; asking again for the same one takes the place of the earlier ask.
+   * Waits for a turn. A second request for the same turn replaces the first one.
    *
-   * @param signal - ends with the asker's connection: what it waits for or holds lapses
+   * @param holder - the requesting instance
+   * @param turn - id of the turn, unique within the instance
+   * @param urgency - the weighted stall that the load ends; the highest urgency is granted first
+   * @param signal - aborted when the connection of the requesting instance ends, which ends its wait or its turn
    * @returns whether the turn was granted
    */
   async acquire (holder: InstanceId, turn: string, urgency: number, signal: AbortSignal): Promise<boolean> {
     const key = keyOf(holder, turn)
     this.cancelWait(key)
     const endTurn = (): void => this.endTurn(key)
-    const forget = (): void => signal.removeEventListener('abort', endTurn)
+    const removeListener = (): void => signal.removeEventListener('abort', endTurn)
     signal.addEventListener('abort', endTurn, { once: true })
     return await new Promise<boolean>((resolve) => {
-      this.waiting.set(key, { holder, turn, urgency, since: this.clock.now(), grant: resolve, forget })
+      this.waiting.set(key, { holder, turn, urgency, since: this.clock.now(), grant: resolve, removeListener })
       if (signal.aborted) this.endTurn(key)
       else this.next()
     })
   }
 
-  /** Takes a turn back. */
+  /** Ends a turn, or the wait for it. */
   done (holder: InstanceId, turn: string): void {
     this.endTurn(keyOf(holder, turn))
   }
@@ -55,7 +58,7 @@
     this.cancelWait(key)
     if (this.current?.key !== key) return
     clearTimeout(this.current.timer)
-    this.current.forget()
+    this.current.removeListener()
     this.current = undefined
     this.next()
   }
@@ -63,7 +66,7 @@
   private cancelWait (key: string): void {
     const waiting = this.waiting.get(key)
     this.waiting.delete(key)
-    waiting?.forget()
+    waiting?.removeListener()
     waiting?.grant(false)
   }
 
@@ -73,11 +76,11 @@
     if (first === undefined) return
     const [key, waiting] = first
     this.waiting.delete(key)
-    this.current = { key, timer: setTimeout(() => this.endTurn(key), this.longestTurnMilliseconds), forget: waiting.forget }
+    this.current = { key, timer: setTimeout(() => this.endTurn(key), this.longestTurnMilliseconds), removeListener: waiting.removeListener }
     waiting.grant(true)
   }
 
-  /** Waiting adds to the stall that a load ends, so nothing waits for ever. */
+  /** Each millisecond of waiting adds 1 to the urgency, so every request is granted eventually. */
   private weight (waiting: WaitingTurn): number {
     return waiting.urgency + this.clock.now() - waiting.since
   }
--- a/packages/entry/src/loads/load-turns.ts
+++ b/packages/entry/src/loads/load-turns.ts
@@ -1,13 +1,13 @@
-/** Whose turn it is to load from the weight store, which serves one load at a time at full speed. */
+/** Turns for loading from the weight store, which serves only one load at a time at full speed. */
 
-/** Gives turns. It is a matter of speed alone: two loads at once are slower, never wrong. */
+/** Grants load turns. They only serve speed: two loads at once are slower but still correct. */
 export abstract class LoadTurns {
   /**
    * Waits for a turn.
    *
-   * @param urgency - the stall that the load ends; higher goes first
-   * @param signal - gives up waiting; the promise then rejects
-   * @returns gives the turn back
+   * @param urgency - the weighted stall that the load ends; the highest urgency is granted first
+   * @param signal - cancels the wait; the promise then rejects
+   * @returns a function that releases the turn
    */
   abstract acquire (urgency: number, signal: AbortSignal): Promise<() => void>
 }
--- a/packages/entry/src/loads/paced-load-turns.ts
+++ b/packages/entry/src/loads/paced-load-turns.ts
@@ -1,4 +1,4 @@
-/** Load turns without anyone to ask: this instance's share of the weight store's rate. */
+/** Load turns without a coordinator, paced by this instance's share of the weight store's load rate. */
 import type { Clock } from '@limpetwinch/core'
 import { LoadTurns } from './load-turns.js'
 
@@ -7,7 +7,7 @@
   readonly begin: () => void
 }
 
-/** One load at a time, the most urgent first, at the instance's share of the rate. */
+/** Grants one load at a time, the most urgent first, at the instance's share of the load rate. */
 export class PacedLoadTurns extends LoadTurns {
   private readonly loadsPerSecond: () => number
   private readonly clock: Clock
@@ -16,8 +16,8 @@
   private nextAt = 0
 
   /**
-   * @param loadsPerSecond - this instance's share
-   * @param clock - time
+   * @param loadsPerSecond - returns this instance's share of the load rate
+   * @param clock - the clock to use
    */
   constructor (loadsPerSecond: () => number, clock: Clock) {
     super()
@@ -27,18 +27,18 @@
 
   override async acquire (urgency: number, signal: AbortSignal): Promise<() => void> {
     await new Promise<void>((resolve, reject) => {
-      // The signal lives as long as the loader: a listener left on it by each turn would stay for ever.
-      const giveUp = (): void => {
+      // The signal lives as long as the loader, so each turn removes its listener. Otherwise listeners would accumulate.
+      const cancel = (): void => {
         this.waiting = this.waiting.filter((other) => other !== entry)
-        reject(new Error('the wait for a load turn was given up'))
+        reject(new Error('the wait for a load turn was cancelled'))
       }
       const begin = (): void => {
-        signal.removeEventListener('abort', giveUp)
+        signal.removeEventListener('abort', cancel)
         resolve()
       }
       const entry: Waiting = { urgency, begin }
       this.waiting.push(entry)
-      signal.addEventListener('abort', giveUp, { once: true })
+      signal.addEventListener('abort', cancel, { once: true })
       this.grant()
     })
     return () => {
--- a/packages/entry/test/load-turns.failure.test.ts
+++ b/packages/entry/test/load-turns.failure.test.ts
@@ -22,7 +22,8 @@
 }
 
 describe('load turns', () => {
-  // The caller waits less when it would stall longest: all instances share one turn, and the most urgent goes next.
+  // Guards against loads of several instances that share the weight store at once, and against an urgent load that waits
+  // behind less urgent ones: all instances share one turn, and the most urgent request gets it next.
   it('are held by one instance at a time, the most urgent first', async () => {
     const [one, two, three] = await threeInstances() as [CoordinatedLoadTurns, CoordinatedLoadTurns, CoordinatedLoadTurns]
     const release = await one.acquire(1, NEVER)
@@ -32,10 +33,10 @@
       order.push(name)
       done()
     }
-    const asks = (): number => cluster.instances.reduce((sum, instance) => sum + (instance.peers.counts()['load-turn-ask']?.received ?? 0), 0)
-    const before = asks()
+    const turnRequests = (): number => cluster.instances.reduce((sum, instance) => sum + (instance.peers.counts()['load-turn-ask']?.received ?? 0), 0)
+    const before = turnRequests()
     const all = [take('little', two, 10), take('much', three, 1_000_000), take('some', one, 500_000)]
-    await until(() => asks() >= before + 2)
+    await until(() => turnRequests() >= before + 2)
     expect(order).toEqual([])
     release()
     await Promise.all(all)
@@ -43,21 +44,21 @@
     expect([one, two, three].map((turns) => turns.turnsWithoutCoordinator)).toEqual([0, 0, 0])
   })
 
-  // The caller waits a moment longer. The holder of the turn is killed; its turn lapses with its connection, so that
-  // the others' loads go on. When it was the conductor itself, they go on with another, or with their share of the rate.
-  it('lapse with their holder, and go on without their conductor', async () => {
+  // Guards against loads that wait for ever after an instance was killed. The turn of a killed holder ends with its
+  // connection. When the coordinator is killed, turns come from the next coordinator, or from each instance's share of the rate.
+  it('end with their holder, and are still granted after the loss of the coordinator', async () => {
     const turns = await threeInstances()
     const ranked = rendezvousRank('load-turns place', cluster.instances.map((instance) => instance.id))
-    const [conductor, holder, other] = ranked.map((id) => cluster.instances.findIndex((instance) => instance.id === id)) as [number, number, number]
+    const [coordinator, holder, other] = ranked.map((id) => cluster.instances.findIndex((instance) => instance.id === id)) as [number, number, number]
     const turnsAt = (index: number): CoordinatedLoadTurns => turns[index] as CoordinatedLoadTurns
     await turnsAt(holder).acquire(1, NEVER)
     const afterHolder = turnsAt(other).acquire(1, NEVER)
     await cluster.instances[holder]?.kill()
     const release = await afterHolder
-    const afterConductor = turnsAt(other).acquire(1, NEVER)
-    await cluster.instances[conductor]?.kill()
+    const afterCoordinator = turnsAt(other).acquire(1, NEVER)
+    await cluster.instances[coordinator]?.kill()
     release()
-    const last = await afterConductor
+    const last = await afterCoordinator
     last()
   })
 })
--- a/packages/entry/test/loads/load-turn-coordinator.test.ts
+++ b/packages/entry/test/loads/load-turn-coordinator.test.ts
@@ -6,42 +6,42 @@
 
 const HOLDER = 'one' as InstanceId
 
-describe('the conductor of load turns', () => {
+describe('the coordinator of load turns', () => {
   it('grants the most urgent turn next', async () => {
-    const conductor = new LoadTurnCoordinator(new SystemClock(), 10_000)
+    const coordinator = new LoadTurnCoordinator(new SystemClock(), 10_000)
     const { signal } = new AbortController()
-    await conductor.acquire(HOLDER, 'first', 1, signal)
+    await coordinator.acquire(HOLDER, 'first', 1, signal)
     const granted: string[] = []
     const waiting = [['small', 10], ['large', 100_000]] as const
-    const ends = waiting.map(async ([turn, urgency]) => { if (await conductor.acquire(HOLDER, turn, urgency, signal)) granted.push(turn) })
-    conductor.done(HOLDER, 'first')
+    const ends = waiting.map(async ([turn, urgency]) => { if (await coordinator.acquire(HOLDER, turn, urgency, signal)) granted.push(turn) })
+    coordinator.done(HOLDER, 'first')
     await ends[1]
-    conductor.done(HOLDER, 'large')
+    coordinator.done(HOLDER, 'large')
     await Promise.all(ends)
     expect(granted).toEqual(['large', 'small'])
-    conductor.done(HOLDER, 'small')
+    coordinator.done(HOLDER, 'small')
   })
 
-  // Operators see the memory of the conducting instance grow with each load of a peer, for as long as its connection
-  // lasts: each granted turn left a listener on the connection's signal. A turn that is over leaves none.
-  it('keeps nothing of turns that are over', async () => {
-    const conductor = new LoadTurnCoordinator(new SystemClock(), 10_000)
+  // Guards against a memory leak at the coordinating instance: each granted turn left a listener on the signal of its
+  // holder's connection, so memory grew with each load for as long as the connection lasted.
+  it('keeps no listeners of ended turns', async () => {
+    const coordinator = new LoadTurnCoordinator(new SystemClock(), 10_000)
     const { signal } = new AbortController()
     for (let turn = 0; turn < 20; turn += 1) {
-      await conductor.acquire(HOLDER, `turn-${turn}`, 1, signal)
-      conductor.done(HOLDER, `turn-${turn}`)
+      await coordinator.acquire(HOLDER, `turn-${turn}`, 1, signal)
+      coordinator.done(HOLDER, `turn-${turn}`)
     }
     expect(getEventListeners(signal, 'abort')).toHaveLength(0)
   })
 
-  // The next load begins although the holder of the turn is gone: its connection has ended.
-  it('takes a turn back when the connection of its holder ends', async () => {
-    const conductor = new LoadTurnCoordinator(new SystemClock(), 10_000)
+  // Guards against loads that wait for a turn whose holder has left without releasing it.
+  it('ends a turn when the connection of its holder ends', async () => {
+    const coordinator = new LoadTurnCoordinator(new SystemClock(), 10_000)
     const lost = new AbortController()
-    await conductor.acquire(HOLDER, 'first', 1, lost.signal)
-    const next = conductor.acquire('two' as InstanceId, 'second', 1, new AbortController().signal)
+    await coordinator.acquire(HOLDER, 'first', 1, lost.signal)
+    const next = coordinator.acquire('two' as InstanceId, 'second', 1, new AbortController().signal)
     lost.abort()
     expect(await next).toBe(true)
-    conductor.done('two' as InstanceId, 'second')
+    coordinator.done('two' as InstanceId, 'second')
   })
 })
