--- a/packages/entry/src/delivery/abandoned-run.ts
+++ b/packages/entry/src/delivery/abandoned-run.ts
@@ -1,23 +1,24 @@
-/** Ends a run at an engine that nobody waits for any more. */
+/** Ends a run at an engine when no caller waits for its response any more. */
 import type { Clock, EngineClient, RequestId } from '@limpetwinch/core'
 
 const FIRST_PAUSE_MILLISECONDS = 50
 const LONGEST_PAUSE_MILLISECONDS = 5_000
-/** How long one connection may wait for the end of a cancelled run. */
+/** Longest time for which one connection waits for the end of a cancelled run. */
 const END_WITHIN_MILLISECONDS = 5_000
 
 /**
- * Cancels a run and waits until the engine has said that it ended.
+ * Cancels a run and waits until the engine confirms that it ended.
  *
- * An answered cancellation is not the end: an engine that ends a sequence with its next steps, or that missed the
- * cancellation, still uses the adapter, which would be evicted under the run if its pin went with that answer. The
- * stream of the run tells its end, on a new connection since the old one may be silent.
+ * A response to the cancellation does not mean that the run has ended. An engine that ends a sequence only in one of its
+ * next steps, or that missed the cancellation, still uses the adapter. If the pin were removed at that response, the
+ * adapter could be evicted while the run uses it. The end is therefore read from the stream of the run, on a new
+ * connection because the old one may be unresponsive.
  *
- * @param client - the engine
- * @param requestId - the run
- * @param position - tokens that are known, which are not asked for again
- * @param clock - time
- * @param giveUpAt - when no run can last any longer, monotonic milliseconds
+ * @param client - the client of the engine
+ * @param requestId - the id of the run
+ * @param position - number of tokens already received, which are not requested again
+ * @param clock - the clock to use
+ * @param giveUpAt - when the cancellation is abandoned because no run lasts longer, monotonic milliseconds
  */
 export async function endAbandonedRun (client: EngineClient, requestId: RequestId, position: number, clock: Clock, giveUpAt: number): Promise<void> {
   let pause = FIRST_PAUSE_MILLISECONDS
@@ -29,7 +30,7 @@
   }
 }
 
-/** Reads the run's stream until it says that the run ended, or that the engine does not know it. */
+/** @returns whether the run's stream reports that the run ended, or that the engine does not know the run */
 async function hasEnded (client: EngineClient, requestId: RequestId, position: number): Promise<boolean> {
   for await (const result of client.resume(requestId, position, AbortSignal.timeout(END_WITHIN_MILLISECONDS))) {
     if (!result.ok) return result.error.details.code === 'unknown-request'
--- a/packages/entry/src/delivery/admission-client.ts
+++ b/packages/entry/src/delivery/admission-client.ts
@@ -1,4 +1,4 @@
-/** Asks the owner of an endpoint for admission, and tells it when the request is done. */
+/** Requests admission from the owner of an endpoint, and notifies the owner when the request is done. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -8,10 +8,10 @@
 import type { AdmissionOutcome, Grant } from '../scheduling/admission.js'
 import type { InFlightTable } from './in-flight-table.js'
 
-/** Longer than the owner itself waits, so that its answer comes first. */
+/** Added to the caller's patience, so that the owner's refusal arrives before the call times out. */
 const ANSWER_GRACE_MILLISECONDS = 1_000
 
-/** What is asked of an owner. */
+/** The parameters of an admission request to an owner. */
 export interface AdmissionRequest {
   readonly requestId: RequestId
   readonly adapter: AdapterReference | undefined
@@ -22,7 +22,7 @@
   readonly patience: number
 }
 
-/** An admission that has to be given back. */
+/** An admission that has to be ended with {@link HeldAdmission.done}. */
 export class HeldAdmission {
   readonly grant: Grant
   private readonly owner: InstanceId
@@ -44,23 +44,23 @@
     return this.grant.loadedName
   }
 
-  /** Ends the admission. To be called when the engine certainly does not run the request any more. */
+  /** Ends the admission. Call this only when the engine certainly does not run the request any more. */
   done (outcome: AdmissionOutcome, outputTokens: number): void {
     this.client.notifyDone(this.owner, this.endpoint, this.requestId, outcome, outputTokens)
   }
 }
 
-/** Asks owners. */
+/** Sends admission requests to owners. */
 export class AdmissionClient {
   private readonly network: PeerNetwork
   private readonly table: InFlightTable
-  /** @returns the present owner of an endpoint; a request is done where the endpoint is owned by then */
+  /** @returns the current owner of an endpoint, which is notified of the end of a request even if another owner admitted it */
   private readonly ownerOf: (endpoint: EndpointId) => InstanceId | undefined
 
   /**
-   * @param network - frames between instances
-   * @param table - what may be running, for new owners
-   * @param ownerOf - the present owner, as far as known
+   * @param network - the connections to other instances
+   * @param table - the requests that may be running, which new owners query
+   * @param ownerOf - returns the current owner of an endpoint, as far as it is known
    */
   constructor (network: PeerNetwork, table: InFlightTable, ownerOf: (endpoint: EndpointId) => InstanceId | undefined) {
     this.network = network
@@ -69,12 +69,14 @@
   }
 
   /**
+   * Requests admission to an endpoint.
+   *
    * @param route - the endpoint and its owner
-   * @param request - what is to be admitted
-   * @param signal - gives up
-   * @returns the admission, or why nothing was run; asking runs nothing, so every error here has outcome `not_run`
+   * @param request - the request to admit
+   * @param signal - cancels the admission request
+   * @returns the admission, or an error; an admission request does not run anything, so each error has outcome `not_run`
    */
-  async ask (route: Route, request: AdmissionRequest, signal: AbortSignal): Promise<Result<HeldAdmission, LimpetwinchError>> {
+  async requestAdmission (route: Route, request: AdmissionRequest, signal: AbortSignal): Promise<Result<HeldAdmission, LimpetwinchError>> {
     const { endpoint } = route.engine
     const entry = this.table.enter(endpoint, request.requestId, request.team)
     const reply = await this.network.call(route.owner, { kind: 'admission-ask', endpoint, ...request }, request.patience + ANSWER_GRACE_MILLISECONDS, signal)
@@ -91,19 +93,20 @@
     return ok(new HeldAdmission(this, route.owner, endpoint, request.requestId, grant.value))
   }
 
-  /** Takes the request out of the table and tells the owner, present and former. */
+  /** Removes a request from the table and notifies the owner that admitted it, and the current owner if that is another one. */
   notifyDone (owner: InstanceId, endpoint: EndpointId, requestId: RequestId, outcome: AdmissionOutcome, outputTokens: number): void {
     this.table.leave(endpoint, requestId)
     const frame = { kind: 'admission-done', requestId, endpoint, outcome, outputTokens } as const
     this.network.notify(owner, frame)
-    // After a hand-over the pin is held by the new owner, which would keep it until the longest request time.
+    // After a hand-over the pin is held by the new owner, which would otherwise keep it for the longest request time.
     const present = this.ownerOf(endpoint)
     if (present !== undefined && present !== owner) this.network.notify(present, frame)
   }
 
   private read (body: ReplyBody, endpoint: EndpointId): Result<Grant, LimpetwinchError> {
     if (body.kind === 'admission-granted') {
-      // A new owner has asked what runs here and was told without this request: its adapter may be evicted any moment.
+      // A newer owner has already queried this instance's requests, and this grant of an older owner was not in the response.
+      // The adapter may therefore be evicted at any moment.
       if (!this.table.accepts(endpoint, body.token)) return err(new LimpetwinchError('not-owner', { endpoint }))
       return ok(body)
     }
@@ -111,6 +114,6 @@
       const options = body.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: body.retryAfterSeconds }
       return err(new LimpetwinchError(body.error, body.details, options))
     }
-    return err(new LimpetwinchError('bad-frame', { reason: `'${body.kind}' in answer to 'admission-ask'` }))
+    return err(new LimpetwinchError('bad-frame', { reason: `unexpected '${body.kind}' in response to 'admission-ask'` }))
   }
 }
--- a/packages/entry/src/delivery/answer-assembler.ts
+++ b/packages/entry/src/delivery/answer-assembler.ts
@@ -1,29 +1,32 @@
-/** Puts the parts of an answer in order, each once. */
+/** Puts the parts of a streamed response in order and removes duplicates. */
 import type { GeneratedPart } from '@limpetwinch/core'
 
 const MOST_PARTS_AHEAD = 4_096
 
 /**
- * Parts may come doubled (a resumed stream starts earlier), late (from a connection given up) or out of order. The
- * caller would read doubled or swapped words, so parts go out by position and each position once.
+ * Parts may arrive twice (because a resumed stream starts at an earlier position), late (from an abandoned connection) or
+ * out of order. To keep the caller from reading repeated or swapped words, parts are released in order of their positions
+ * and each position once.
  */
 export class AnswerAssembler {
   private readonly ahead = new Map<number, string>()
   private nextPosition = 0
 
-  /** The position of the next part that is missing; a resumed stream starts here. */
+  /** The position of the next missing part, at which a resumed stream starts. */
   get next (): number {
     return this.nextPosition
   }
 
-  /** Whether parts wait for a missing one. */
+  /** Whether later parts are held back because an earlier one is missing. */
   get hasGap (): boolean {
     return this.ahead.size > 0
   }
 
   /**
-   * @param part - a part as it came
-   * @returns the texts that can go out now, in order
+   * Adds a part.
+   *
+   * @param part - the part as it was received
+   * @returns the texts that can be sent to the caller now, in order
    */
   push (part: GeneratedPart): string[] {
     if (part.position < this.nextPosition) return []
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -1,4 +1,4 @@
-/** One task for each request: attempts, the whole answer once, and exactly what the caller is told. */
+/** Delivers the response of each request: it makes the attempts, streams the response once and decides which error the caller gets. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -17,9 +17,10 @@
 import type { Admitted } from './replacement-admission.js'
 
 const MOST_ATTEMPTS = 4
-const ASK_AGAIN_MILLISECONDS = 50
-/** Between asks of a request whose run was lost, after a refusal or while the retry budget is used up. */
-const SEARCH_AGAIN_MILLISECONDS = 250
+/** Pause after all owners that can admit a request were unresponsive. */
+const RETRY_ADMISSION_MILLISECONDS = 50
+/** Pause before a request whose run was lost is tried again, after a refusal or while the retry budget is used up. */
+const RETRY_REFUSED_MILLISECONDS = 250
 
 /** A request that has passed authentication and limits. */
 export interface DeliveryRequest {
@@ -39,14 +40,14 @@
   readonly deadlineAt: number
 }
 
-/** What a delivery yields: one `admitted`, texts, then one end or error. After a retry there is another `admitted`. */
+/** Events of a delivery: `admitted`, any number of texts, then one end or error. Each retry adds another `admitted`. */
 export type DeliveryEvent =
   | { readonly kind: 'admitted', readonly endpoint: EndpointId, readonly servedAs: string | undefined, readonly loadStall: number, readonly queueWait: number }
   | { readonly kind: 'text', readonly text: string }
   | { readonly kind: 'end', readonly finishReason: string, readonly promptTokens: number, readonly outputTokens: number }
   | { readonly kind: 'error', readonly error: LimpetwinchError }
 
-/** What deliveries work with. */
+/** Dependencies of deliveries. */
 export interface DeliveryOptions {
   readonly router: Router
   readonly admissions: AdmissionClient
@@ -57,25 +58,27 @@
   readonly retryBudget: RetryBudget
   readonly explain: ExplainLog
   readonly streamLimits: StreamLimits
-  /** A team's recent service over its share. */
+  /** @returns a team's recent service relative to its fair share */
   readonly shareUsed: (team: string) => number
   readonly clock: Clock
 }
 
-/** Delivers answers. */
+/** Delivers the responses of requests to adapters. */
 export class Delivery {
   private readonly options: DeliveryOptions
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: DeliveryOptions) {
     this.options = options
   }
 
   /**
+   * Runs a request and streams its response.
+   *
    * @param request - the request
-   * @param settings - what is in force; the same for the whole request
-   * @param signal - the caller has gone away
-   * @returns events; the last is an end or an error
+   * @param settings - the settings, which stay the same during the whole request
+   * @param signal - aborted when the caller has disconnected
+   * @returns the events; the last one is an end or an error
    */
   async * deliver (request: DeliveryRequest, settings: OperatorSettings, signal: AbortSignal): AsyncGenerator<DeliveryEvent> {
     const deadline = new Deadline(signal, request.deadlineAt - this.options.clock.now())
@@ -88,15 +91,15 @@
   }
 }
 
-/** Ends the request when its time is over or its caller is gone. */
+/** Aborts a request when its deadline passes or its caller disconnects. */
 class Deadline {
   private readonly link: LinkedAbort
   private readonly timer: NodeJS.Timeout
   passed = false
 
-  constructor (gone: AbortSignal, milliseconds: number) {
-    this.link = new LinkedAbort(gone)
-    // A timer of its own, stopped with the request, where AbortSignal.timeout would stay until it ends.
+  constructor (callerSignal: AbortSignal, milliseconds: number) {
+    this.link = new LinkedAbort(callerSignal)
+    // This timer is cleared when the request ends; one of AbortSignal.timeout would stay until the deadline.
     this.timer = setTimeout(() => {
       this.passed = true
       this.link.abort()
@@ -113,18 +116,18 @@
   }
 }
 
-/** What one attempt came to: the answer is whole, or an error which says whether it may have run, and what takes its place. */
+/** The result of one attempt: a complete response, or an error with its outcome and the admission of a replacement if there is one. */
 type Attempt =
   | { readonly whole: true, readonly end: DeliveryEvent }
   | { readonly whole: false, readonly error: LimpetwinchError, readonly next?: Admitted | undefined }
 
-/** The state of one request over its attempts. */
+/** Runs one request and keeps its state across attempts. */
 class DeliveryRun {
   private readonly avoid = new Set<EndpointId>()
   private readonly delivered: string[] = []
   private readonly timeline: RequestStory
   private attempts = 0
-  /** Attempts beyond the first that the retry budget has paid for. */
+  /** Number of retries that were withdrawn from the retry budget. */
   private paidRetries = 0
   private mayHaveRun = false
 
@@ -147,7 +150,7 @@
       const { held, route } = admission.value
       yield { kind: 'admitted', endpoint: route.engine.endpoint, servedAs: held.loadedName, loadStall: held.grant.loadStall, queueWait: held.grant.queueWait }
       const attempt = yield * this.attempt(route, held)
-      // Yielded last of all: a reader stops at the end, and nothing of an attempt that it cut short is run after it.
+      // The end is yielded last, because a reader stops at it and no code of this generator runs afterwards.
       if (attempt.whole) return yield attempt.end
       next = attempt.next
       if (next === undefined && !await this.mayTryAgain(attempt.error)) return yield this.finalError(attempt.error)
@@ -158,48 +161,51 @@
   }
 
   /**
-   * Routes and asks until admitted, refused for good, or out of time; asking runs nothing, so it may be repeated. An
-   * endpoint whose owner does not answer is left out while others can be asked, and waited for when there is no other.
+   * Requests admission at one endpoint after another until the request is admitted, finally refused or out of time.
+   * Admission requests do not run anything, so they may be retried. An endpoint with an unresponsive owner is skipped while
+   * there are other endpoints, and tried again after a pause when there is no other.
    */
   private async admit (): Promise<Result<Admitted, LimpetwinchError>> {
-    const silent = new Set<EndpointId>()
+    const unresponsive = new Set<EndpointId>()
     for (;;) {
-      if (this.signal.aborted) return err(this.ended('not_run'))
-      const route = this.options.router.route({ ...this.routingQuestion(), avoid: new Set([...this.avoid, ...silent]) }, this.settings)
-      if (route.isErr() && silent.size === 0) {
+      if (this.signal.aborted) return err(this.earlyEndError('not_run'))
+      const route = this.options.router.route({ ...this.routingQuestion(), avoid: new Set([...this.avoid, ...unresponsive]) }, this.settings)
+      if (route.isErr() && unresponsive.size === 0) {
         if (!await this.waitToRetryRefusal()) return err(route.error)
         continue
       }
-      if (route.isErr() || silent.has(route.value.engine.endpoint)) {
-        // All that could serve it were asked. Without a pause this would keep the event loop from every timer and socket.
-        silent.clear()
-        await this.options.clock.sleep(ASK_AGAIN_MILLISECONDS, this.signal)
+      if (route.isErr() || unresponsive.has(route.value.engine.endpoint)) {
+        // All suitable endpoints were tried. Without a pause this loop could starve all timers and sockets of the event loop.
+        unresponsive.clear()
+        await this.options.clock.sleep(RETRY_ADMISSION_MILLISECONDS, this.signal)
         continue
       }
-      const held = await this.ask(route.value, this.attemptId(this.attempts), this.signal)
+      const held = await this.requestAdmission(route.value, this.attemptId(this.attempts), this.signal)
       if (held.isOk()) return ok({ held: held.value, route: route.value })
       this.timeline.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
       if (!isTransient(held.error)) {
         if (!await this.waitToRetryRefusal()) return err(held.error)
         continue
       }
-      if (!this.followOwner(route.value, held.error)) silent.add(route.value.engine.endpoint)
+      if (!this.followOwner(route.value, held.error)) unresponsive.add(route.value.engine.endpoint)
     }
   }
 
   /**
-   * Waits before a request is tried once more after a refusal.
+   * Waits before a refused request is tried again, if an earlier attempt may have run.
+   *
+   * A request that has not run is refused at once instead, so that its caller can retry. After a lost run an error could only
+   * have the outcome `unknown`, possibly after a part of the response, so trying again is better.
    *
-   * @returns false when nothing has run: its caller is better told so at once, and comes back; once a run was lost, all that
-   *   could be told is `unknown`, with a part of the answer read already
+   * @returns false if nothing has run or the request has ended
    */
   private async waitToRetryRefusal (): Promise<boolean> {
     if (!this.mayHaveRun || this.signal.aborted) return false
-    await this.options.clock.sleep(SEARCH_AGAIN_MILLISECONDS, this.signal)
+    await this.options.clock.sleep(RETRY_REFUSED_MILLISECONDS, this.signal)
     return true
   }
 
-  /** @returns whether the former owner named the next one, which can be asked at once */
+  /** @returns whether the previous owner named the next one, from which admission can be requested at once */
   private followOwner (route: Route, error: LimpetwinchError): boolean {
     const { owner } = error.details
     if (typeof owner !== 'string' || owner === route.owner) return false
@@ -207,12 +213,12 @@
     return true
   }
 
-  private async ask (route: Route, requestId: RequestId, signal: AbortSignal): Promise<Result<HeldAdmission, LimpetwinchError>> {
+  private async requestAdmission (route: Route, requestId: RequestId, signal: AbortSignal): Promise<Result<HeldAdmission, LimpetwinchError>> {
     const { admissions, directory, clock } = this.options
     const { request } = this
     directory.sent(route.engine.endpoint, request.adapterName)
     this.timeline.add('asked for admission', { endpoint: route.engine.endpoint, owner: route.owner })
-    return await admissions.ask(route, {
+    return await admissions.requestAdmission(route, {
       requestId,
       adapter: request.adapter,
       team: request.adapter.team,
@@ -223,13 +229,13 @@
     }, signal)
   }
 
-  /** Asks for the next attempt's admission at another endpoint while the present attempt may still come to its end. */
+  /** Requests admission of the next attempt at another endpoint, while the current attempt may still complete. */
   private async askElsewhere (present: EndpointId, signal: AbortSignal): Promise<Admitted | undefined> {
     if (!this.hasAttemptLeft() || !this.request.idempotent) return undefined
     const avoid = new Set([...this.avoid, present])
     const route = this.options.router.route({ ...this.routingQuestion(), avoid }, this.settings)
     if (route.isErr() || avoid.has(route.value.engine.endpoint) || !this.payForRetry()) return undefined
-    const held = await this.ask(route.value, this.attemptId(this.attempts + 1), signal)
+    const held = await this.requestAdmission(route.value, this.attemptId(this.attempts + 1), signal)
     if (held.isOk()) return { held: held.value, route: route.value }
     this.timeline.add('not admitted', { endpoint: route.value.engine.endpoint, kind: held.error.kind })
     if (isTransient(held.error)) this.followOwner(route.value, held.error)
@@ -262,7 +268,7 @@
     try {
       const attempt = yield * this.relay(answer, held, stop.signal, replacement)
       ended = attempt.whole || attempt.error.outcome === 'not_run'
-      // A stalled run was told before.
+      // The routing policy was notified of a stalled run before.
       if (attempt.whole || !replacement.everRequested) this.reportToPolicy(endpoint, attempt)
       if (attempt.whole) return attempt
       this.mayHaveRun ||= attempt.error.outcome === 'unknown'
@@ -274,7 +280,7 @@
     }
   }
 
-  /** A caller that leaves ends its run, which says nothing of the engine. */
+  /** Reports the result of an attempt to the routing policy. A run that ended because its caller left is no failure of the engine. */
   private reportToPolicy (endpoint: EndpointId, attempt: Attempt): void {
     const { policy, clock } = this.options
     const callerLeft = this.signal.aborted && !this.deadline.passed
@@ -295,8 +301,8 @@
             this.delivered.push(text)
             yield { kind: 'text', text }
           } else if (known !== text) {
-            // A second run that says something else cannot be joined to what the caller has read of the first.
-            return { whole: false, error: new LimpetwinchError('endpoint-failed', { endpoint: held.endpoint, reason: 'a repeated run gave another answer' }) }
+            // The caller has read a part of the first response, which cannot be continued with a different one.
+            return { whole: false, error: new LimpetwinchError('endpoint-failed', { endpoint: held.endpoint, reason: 'a retried run gave a different response' }) }
           }
           position += 1
         }
@@ -311,21 +317,21 @@
         return { whole: false, error: event.error }
       }
     }
-    return { whole: false, error: this.ended('unknown') }
+    return { whole: false, error: this.earlyEndError('unknown') }
   }
 
-  /** The run may go on, so it is kept until another engine has admitted the request. */
+  /** Requests a replacement for a stalled run. The run may recover, so it is kept until another engine has admitted the request. */
   private handleStall (endpoint: EndpointId, replacement: ReplacementAdmission): void {
     const { policy, clock } = this.options
     this.timeline.add('stalled', { endpoint })
-    // Told once and at once: the run may be kept for long, and new requests are better sent elsewhere meanwhile.
+    // The policy is notified at once, and only once: the run may be kept for long, and new requests should go to other engines meanwhile.
     if (!replacement.everRequested) policy().observe(endpoint, 'failed', clock.now())
     replacement.request()
   }
 
   /**
-   * Ends a run that nobody waits for. It may go on where the engine cannot be reached, so its adapter stays pinned
-   * until the engine has said that it ended or no run can last any longer.
+   * Ends a run that no caller waits for. The run may continue while the engine cannot be reached, so its adapter stays
+   * pinned until the engine confirms the end or the longest request time has passed.
    */
   private async abandon (client: EngineClient, held: HeldAdmission, requestId: RequestId, outputTokens: number): Promise<void> {
     const { clock } = this.options
@@ -335,7 +341,7 @@
   }
 
   private async mayTryAgain (error: LimpetwinchError): Promise<boolean> {
-    // A run that may have begun is never begun again for a request that may run only once.
+    // A request that may run only once is never started again if it may have run.
     if (error.outcome === 'unknown' && !this.request.idempotent) return false
     while (this.hasAttemptLeft()) {
       if (this.payForRetry()) return true
@@ -348,7 +354,7 @@
     return !this.signal.aborted && this.attempts + 1 < MOST_ATTEMPTS
   }
 
-  /** Pays for the attempt after this one, once: an ask that was refused, or withdrawn, has not used it up. */
+  /** Withdraws the next attempt from the retry budget, at most once: a refused or withdrawn admission request leaves it paid for. */
   private payForRetry (): boolean {
     if (this.paidRetries > this.attempts) return true
     if (!this.options.retryBudget.withdraw(this.options.clock.now())) return false
@@ -356,20 +362,20 @@
     return true
   }
 
-  /** What the caller is told: once anything may have run, no later refusal makes it `not_run` again. */
+  /** @returns the error for the caller; once an attempt may have run, no later refusal sets the outcome back to `not_run` */
   private finalError (error: LimpetwinchError): DeliveryEvent {
     const outcome = this.mayHaveRun ? 'unknown' : error.outcome
     const options = error.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: error.retryAfterSeconds }
-    const told = this.signal.aborted ? this.ended(outcome) : new LimpetwinchError(error.kind, error.details, { outcome, cause: error, ...options })
-    this.timeline.add('told an error', { kind: told.kind, outcome })
-    return { kind: 'error', error: told }
+    const callerError = this.signal.aborted ? this.earlyEndError(outcome) : new LimpetwinchError(error.kind, error.details, { outcome, cause: error, ...options })
+    this.timeline.add('told an error', { kind: callerError.kind, outcome })
+    return { kind: 'error', error: callerError }
   }
 
-  private ended (outcome: 'not_run' | 'unknown'): LimpetwinchError {
+  private earlyEndError (outcome: 'not_run' | 'unknown'): LimpetwinchError {
     return new LimpetwinchError(this.deadline.passed ? 'deadline-passed' : 'request-ended-early', {}, { outcome, retryAfterSeconds: 1 })
   }
 
-  /** Each attempt has an id of its own: an engine knows requests by id, and a late first attempt is not the second. */
+  /** Each attempt has an id of its own, because engines identify requests by id and must not mistake a late first attempt for the second. */
   private attemptId (attempts: number): RequestId {
     return (attempts === 0 ? this.request.requestId : `${this.request.requestId}~${attempts + 1}`) as RequestId
   }
@@ -389,7 +395,7 @@
   }
 }
 
-/** Errors of an owner that moved or went: the next one is asked at once. */
+/** @returns whether an error means that the owner was replaced, has left or is unresponsive, so that admission is requested again */
 function isTransient (error: LimpetwinchError): boolean {
   return error.kind === 'not-owner' || error.kind === 'peer-unreachable' || error.kind === 'peer-silent'
 }
--- a/packages/entry/src/delivery/engine-answer.ts
+++ b/packages/entry/src/delivery/engine-answer.ts
@@ -1,32 +1,32 @@
-/** One whole answer of one engine run: taken up again by position when a connection drops or goes silent. */
+/** The complete response of one engine run. The stream is resumed by position when a connection breaks or becomes unresponsive. */
 import { LimpetwinchError, SystemClock } from '@limpetwinch/core'
 import type { Clock, EndpointId, EngineClient, GenerateRequest, GenerationEnd, GenerationEventResult } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import { LinkedAbort } from '../runtime/linked-abort.js'
 import { AnswerAssembler } from './answer-assembler.js'
 
-/** Milliseconds between connections that brought nothing. */
+/** Bounds of the pause between connections that made no progress, milliseconds. */
 const PAUSE = { first: 50, largest: 1_000 }
 
-/** When a stream is taken up again, and when another engine is looked for. */
+/** When a stream is resumed, and when it counts as stalled, so that another engine is sought. */
 export interface StreamLimits {
-  /** A connection that says nothing for so long is left for a new one. */
+  /** Time without data after which a connection is replaced by a new one. */
   readonly idleTimeoutMilliseconds: number
-  /** A stream that was taken up again so often without progress has stalled. */
+  /** Number of consecutive resumes without progress after which a stream counts as stalled. */
   readonly resumesWithoutProgress: number
 }
 
-/** What an engine's answer yields. */
+/** Events of an engine's response. */
 export type AnswerEvent =
   | { readonly kind: 'text', readonly texts: readonly string[] }
-  /** Nothing is heard of the engine. The run may go on, and is listened for until the signal ends it. */
+  /** The engine is unresponsive. The run may continue, so the stream is resumed until the signal is aborted. */
   | { readonly kind: 'stalled' }
   | { readonly kind: 'end', readonly end: GenerationEnd }
   | { readonly kind: 'error', readonly error: LimpetwinchError }
 
 type StepResult = { readonly finished: AnswerEvent } | { readonly broken: LimpetwinchError }
 
-/** Streams one run. The caller of {@link EngineAnswer.events} may leave at any time by its signal. */
+/** Streams one run. The signal of {@link EngineAnswer.events} can end the stream at any time. */
 export class EngineAnswer {
   private readonly endpoint: EndpointId
   private readonly client: EngineClient
@@ -36,11 +36,11 @@
   private readonly assembler = new AnswerAssembler()
 
   /**
-   * @param endpoint - the engine's id, for errors
-   * @param client - the engine
-   * @param request - what to run
-   * @param limits - when to give a connection up
-   * @param clock - time
+   * @param endpoint - the id of the engine, for errors
+   * @param client - the client of the engine
+   * @param request - the request to run
+   * @param limits - when a stream is resumed and when it counts as stalled
+   * @param clock - the clock to use
    */
   constructor (endpoint: EndpointId, client: EngineClient, request: GenerateRequest, limits: StreamLimits, clock: Clock = new SystemClock()) {
     this.clock = clock
@@ -50,16 +50,16 @@
     this.limits = limits
   }
 
-  /** Tokens that have gone out. */
+  /** Number of tokens released so far. */
   get delivered (): number {
     return this.assembler.next
   }
 
   /**
-   * Takes the stream up again until the answer is whole, the engine itself has said that there is none, or the signal
-   * ends it: silence and broken connections say nothing of the run, which would be ended with this stream.
+   * Resumes the stream until the response is complete, the engine itself reports a failure, or the signal is aborted.
+   * Unresponsive and broken connections do not show that the run has failed, so they do not end the stream.
    *
-   * @param signal - gives the answer up
+   * @param signal - ends the stream
    * @returns texts in order, then an end or an error; an error with outcome `not_run` proves that nothing was run
    */
   async * events (signal: AbortSignal): AsyncGenerator<AnswerEvent> {
@@ -67,8 +67,8 @@
     let lastError: LimpetwinchError | undefined
     let started = false
     let withoutProgress = 0
-    let failuresTold = 0
-    while (!signal.aborted && failuresTold <= this.limits.resumesWithoutProgress) {
+    let reportedFailures = 0
+    while (!signal.aborted && reportedFailures <= this.limits.resumesWithoutProgress) {
       const before = this.assembler.next
       const step = yield * this.connection(started, signal)
       if ('finished' in step) return yield step.finished
@@ -81,36 +81,36 @@
       started = true
       if (this.assembler.next > before) {
         withoutProgress = 0
-        failuresTold = 0
+        reportedFailures = 0
         pause.reset()
         continue
       }
       withoutProgress += 1
-      if (step.broken.details.heard !== false) failuresTold += 1
+      if (step.broken.details.heard !== false) reportedFailures += 1
       else if (withoutProgress > this.limits.resumesWithoutProgress) yield { kind: 'stalled' }
       await this.clock.sleep(pause.next(), signal)
     }
     yield { kind: 'error', error: lastError ?? new LimpetwinchError('request-ended-early') }
   }
 
-  /** Reads one connection until it ends, breaks, or says nothing for too long. */
+  /** Reads one connection until the response ends, the connection breaks or it delivers no data for too long. */
   private async * connection (resumed: boolean, signal: AbortSignal): AsyncGenerator<AnswerEvent, StepResult> {
-    const silence = new IdleTimeout(signal, this.limits.idleTimeoutMilliseconds)
+    const idleTimeout = new IdleTimeout(signal, this.limits.idleTimeoutMilliseconds)
     const source = resumed
-      ? this.client.resume(this.request.requestId, this.assembler.next, silence.signal)
-      : this.client.generate(this.request, silence.signal)
+      ? this.client.resume(this.request.requestId, this.assembler.next, idleTimeout.signal)
+      : this.client.generate(this.request, idleTimeout.signal)
     try {
       for await (const result of source) {
-        // While the caller does not take what came, nothing is read, which says nothing of the engine.
-        silence.pause()
+        // While the caller processes an event, nothing is read from the engine, so this time must not count as idle.
+        idleTimeout.pause()
         const step = yield * this.take(result)
         if (step !== undefined) return step
-        silence.listen()
+        idleTimeout.restart()
       }
     } finally {
-      silence.stop()
+      idleTimeout.stop()
     }
-    return { broken: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'the stream ended early', heard: false }) }
+    return { broken: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'the stream ended before the response was complete', heard: false }) }
   }
 
   private async * take (result: GenerationEventResult): AsyncGenerator<AnswerEvent, StepResult | undefined> {
@@ -121,23 +121,23 @@
       return undefined
     }
     const { end } = result.event
-    // An end that comes before parts it counts would cut the answer short; the missing parts are asked for again.
+    // The end counts parts that have not arrived. Ending here would truncate the response, so the stream is resumed to get them.
     if (this.assembler.hasGap || this.assembler.next < end.outputTokens) {
-      return { broken: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'parts are missing' }) }
+      return { broken: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'the stream ended with parts missing' }) }
     }
     return { finished: this.checked(end) }
   }
 
-  /** An engine that says it used another adapter has not answered this request, whatever it sent. */
+  /** Rejects a response that the engine generated with an adapter other than the requested one. */
   private checked (end: GenerationEnd): AnswerEvent {
     if (end.adapter === this.request.adapter) return { kind: 'end', end }
-    const reason = `it says that it used '${end.adapter}' in place of '${this.request.adapter}'`
+    const reason = `it reports that it used '${end.adapter}' instead of '${this.request.adapter}'`
     return { kind: 'error', error: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason }) }
   }
 
-  /** The engine knows the request no more. It may have run before a restart, or may still reach the engine late. */
+  /** The engine does not know the request. It may have run before an engine restart, or may still reach the engine late. */
   private lost (cause: LimpetwinchError): LimpetwinchError {
-    return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'it knows the request no more' }, { cause })
+    return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'it no longer knows the request' }, { cause })
   }
 }
 
@@ -145,16 +145,16 @@
   return error.kind === 'endpoint-refused' && error.details.code === 'unknown-request'
 }
 
-/** Ends a connection that says nothing. One timer for the whole stream, so that a token costs no timer. */
+/** Aborts a connection that delivers no data for too long. One interval timer per connection avoids a timer per token. */
 class IdleTimeout {
   private readonly link: LinkedAbort
   private readonly timer: NodeJS.Timeout
-  private listeningSince = performance.now()
+  private waitingSince = performance.now()
 
   constructor (parent: AbortSignal, milliseconds: number) {
     this.link = new LinkedAbort(parent)
     this.timer = setInterval(() => {
-      if (performance.now() - this.listeningSince > milliseconds) this.link.abort()
+      if (performance.now() - this.waitingSince > milliseconds) this.link.abort()
     }, milliseconds / 4)
   }
 
@@ -162,14 +162,14 @@
     return this.link.signal
   }
 
-  /** Something came, and nothing is read until it has been taken. */
+  /** Stops the idle time while a received event is processed. */
   pause (): void {
-    this.listeningSince = Infinity
+    this.waitingSince = Infinity
   }
 
-  /** Reads again. */
-  listen (): void {
-    this.listeningSince = performance.now()
+  /** Restarts the idle time when the next event is awaited. */
+  restart (): void {
+    this.waitingSince = performance.now()
   }
 
   stop (): void {
--- a/packages/entry/src/delivery/in-flight-table.ts
+++ b/packages/entry/src/delivery/in-flight-table.ts
@@ -1,4 +1,4 @@
-/** The requests of this instance that an endpoint may be running, or may be asked to run. */
+/** The requests of this instance that each endpoint may be running, or that are waiting for admission there. */
 import type { EndpointId, FencingToken, LoadedName, RequestId } from '@limpetwinch/core'
 
 /** One request at one endpoint. */
@@ -9,16 +9,16 @@
 }
 
 /**
- * Tells new owners what runs, and refuses grants of the owners before them.
+ * Lists the requests that may be running to new owners, and rejects grants of earlier owners.
  *
- * A request is entered before its admission is asked, not when it is granted: otherwise a new owner could ask in the
- * instant between, hear of no use of the adapter, and evict it under the request.
+ * A request is entered before admission is requested, not when it is granted. Otherwise a new owner could query the table
+ * in between, find no use of the adapter, and evict the adapter while the request uses it.
  */
 export class InFlightTable {
   private readonly byEndpoint = new Map<EndpointId, Map<RequestId, InFlight>>()
   private readonly lowestTokens = new Map<EndpointId, FencingToken>()
 
-  /** Enters a request that is about to ask for admission. */
+  /** Enters a request for which admission is about to be requested. */
   enter (endpoint: EndpointId, requestId: RequestId, team: string): InFlight {
     const entry: InFlight = { requestId, team, loadedName: undefined }
     const requests = this.byEndpoint.get(endpoint) ?? new Map()
@@ -27,19 +27,23 @@
     return entry
   }
 
-  /** Takes a request out once the endpoint certainly does not run it any more. */
+  /** Removes a request once the endpoint certainly does not run it any more. */
   leave (endpoint: EndpointId, requestId: RequestId): void {
     const requests = this.byEndpoint.get(endpoint)
     requests?.delete(requestId)
     if (requests?.size === 0) this.byEndpoint.delete(endpoint)
   }
 
-  /** @returns whether a grant under this token may still be used */
+  /** @returns whether a grant with this token may be used */
   accepts (endpoint: EndpointId, token: FencingToken): boolean {
     return token >= (this.lowestTokens.get(endpoint) ?? 0)
   }
 
-  /** Refuses grants under older tokens from now on, and tells all that may be running. */
+  /**
+   * Rejects grants with older tokens from now on.
+   *
+   * @returns all requests that may be running at the endpoint
+   */
   raiseLowestToken (endpoint: EndpointId, token: FencingToken): readonly InFlight[] {
     if (this.accepts(endpoint, token)) this.lowestTokens.set(endpoint, token)
     return this.at(endpoint)
@@ -50,7 +54,7 @@
     return [...(this.byEndpoint.get(endpoint)?.values() ?? [])]
   }
 
-  /** Requests in flight at all endpoints. */
+  /** Number of requests in flight at all endpoints. */
   get size (): number {
     let size = 0
     for (const requests of this.byEndpoint.values()) size += requests.size
--- a/packages/entry/src/delivery/replacement-admission.ts
+++ b/packages/entry/src/delivery/replacement-admission.ts
@@ -1,60 +1,68 @@
-/** Secures another admission while the run before it may still go on, so that a run is given up only for something better. */
+/** Secures admission at another engine while a stalled run may still recover, so that the run is abandoned only when a replacement is certain. */
 import type { Route } from '../routing/router.js'
 import { LinkedAbort } from '../runtime/linked-abort.js'
 import type { HeldAdmission } from './admission-client.js'
 
-/** An admission and where it holds. */
+/** An admission and the route that it belongs to. */
 export interface Admitted {
   readonly held: HeldAdmission
   readonly route: Route
 }
 
-/** Asks for an admission elsewhere. @returns undefined when none can be had now */
+/**
+ * Requests admission at another endpoint.
+ *
+ * @returns the admission, or undefined if none is available now
+ */
 export type AdmitElsewhere = (signal: AbortSignal) => Promise<Admitted | undefined>
 
-/** The replacement of one run: sought, dropped when the run goes on after all, or secured once. */
+/** The replacement admission of one run. It is requested when the run stalls, cancelled if the run recovers, and secured at most once. */
 export class ReplacementAdmission {
-  private readonly ask: AdmitElsewhere
+  private readonly admitElsewhere: AdmitElsewhere
   private readonly onSecured: () => void
   private readonly signal: AbortSignal
-  private asking: { readonly abort: LinkedAbort, readonly done: Promise<void> } | undefined
+  private pending: { readonly abort: LinkedAbort, readonly done: Promise<void> } | undefined
   private secured: Admitted | undefined
-  /** Whether one was ever sought. */
+  /** Whether a replacement was ever requested. */
   everRequested = false
 
   /**
-   * @param ask - asks for the admission
-   * @param onSecured - called once, when the run may be given up
-   * @param signal - ends every ask
+   * @param admitElsewhere - requests the admission
+   * @param onSecured - called when a replacement is secured and the run may be abandoned
+   * @param signal - cancels every admission request
    */
-  constructor (ask: AdmitElsewhere, onSecured: () => void, signal: AbortSignal) {
-    this.ask = ask
+  constructor (admitElsewhere: AdmitElsewhere, onSecured: () => void, signal: AbortSignal) {
+    this.admitElsewhere = admitElsewhere
     this.onSecured = onSecured
     this.signal = signal
   }
 
-  /** Asks, unless it does so already. */
+  /** Requests admission, unless a request is in progress or a replacement is secured already. */
   request (): void {
     this.everRequested = true
-    if (this.asking !== undefined || this.secured !== undefined || this.signal.aborted) return
+    if (this.pending !== undefined || this.secured !== undefined || this.signal.aborted) return
     const abort = new LinkedAbort(this.signal)
-    this.asking = { abort, done: this.settle(abort) }
+    this.pending = { abort, done: this.settle(abort) }
   }
 
-  /** The run goes on: an ask under way is withdrawn. What is secured stays so. */
+  /** Cancels an admission request in progress, because the run has recovered. A secured replacement is kept. */
   cancelRequest (): void {
-    this.asking?.abort.abort()
+    this.pending?.abort.abort()
   }
 
-  /** @returns what an ask under way comes to, or what was secured before; it is the taker's to end */
+  /**
+   * Waits for an admission request in progress.
+   *
+   * @returns the secured replacement, if any, which the caller then has to end
+   */
   async take (): Promise<Admitted | undefined> {
-    await this.asking?.done
+    await this.pending?.done
     const { secured } = this
     this.secured = undefined
     return secured
   }
 
-  /** Nothing is needed any more. */
+  /** Cancels the request for a replacement and withdraws a secured one. */
   async release (): Promise<void> {
     this.cancelRequest()
     const secured = await this.take()
@@ -62,9 +70,9 @@
   }
 
   private async settle (abort: LinkedAbort): Promise<void> {
-    const admitted = await this.ask(abort.signal)
+    const admitted = await this.admitElsewhere(abort.signal)
     abort.unlink()
-    this.asking = undefined
+    this.pending = undefined
     if (admitted === undefined) return
     if (abort.signal.aborted) return admitted.held.done('withdrawn', 0)
     this.secured = admitted
--- a/packages/entry/src/delivery/service-delivery.ts
+++ b/packages/entry/src/delivery/service-delivery.ts
@@ -1,4 +1,4 @@
-/** Calls of plain services: picked by load, repeated only where nothing can have run or the call may be repeated. */
+/** Delivers calls of plain services. Calls go to the least loaded endpoint and are retried only if they cannot have run or are idempotent. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -8,13 +8,15 @@
 import type { ExplainLog, RequestStory } from '../measures/explain-log.js'
 
 const MOST_ATTEMPTS = 3
+/** Calls in flight that an endpoint in another data centre counts as having in addition to its own. */
 const REMOTE_PENALTY = 4
-const FAILED_MILLISECONDS = 2_000
+/** Time for which an endpoint is avoided after a failed call. */
+const AVOID_FAILED_MILLISECONDS = 2_000
 const RETRY_SECONDS = 1
-/** Before an endpoint that failed a call is given it again, since there is no other. */
-const SAME_AGAIN_MILLISECONDS = 250
+/** Pause before a call is retried at an endpoint that has already failed it, when there is no other endpoint. */
+const SAME_ENDPOINT_PAUSE_MILLISECONDS = 250
 
-/** What service calls work with. */
+/** Dependencies of service calls. */
 export interface ServiceDeliveryOptions {
   readonly dataCentre: DataCentreId
   readonly membership: Membership
@@ -24,7 +26,7 @@
   readonly clock: Clock
 }
 
-const NONE: ReadonlySet<EndpointId> = new Set()
+const NO_ENDPOINTS: ReadonlySet<EndpointId> = new Set()
 
 interface ServiceEndpoint {
   readonly endpoint: EndpointId
@@ -32,66 +34,67 @@
   readonly dataCentre: string
 }
 
-/** An answer with the endpoint that gave it. */
+/** A response and the endpoint that sent it. */
 export interface DeliveredCall {
   readonly endpoint: EndpointId
   readonly answer: ServiceAnswer
 }
 
-/** Delivers calls of plain services. */
+/** Delivers calls to the endpoints of plain services. */
 export class ServiceDelivery {
   private readonly options: ServiceDeliveryOptions
   private readonly inFlight = new Map<EndpointId, number>()
   private readonly failedAt = new Map<EndpointId, number>()
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: ServiceDeliveryOptions) {
     this.options = options
   }
 
   /**
-   * @param requestId - the request
-   * @param service - the service's name
-   * @param call - what to pass on
-   * @param idempotent - whether it may run again after a failure
-   * @param settings - what is in force
-   * @param signal - the caller has gone away, or its deadline has passed
-   * @returns the whole answer, or an error that says whether it may have run
+   * @param requestId - the id of the request
+   * @param service - the name of the service
+   * @param call - the call to forward
+   * @param idempotent - whether the call may run again after a failure
+   * @param settings - the current settings
+   * @param signal - aborted when the caller disconnects or its deadline passes
+   * @returns the complete response, or an error whose outcome says whether the call may have run
    */
   async deliver (requestId: RequestId, service: string, call: ServiceCall, idempotent: boolean, settings: OperatorSettings, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
     if (signal.aborted) return err(new LimpetwinchError('request-ended-early', {}, { outcome: 'not_run' }))
-    const story = this.options.explain.begin(requestId, `service ${service}`)
+    const timeline = this.options.explain.begin(requestId, `service ${service}`)
     this.options.retryBudget.deposit(this.options.clock.now())
     const avoid = new Set<EndpointId>()
     let mayHaveRun = false
     for (let attempt = 1; ; attempt += 1) {
       const fresh = this.choose(service, settings, avoid)
-      // Once the call may have run, all that could be told is `unknown`; the fault of one that failed may have passed.
-      if (fresh === undefined && mayHaveRun) await this.options.clock.sleep(SAME_AGAIN_MILLISECONDS, signal)
-      const chosen = fresh ?? (mayHaveRun && !signal.aborted ? this.choose(service, settings, NONE) : undefined)
+      // Once the call may have run, an error could only have the outcome `unknown`, so endpoints that failed are tried again:
+      // their faults may have passed.
+      if (fresh === undefined && mayHaveRun) await this.options.clock.sleep(SAME_ENDPOINT_PAUSE_MILLISECONDS, signal)
+      const chosen = fresh ?? (mayHaveRun && !signal.aborted ? this.choose(service, settings, NO_ENDPOINTS) : undefined)
       if (chosen === undefined) return err(this.withFinalOutcome(this.noEndpoint(service), mayHaveRun))
-      const result = await this.attempt(chosen, call, story, signal)
+      const result = await this.attempt(chosen, call, timeline, signal)
       if (result.isOk()) return result
       mayHaveRun ||= result.error.outcome === 'unknown'
       avoid.add(chosen.endpoint)
-      const mayRepeat = idempotent || !mayHaveRun
-      if (!mayRepeat || signal.aborted || attempt >= MOST_ATTEMPTS) return err(this.withFinalOutcome(result.error, mayHaveRun))
+      const mayRetry = idempotent || !mayHaveRun
+      if (!mayRetry || signal.aborted || attempt >= MOST_ATTEMPTS) return err(this.withFinalOutcome(result.error, mayHaveRun))
       if (!this.options.retryBudget.withdraw(this.options.clock.now())) return err(this.withFinalOutcome(result.error, mayHaveRun))
     }
   }
 
-  private async attempt (chosen: ServiceEndpoint, call: ServiceCall, story: RequestStory, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
+  private async attempt (chosen: ServiceEndpoint, call: ServiceCall, timeline: RequestStory, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
     const { endpoint } = chosen
-    story.add('sent', { endpoint })
+    timeline.add('sent', { endpoint })
     this.inFlight.set(endpoint, this.load(endpoint) + 1)
     const answer = await this.options.clientOf(endpoint, chosen.url).call(call, signal)
     this.inFlight.set(endpoint, this.load(endpoint) - 1)
-    story.add(answer.isOk() ? 'answered' : 'failed', { endpoint })
+    timeline.add(answer.isOk() ? 'answered' : 'failed', { endpoint })
     if (answer.isErr()) this.failedAt.set(endpoint, this.options.clock.now())
     return answer.map((value) => ({ endpoint, answer: value }))
   }
 
-  /** Least in flight, the own data centre first; one that failed just now only when there is no other. */
+  /** Prefers endpoints with few calls in flight and in the same data centre. One that failed recently is chosen only if there is no other. */
   private choose (service: string, settings: OperatorSettings, avoid: ReadonlySet<EndpointId>): ServiceEndpoint | undefined {
     const leaving = this.options.membership.leavingEndpoints()
     const endpoints = Object.entries(settings.endpoints.services[service]?.endpoints ?? {})
@@ -103,7 +106,7 @@
   private rank (candidate: ServiceEndpoint): number {
     const remote = candidate.dataCentre === this.options.dataCentre ? 0 : REMOTE_PENALTY
     const failedAt = this.failedAt.get(candidate.endpoint) ?? -Infinity
-    const failed = this.options.clock.now() - failedAt < FAILED_MILLISECONDS ? Number.MAX_SAFE_INTEGER / 2 : 0
+    const failed = this.options.clock.now() - failedAt < AVOID_FAILED_MILLISECONDS ? Number.MAX_SAFE_INTEGER / 2 : 0
     return this.load(candidate.endpoint) + remote + failed
   }
 
@@ -112,7 +115,7 @@
   }
 
   private noEndpoint (service: string): LimpetwinchError {
-    return new LimpetwinchError('no-endpoint', { reason: `no endpoint of service '${service}' is left to try` }, { retryAfterSeconds: RETRY_SECONDS })
+    return new LimpetwinchError('no-endpoint', { reason: `no endpoint of service '${service}' is available` }, { retryAfterSeconds: RETRY_SECONDS })
   }
 
   private withFinalOutcome (error: LimpetwinchError, mayHaveRun: boolean): LimpetwinchError {
@@ -121,7 +124,7 @@
   }
 }
 
-/** @returns whether a service exists and which of its calls may be repeated */
+/** @returns whether calls of the service with this method are idempotent, or the error `unknown-service` */
 export function idempotentByMethod (settings: OperatorSettings, service: string, method: string): Result<boolean, LimpetwinchError> {
   if (!Object.hasOwn(settings.endpoints.services, service)) return err(new LimpetwinchError('unknown-service', { service: service.slice(0, 80) }))
   const methods: readonly string[] = settings.endpoints.services[service]?.idempotentMethods ?? []
--- a/packages/entry/test/delivery/delivery.failure.test.ts
+++ b/packages/entry/test/delivery/delivery.failure.test.ts
@@ -7,14 +7,14 @@
 
 const ROUTE = { engine: { endpoint: 'engine-1' as EndpointId }, owner: 'one' }
 
-/** All that a request needs until it is admitted. */
-function before (ask: () => Promise<unknown>): DeliveryOptions {
-  const story = { add: () => undefined }
+/** The dependencies that a request uses before it is admitted. */
+function optionsBeforeAdmission (requestAdmission: () => Promise<unknown>): DeliveryOptions {
+  const timeline = { add: () => undefined }
   return {
     router: { route: () => ok(ROUTE), isLeaving: () => false },
-    admissions: { ask },
+    admissions: { requestAdmission },
     directory: { sent: () => undefined, setOwner: () => undefined },
-    explain: { begin: () => story },
+    explain: { begin: () => timeline },
     retryBudget: { deposit: () => undefined, withdraw: () => true },
     shareUsed: () => 1,
     clock: new SystemClock()
@@ -29,16 +29,15 @@
 }
 
 describe('a request whose owner does not answer', () => {
-  // The caller is told `not_run` when its deadline passes, and the instance serves its other callers meanwhile.
-  // The only engine's owner has just been lost: each ask fails at once, without waiting for anything. Asked again
-  // without a pause it would keep the process from every timer and socket, the caller's own deadline among them.
-  it('pauses between asks, and ends at its deadline', async () => {
-    let asks = 0
-    const options = before(async () => {
-      asks += 1
+  // Guards against a busy loop that starves all timers and sockets of the process, including the deadline of the request.
+  // The owner of the only engine has just left, so each admission request fails at once without waiting for anything.
+  it('pauses between admission requests, and ends at its deadline', async () => {
+    let admissionRequests = 0
+    const options = optionsBeforeAdmission(async () => {
+      admissionRequests += 1
       return err(new LimpetwinchError('peer-unreachable', { instance: 'one', reason: 'no connection' }))
     })
     expect(await lastEvent(options, 300)).toMatchObject({ kind: 'error', error: { kind: 'deadline-passed', outcome: 'not_run' } })
-    expect(asks).toBeLessThan(50)
+    expect(admissionRequests).toBeLessThan(50)
   })
 })
--- a/packages/entry/test/delivery/engine-answer.test.ts
+++ b/packages/entry/test/delivery/engine-answer.test.ts
@@ -47,94 +47,89 @@
   return engine.history.all().filter((event) => event.event === 'run-started').length
 }
 
-const whole = expectedAnswer({ adapter: ADAPTER, prompt: 'Why?', seed: 7 }, TOKENS)
+const completeResponse = expectedAnswer({ adapter: ADAPTER, prompt: 'Why?', seed: 7 }, TOKENS)
 
 afterEach(async () => {
   await Promise.all(clients.splice(0).map(async (client) => await client.close()))
   await Promise.all(engines.splice(0).map(async (engine) => await engine.close()))
 })
 
-describe('the whole answer of an engine', () => {
-  // The caller sees the whole answer, each token once and in order.
-  // The engine sends every third part twice and every fourth after the one that follows it; without the assembler
-  // the caller would read doubled and swapped words.
-  it('puts doubled and late parts in order', async () => {
+describe('the complete response of an engine', () => {
+  // Guards against repeated and swapped words in the response: the engine sends every third part twice and every fourth
+  // part after the one that follows it.
+  it('puts duplicate and late parts in order', async () => {
     const { client } = await startEngine({ duplicateEvery: 3, lateEvery: 4 })
     const { text, last } = await collect(answerOf(client).events(new AbortController().signal))
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(last?.kind).toBe('end')
   })
 
-  // The caller sees the whole answer, with a pause in the middle.
-  // Two streams in a row are cut after three parts while the request runs on; each time the stream is taken up again
-  // from the next position, and the engine has run the request once.
-  it('takes a dropped stream up again without running it twice', async () => {
+  // Guards against a truncated response or a second run when connections break: two streams in a row are cut after three
+  // parts while the run continues. Each time the stream is resumed from the next position.
+  it('resumes a dropped stream without running the request twice', async () => {
     const { engine, client } = await startEngine({ dropStreams: 2, dropAfterTokens: 3 })
     const { text, last } = await collect(answerOf(client).events(new AbortController().signal))
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(last?.kind).toBe('end')
     expect(runsOf(engine)).toBe(1)
   })
 
-  // The caller sees the whole answer, with a pause of the silence limit.
-  // After ten tokens something on the way loses track of the connection: nothing comes any more, and no error either.
-  // New connections work, so the answer is taken up on one; waiting on the old one would last for ever.
-  it('leaves a connection that has gone silent', async () => {
+  // Guards against waiting for ever on a connection that a network device has dropped without an error: after ten tokens no
+  // data arrives any more. New connections work, so the stream is resumed on one of them after the idle timeout.
+  it('leaves an unresponsive connection', async () => {
     const { engine, client } = await startEngine({})
     const { text, last } = await collect(answerOf(client).events(new AbortController().signal), (tokens) => {
       if (tokens === 10) engine.setFaults({ silenceConnections: true })
     })
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(last?.kind).toBe('end')
     expect(runsOf(engine)).toBe(1)
   })
 
-  // The caller sees the whole answer, with a long pause: its deadline is far, and the run may not be begun elsewhere.
-  // Guards against a run that is given up after a number of silent connections while its engine works on it.
-  it('waits for a silent engine as long as its caller does', async () => {
+  // Guards against a run that is abandoned after a number of unresponsive connections while its engine still works on it.
+  it('waits for an unresponsive engine as long as its caller does', async () => {
     const { engine, client } = await startEngine({})
     const { text, last } = await collect(answerOf(client).events(new AbortController().signal), (tokens) => {
       if (tokens === 10) engine.setFaults({ silenceConnections: true, silentConnections: 6 })
     })
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(last?.kind).toBe('end')
     expect(runsOf(engine)).toBe(1)
   })
 
-  // The caller sees the whole answer, with a pause in the middle.
-  // Guards against resumes that are all spent within milliseconds while the way to a living engine is broken for a moment.
-  it('goes on when the way to the engine is broken for a moment', async () => {
+  // Guards against using up all resumes within milliseconds while the network to a running engine fails for a moment.
+  it('continues after a short network failure', async () => {
     const { engine } = await startEngine({})
     const relay = new Relay(Number(new URL(engine.url).port), () => false)
-    const way = new HttpEngineClient('engine-1' as EndpointId, `http://${await relay.listen()}`)
-    clients.push(way)
-    let mended: Promise<unknown> = Promise.resolve()
-    const { text, last } = await collect(answerOf(way).events(new AbortController().signal), (tokens) => {
-      if (tokens === 10) mended = relay.breakFor(500)
+    const relayed = new HttpEngineClient('engine-1' as EndpointId, `http://${await relay.listen()}`)
+    clients.push(relayed)
+    let restored: Promise<unknown> = Promise.resolve()
+    const { text, last } = await collect(answerOf(relayed).events(new AbortController().signal), (tokens) => {
+      if (tokens === 10) restored = relay.breakFor(500)
     })
-    await mended
+    await restored
     await relay.close()
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(last?.kind).toBe('end')
     expect(runsOf(engine)).toBe(1)
   })
 
-  // The caller, which reads slowly, sees the whole answer; the engine sees one connection.
-  // Guards against taking the time in which the caller does not read for silence of the engine.
-  it('does not take a slow caller for a silent engine', async () => {
+  // Guards against counting the time in which a slow caller does not read as idle time of the engine, which would open
+  // needless connections.
+  it('does not mistake a slow caller for an unresponsive engine', async () => {
     const { engine, client } = await startEngine({})
     let text = ''
     for await (const event of answerOf(client).events(new AbortController().signal)) {
       if (event.kind === 'text' && text === '') await new Promise((resolve) => setTimeout(resolve, 1_000))
       if (event.kind === 'text') text += event.texts.join('')
     }
-    expect(text).toBe(whole)
+    expect(text).toBe(completeResponse)
     expect(engine.calls).toEqual({ generate: 1, resume: 0, cancel: 0 })
   })
 
-  // The caller is told that its request may have run.
-  // The engine restarts cold in the middle of the answer and knows the request no more; it did run, in part.
-  it('tells of a restarted engine as unknown, never as not run', async () => {
+  // Guards against the outcome `not_run` for a request that has partly run: the engine restarts in the middle of the
+  // response and no longer knows the request.
+  it('reports a restarted engine with outcome unknown, never not_run', async () => {
     const { engine, client } = await startEngine({})
     const { last } = await collect(answerOf(client).events(new AbortController().signal), (tokens) => {
       if (tokens === 5) engine.restart()
@@ -142,8 +137,8 @@
     expect(last).toMatchObject({ kind: 'error', error: { kind: 'endpoint-failed', outcome: 'unknown' } })
   })
 
-  // The caller may be told that nothing was run, since the engine itself refused it.
-  it('tells of a refusal as not run', async () => {
+  // Guards against the outcome `unknown` for a request that the engine itself refused, which the caller could safely retry.
+  it('reports a refusal with outcome not_run', async () => {
     const { engine, client } = await startEngine({ refuse: true })
     const { last } = await collect(answerOf(client).events(new AbortController().signal))
     expect(last).toMatchObject({ kind: 'error', error: { outcome: 'not_run' } })
