--- a/packages/entry/src/routing/current-routing-policy.ts
+++ b/packages/entry/src/routing/current-routing-policy.ts
@@ -1,9 +1,9 @@
-/** The routing policy by the operators' weighting in force. */
+/** The routing policy with the weights of the current settings. */
 import { WeightedRoutingPolicy } from '@limpetwinch/decisions'
 import type { RoutingPolicy } from '@limpetwinch/decisions'
 import type { PolicySettings } from '@limpetwinch/core'
 
-/** Makes the policy anew when the weighting changes; what was known of failing endpoints is then learnt again. */
+/** Creates a new policy when the settings change. The new policy starts without the observed failures of endpoints. */
 export class CurrentRoutingPolicy {
   private policy: RoutingPolicy = new WeightedRoutingPolicy()
   private settings: PolicySettings | undefined
@@ -13,7 +13,7 @@
     return this.policy
   }
 
-  /** Takes up the settings in force. */
+  /** Applies the current policy settings. */
   applySettings (settings: PolicySettings): void {
     if (this.settings === settings) return
     this.settings = settings
--- a/packages/entry/src/routing/endpoint-directory.ts
+++ b/packages/entry/src/routing/endpoint-directory.ts
@@ -1,27 +1,27 @@
-/** What this instance knows of each engine, from the owners' digests and from what it sent since. */
+/** What this instance knows about each engine, from the digests of its owner and the requests that it sent after them. */
 import { enginesOf } from '@limpetwinch/core'
 import type { EndpointDigestFrame, EndpointId, EngineSettings, InstanceId, OperatorSettings } from '@limpetwinch/core'
 import { CopyCounter } from '../scheduling/digest.js'
 
-/** The newest word of an owner. */
+/** The latest digest of an endpoint's owner, and what this instance sent after it. */
 export interface EndpointState {
   readonly owner: InstanceId
   readonly digest: EndpointDigestFrame
   readonly adapters: ReadonlySet<string>
   readonly digestReceivedAt: number
-  /** Requests sent to it by this instance after that word. */
+  /** Requests that this instance sent to the endpoint after that digest. */
   sentSince: number
-  /** Adapters asked for since, whose load is under way or about to be. */
+  /** Adapters that this instance requested after that digest and that were not loaded. Their loads are pending or in progress. */
   readonly adaptersRequestedSince: Set<string>
 }
 
-/** All engines by id. */
+/** Keeps the state of all engines by endpoint id. */
 export class EndpointDirectory extends CopyCounter {
-  private readonly known = new Map<EndpointId, EndpointState>()
+  private readonly states = new Map<EndpointId, EndpointState>()
   private settings: OperatorSettings | undefined
   private engines: EngineSettings[] = []
 
-  /** @returns the engines of the settings in force */
+  /** @returns the engines listed in the settings */
   enginesIn (settings: OperatorSettings): readonly EngineSettings[] {
     if (this.settings !== settings) {
       this.settings = settings
@@ -30,49 +30,49 @@
     return this.engines
   }
 
-  /** @returns what is known of an engine */
+  /** @returns the state of an engine, or undefined if no digest has been received */
   get (endpoint: EndpointId): EndpointState | undefined {
-    return this.known.get(endpoint)
+    return this.states.get(endpoint)
   }
 
   /**
-   * Takes up an owner's word. One with an older token comes from an owner that has been replaced; taking it up would
-   * send requests to an instance that refuses them.
+   * Applies a digest. A digest with an older token comes from an owner that has been replaced. It is ignored, because
+   * applying it would send requests to an instance that refuses them.
    *
-   * @param from - who says so
-   * @param digest - what it says
+   * @param from - the owner that sent the digest
+   * @param digest - the digest
    * @param now - monotonic milliseconds
-   * @returns false when adapters are missing and a full digest has to be awaited
+   * @returns false if a digest was missed, so that the adapters are incomplete until the next full digest
    */
   applyDigest (from: InstanceId, digest: EndpointDigestFrame, now: number): boolean {
-    const before = this.known.get(digest.endpoint)
+    const before = this.states.get(digest.endpoint)
     if (before !== undefined && digest.token < before.digest.token) return true
     const follows = before !== undefined && before.digest.token === digest.token && digest.sequence === before.digest.sequence + 1
     const adapters = new Set(digest.full || !follows ? [] : before.adapters)
     for (const adapter of digest.added) adapters.add(adapter)
     for (const adapter of digest.removed) adapters.delete(adapter)
-    this.known.set(digest.endpoint, { owner: from, digest, adapters, digestReceivedAt: now, sentSince: 0, adaptersRequestedSince: new Set() })
+    this.states.set(digest.endpoint, { owner: from, digest, adapters, digestReceivedAt: now, sentSince: 0, adaptersRequestedSince: new Set() })
     return digest.full || follows
   }
 
-  /** Counts a request sent, until the next word of the owner. */
+  /** Records a request sent to an endpoint. The next digest of the owner resets the record. */
   sent (endpoint: EndpointId, adapter: string | undefined): void {
-    const knowledge = this.known.get(endpoint)
-    if (knowledge === undefined) return
-    knowledge.sentSince += 1
-    if (adapter !== undefined && !knowledge.adapters.has(adapter)) knowledge.adaptersRequestedSince.add(adapter)
+    const state = this.states.get(endpoint)
+    if (state === undefined) return
+    state.sentSince += 1
+    if (adapter !== undefined && !state.adapters.has(adapter)) state.adaptersRequestedSince.add(adapter)
   }
 
-  /** Takes up a new owner as its predecessor names it, before its first digest comes. */
+  /** Sets the new owner that the previous owner named, before the first digest of the new owner arrives. */
   setOwner (endpoint: EndpointId, owner: InstanceId): void {
-    const knowledge = this.known.get(endpoint)
-    if (knowledge !== undefined) this.known.set(endpoint, { ...knowledge, owner })
+    const state = this.states.get(endpoint)
+    if (state !== undefined) this.states.set(endpoint, { ...state, owner })
   }
 
   override copiesElsewhere (adapter: string, endpoint: EndpointId): number {
     let copies = 0
-    for (const [other, knowledge] of this.known) {
-      if (other !== endpoint && knowledge.adapters.has(adapter)) copies += 1
+    for (const [other, state] of this.states) {
+      if (other !== endpoint && state.adapters.has(adapter)) copies += 1
     }
     return copies
   }
--- a/packages/entry/src/routing/prefix-tracker.ts
+++ b/packages/entry/src/routing/prefix-tracker.ts
@@ -1,22 +1,22 @@
-/** Which prompt prefixes an engine has likely cached, from what was sent there and from its cache events. */
+/** Tracks which prompt prefixes an engine has probably cached, from the prompts that were sent to it. */
 import { LRUCache } from 'lru-cache'
 import type { EndpointId } from '@limpetwinch/core'
 
-/** Prefixes are compared in blocks of so many characters. */
+/** Size of the blocks in which prefixes are compared. */
 const BLOCK_CHARACTERS = 256
 const MOST_BLOCKS = 32
 const TRACKED_PREFIXES = 50_000
 
-/** Remembers prompt prefixes by endpoint, the oldest forgotten first. */
+/** Remembers prompt prefixes by endpoint and drops the least recently used ones first. */
 export class PrefixTracker {
   private readonly cached = new LRUCache<string, true>({ max: TRACKED_PREFIXES })
 
-  /** Tells that a prompt was sent to an endpoint. */
+  /** Records that a prompt was sent to an endpoint. */
   sent (endpoint: EndpointId, adapter: string | undefined, prompt: string): void {
     for (const key of keysOf(endpoint, adapter, prompt)) this.cached.set(key, true)
   }
 
-  /** @returns the share of the prompt that is likely cached, 0 to 1 */
+  /** @returns the share of the prompt that is probably cached, 0 to 1 */
   share (endpoint: EndpointId, adapter: string | undefined, prompt: string): number {
     const keys = keysOf(endpoint, adapter, prompt)
     if (keys.length === 0) return 0
@@ -26,7 +26,7 @@
   }
 }
 
-/** A cached prefix belongs to one adapter: another adapter's states for the same text differ. */
+/** Builds one key for each block of the prompt. Keys include the adapter, because cached states differ between adapters. */
 function keysOf (endpoint: EndpointId, adapter: string | undefined, prompt: string): string[] {
   const blocks = Math.min(MOST_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS))
   const keys: string[] = []
@@ -38,7 +38,7 @@
   return keys
 }
 
-/** Chained, so that a block only matches behind the same prefix. A wrong match costs a little time and nothing else. */
+/** Hashes a block together with the hash of the blocks before it, so that a block only matches after the same prefix. A collision only costs a little time. */
 function hashBlock (text: string, start: number, seed: number): number {
   let hash = seed
   for (let index = start; index < start + BLOCK_CHARACTERS; index += 1) {
--- a/packages/entry/src/routing/router.ts
+++ b/packages/entry/src/routing/router.ts
@@ -1,4 +1,4 @@
-/** Picks an endpoint for each request by the routing policy in force. */
+/** Chooses an endpoint for each request by the current routing policy. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -8,19 +8,19 @@
 import type { EndpointDirectory, EndpointState } from './endpoint-directory.js'
 import type { PrefixTracker } from './prefix-tracker.js'
 
-/** One way between data centres, milliseconds, for comparison only. */
+/** Assumed one-way latency between data centres, milliseconds. It only serves to compare endpoints. */
 const REMOTE_DISTANCE = 0.5
 const RETRY_SECONDS = 1
-/** The next owner of an endpoint whose owner has ended is heard within so long; until then requests wait for it. */
+/** Time within which the next owner of an endpoint sends a digest after its owner has ended. Until then requests wait for it. */
 const NEXT_OWNER_MILLISECONDS = 10_000
 
-/** Where a request goes. */
+/** The engine that a request is routed to, and the owner that admits it. */
 export interface Route {
   readonly engine: EngineSettings
   readonly owner: InstanceId
 }
 
-/** What a router works with. */
+/** Dependencies of a router. */
 export interface RouterOptions {
   readonly dataCentre: DataCentreId
   readonly directory: EndpointDirectory
@@ -30,19 +30,19 @@
   readonly clock: Clock
 }
 
-/** Picks endpoints and owners. */
+/** Chooses the endpoint of a request and looks up its owner. */
 export class Router {
   private readonly options: RouterOptions
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: RouterOptions) {
     this.options = options
   }
 
   /**
    * @param question - the request
-   * @param settings - what is in force
-   * @returns the engine and its owner, or `no-endpoint`
+   * @param settings - the current settings
+   * @returns the engine and its owner, or the error `no-endpoint`
    */
   route (question: RoutingRequest, settings: OperatorSettings): Result<Route, LimpetwinchError> {
     const { directory, policy, clock } = this.options
@@ -51,30 +51,30 @@
     const views = engines.flatMap((engine) => this.viewOf(engine, question, now))
     const chosen = policy().choose(question, views, now)
     const engine = engines.find((candidate) => candidate.endpoint === chosen)
-    const knowledge = chosen === undefined ? undefined : directory.get(chosen)
-    if (engine === undefined || knowledge === undefined) {
+    const state = chosen === undefined ? undefined : directory.get(chosen)
+    if (engine === undefined || state === undefined) {
       const reason = `none of ${views.length} reachable engines serves ${question.baseModel}`
       return err(new LimpetwinchError('no-endpoint', { reason }, { retryAfterSeconds: RETRY_SECONDS }))
     }
-    return ok({ engine, owner: knowledge.owner })
+    return ok({ engine, owner: state.owner })
   }
 
-  /** @returns whether an endpoint is leaving, by the platform's list */
+  /** @returns whether the platform's list marks an endpoint as leaving */
   isLeaving (endpoint: EndpointId): boolean {
     return this.options.membership.leavingEndpoints().has(endpoint)
   }
 
   private viewOf (engine: EngineSettings, question: RoutingRequest, now: number): EndpointView[] {
-    const knowledge = this.options.directory.get(engine.endpoint)
-    if (knowledge === undefined || !knowledge.digest.healthy) return []
-    const ended = (this.options.membership.member(knowledge.owner)?.state ?? 'gone') === 'gone'
-    if (ended && now - knowledge.digestReceivedAt > NEXT_OWNER_MILLISECONDS) return []
-    return [this.view(engine, knowledge, question)]
+    const state = this.options.directory.get(engine.endpoint)
+    if (state === undefined || !state.digest.healthy) return []
+    const ended = (this.options.membership.member(state.owner)?.state ?? 'gone') === 'gone'
+    if (ended && now - state.digestReceivedAt > NEXT_OWNER_MILLISECONDS) return []
+    return [this.view(engine, state, question)]
   }
 
-  private view (engine: EngineSettings, knowledge: EndpointState, question: RoutingRequest): EndpointView {
+  private view (engine: EngineSettings, state: EndpointState, question: RoutingRequest): EndpointView {
     const { dataCentre, prefixes } = this.options
-    const { digest } = knowledge
+    const { digest } = state
     return {
       endpoint: engine.endpoint,
       dataCentre: engine.dataCentre,
@@ -83,15 +83,15 @@
       role: '',
       queued: digest.queued,
       running: digest.running,
-      sentSinceReport: knowledge.sentSince,
+      sentSinceReport: state.sentSince,
       slots: digest.slots,
       pinnedSlots: digest.pinnedSlots,
       batchCapacity: digest.batchCapacity,
       leaving: digest.leaving || this.isLeaving(engine.endpoint),
-      pendingLoads: knowledge.adaptersRequestedSince.size,
+      pendingLoads: state.adaptersRequestedSince.size,
       holds: (adapter) => {
-        if (knowledge.adapters.has(adapter)) return 'loaded'
-        return knowledge.adaptersRequestedSince.has(adapter) ? 'loading' : 'absent'
+        if (state.adapters.has(adapter)) return 'loaded'
+        return state.adaptersRequestedSince.has(adapter) ? 'loading' : 'absent'
       },
       evictionCost: () => digest.evictionCost,
       cachedShare: (prompt) => prefixes.share(engine.endpoint, question.adapter, prompt)
