--- a/packages/entry/src/outcomes/idempotency-claims.ts
+++ b/packages/entry/src/outcomes/idempotency-claims.ts
@@ -1,4 +1,4 @@
-/** At most one run for each idempotency key of a non-idempotent request, in the whole deployment. */
+/** Claims of idempotency keys, so that a request which may run only once runs at most once for each key in the whole deployment. */
 import { createHash, randomUUID } from 'node:crypto'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -11,7 +11,10 @@
 const READ_BACK_PAUSE_MILLISECONDS = 100
 const RETRY_SECONDS = 2
 
-/** `claimed`: it may run or have run. `released`: proved that it did not run, so the key may be claimed again. */
+/**
+ * `claimed`: the request may be running or have run. `answered`: the response was complete. `released`: the request
+ * provably did not run, so the key may be claimed again.
+ */
 type ClaimState = 'claimed' | 'answered' | 'released'
 
 const claimSchema = z.object({
@@ -23,7 +26,7 @@
 
 type Claim = z.infer<typeof claimSchema>
 
-/** A key that this request alone holds. */
+/** A key that only this request holds. */
 export interface HeldClaim {
   readonly path: string
   readonly version: number
@@ -31,10 +34,10 @@
 }
 
 /**
- * Claims keys by conditional create in the platform's store.
+ * Claims keys by conditional creation of an object in the platform's store.
  *
- * A record in the memory of an instance would be lost with it, and two instances that are cut off from each other
- * would both say yes; the store lets one create win, whatever happens to instances.
+ * A record in the memory of an instance would be lost with the instance, and two instances that cannot reach each other
+ * would both accept the same key. In the store exactly one creation succeeds, whatever happens to instances.
  */
 export class IdempotencyClaims {
   private readonly store: ObjectStore
@@ -42,7 +45,7 @@
 
   /**
    * @param store - the platform's object API
-   * @param clock - time
+   * @param clock - the clock to use
    */
   constructor (store: ObjectStore, clock: Clock) {
     this.store = store
@@ -50,10 +53,10 @@
   }
 
   /**
-   * @param team - the caller's team; keys of teams are apart
+   * @param team - the caller's team; each team has its own keys
    * @param key - the caller's key
-   * @param requestId - the request that wants to run
-   * @returns the claim, `key-already-used`, or `store-unavailable` when nothing may be run
+   * @param requestId - the request to run
+   * @returns the claim, the error `key-already-used`, or the error `store-unavailable`, after which the request must not run
    */
   async claim (team: TeamId, key: IdempotencyKey, requestId: RequestId): Promise<Result<HeldClaim, LimpetwinchError>> {
     const path = pathOf(team, key)
@@ -68,12 +71,12 @@
     return err(again.error.kind === 'version-conflict' ? this.keyUsedError(undefined) : this.storeUnavailableError(again.error))
   }
 
-  /** Lets the key be used again, since it is proved that nothing was run. Lost releases leave the key used: safe. */
+  /** Releases a key whose request provably did not run. If the release is lost, the key stays claimed, which is safe. */
   async release (claim: HeldClaim): Promise<void> {
     await this.write(claim.path, claim.version, 'released', claim.requestId)
   }
 
-  /** Notes that the answer was whole, for the words that a later retry reads. */
+  /** Records that the response was complete, for the error message that a later retry gets. */
   async answered (claim: HeldClaim): Promise<void> {
     await this.write(claim.path, claim.version, 'answered', claim.requestId)
   }
@@ -86,12 +89,12 @@
     return await this.readBack(path, claim, written.error)
   }
 
-  /** A write whose answer was lost may have taken effect; its own id tells, and it is never written a second time. */
+  /** Checks whether a write without a response took effect, by the id in the stored claim. The write itself is never retried. */
   private async readBack (path: string, claim: Claim, lost: LimpetwinchError): Promise<Result<HeldClaim, LimpetwinchError>> {
-    for (let tries = 0; tries < READ_BACK_ATTEMPTS; tries += 1) {
+    for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt += 1) {
       const read = await this.store.get(path)
       if (read.isOk()) return this.compare(read.value, path, claim, lost)
-      await this.clock.sleep(READ_BACK_PAUSE_MILLISECONDS * 2 ** tries)
+      await this.clock.sleep(READ_BACK_PAUSE_MILLISECONDS * 2 ** attempt)
     }
     return err(lost)
   }
@@ -107,12 +110,12 @@
 
   private keyUsedError (claim: Claim | undefined): LimpetwinchError {
     const state = claim?.state === 'answered'
-      ? `was answered whole as request ${claim.requestId}`
+      ? `got a complete response as request ${claim.requestId}`
       : `may have run as request ${claim?.requestId ?? 'of another instance'}`
     return new LimpetwinchError('key-already-used', { state })
   }
 
-  /** Without a claim nothing is run. */
+  /** The outcome is `not_run`, because a request never runs without a claim. */
   private storeUnavailableError (cause: LimpetwinchError): LimpetwinchError {
     return new LimpetwinchError('store-unavailable', { reason: cause.message }, { cause, outcome: 'not_run', retryAfterSeconds: RETRY_SECONDS })
   }
--- a/packages/entry/test/outcomes/idempotency-claims.test.ts
+++ b/packages/entry/test/outcomes/idempotency-claims.test.ts
@@ -15,8 +15,8 @@
 }
 
 describe('claims of idempotency keys', () => {
-  // The caller gets one answer, and for its retry `key-already-used` with outcome `unknown`.
-  // It retries the same key through another instance while the first run goes on; the store lets one create win.
+  // Guards against two runs for one key: the caller retries through another instance while the first request is running.
+  // The retry is refused with `key-already-used` and outcome `unknown`.
   it('lets a key run once in the whole deployment', async () => {
     const { here, there } = start()
     const claims = await Promise.all([here.claim(team, key, first), there.claim(team, key, second)])
@@ -26,9 +26,9 @@
     expect(later._unsafeUnwrapErr()).toMatchObject({ kind: 'key-already-used', outcome: 'unknown' })
   })
 
-  // The caller gets its answer although the store's answer was lost.
-  // The create takes effect, its answer is lost; the claim is read back by its own id, and not written a second time.
-  it('knows its own write when the answer was lost', async () => {
+  // Guards against a request that is refused because of its own claim: the store creates the claim, but its response is
+  // lost. The claim is recognised by its own id when it is read back, and not written a second time.
+  it('recognises its own write after a lost response', async () => {
     const { store, here } = start()
     store.faults.loseAnswers = 1
     const claim = await here.claim(team, key, first)
@@ -36,9 +36,9 @@
     expect(store.calls.writes).toBe(1)
   })
 
-  // The caller is told `not_run`, and may come back with the same key.
-  // The store is out, so nobody can know whether the key is free; running without knowing could run it twice.
-  it('runs nothing while the store is out', async () => {
+  // Guards against a second run during an outage of the store, when it is unknown whether a key is free. The request fails
+  // with outcome `not_run`, and the caller may retry with the same key.
+  it('refuses claims while the store is unavailable', async () => {
     const { store, here } = start()
     store.faults.outage = true
     const claim = await here.claim(team, key, first)
@@ -47,7 +47,7 @@
     expect((await here.claim(team, key, first)).isOk()).toBe(true)
   })
 
-  // The caller whose first try was proved not run gets its answer on the retry, and only one retry of two does.
+  // Guards against a key that stays blocked although its request provably did not run, and against two retries that both run.
   it('lets a released key be claimed again, once', async () => {
     const { here, there } = start()
     const claim = (await here.claim(team, key, first))._unsafeUnwrap()
