--- a/packages/entry/src/placement/rendezvous.ts
+++ b/packages/entry/src/placement/rendezvous.ts
@@ -1,17 +1,17 @@
-/** Rendezvous hashing: all who know the same members pick the same one, and a lost member moves only its own share. */
+/** Rendezvous hashing: instances that know the same members choose the same one, and the loss of a member moves only the keys of that member. */
 import { xxHash32 } from 'js-xxhash'
 
 /**
  * Ranks candidates for a key.
  *
- * @param key - what is placed
- * @param candidates - ids to choose from
- * @returns the candidates, the first choice first
+ * @param key - the key to place
+ * @param candidates - the ids to choose from
+ * @returns the candidates in order of preference
  */
 export function rendezvousRank<Id extends string> (key: string, candidates: readonly Id[]): Id[] {
-  const weighed = candidates.map((candidate) => ({ candidate, weight: xxHash32(`${key}\n${candidate}`) }))
-  weighed.sort((one, other) => compare(other.weight, one.weight) || compare(one.candidate, other.candidate))
-  return weighed.map((entry) => entry.candidate)
+  const weighted = candidates.map((candidate) => ({ candidate, weight: xxHash32(`${key}\n${candidate}`) }))
+  weighted.sort((one, other) => compare(other.weight, one.weight) || compare(one.candidate, other.candidate))
+  return weighted.map((entry) => entry.candidate)
 }
 
 function compare<Value extends number | string> (one: Value, other: Value): number {
