--- a/packages/entry/test/support/engine-in-memory.ts
+++ b/packages/entry/test/support/engine-in-memory.ts
@@ -1,4 +1,4 @@
-/** A small engine: what is loaded, what runs, and the highest token seen. */
+/** A minimal in-memory engine that keeps its loaded adapters, its running requests and the highest fencing token seen. */
 import { EngineClient, LimpetwinchError } from '@limpetwinch/core'
 import type { AdapterOrder, CacheEvent, EngineReport, FencingToken, GenerationEventResult, LoadedName, RequestId } from '@limpetwinch/core'
 import { errAsync, okAsync } from 'neverthrow'
--- a/packages/entry/test/support/scheduler-in-memory.ts
+++ b/packages/entry/test/support/scheduler-in-memory.ts
@@ -1,4 +1,4 @@
-/** The scheduler's and delivery's sides of ownership: loaded names and pins in plain maps. */
+/** In-memory substitute for the scheduler and the delivery in tests of ownership. Keeps loaded names and pins in plain maps. */
 import type { EndpointId, FencingToken, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 import { HandOverSource } from '@limpetwinch/entry'
 import type { HandedOverPin, HandOverState, PeerNetwork } from '@limpetwinch/entry'
@@ -9,9 +9,9 @@
   readonly pins = new Map<EndpointId, HandedOverPin[]>()
   readonly releasedTo = new Map<EndpointId, InstanceId>()
   readonly lowestAcceptedTokens = new Map<EndpointId, FencingToken>()
-  /** Requests of this instance on endpoints, which it answers pins-ask with. */
+  /** Requests of this instance, reported in response to `pins-ask` frames. */
   readonly requests: { endpoint: EndpointId, requestId: RequestId, loadedName: LoadedName, team: string }[] = []
-  /** A paused process answers nothing. */
+  /** Simulates a paused process, which responds to no frame. */
   paused = false
 
   constructor (peers: PeerNetwork) {
