--- a/packages/entry/src/delivery/admission-client.ts
+++ b/packages/entry/src/delivery/admission-client.ts
@@ -9,7 +9,7 @@
 import type { InFlightTable } from './in-flight-table.js'
 
 /** Added to the caller's patience, so that the owner's refusal arrives before the call times out. */
-const ANSWER_GRACE_MILLISECONDS = 1_000
+const RESPONSE_GRACE_MILLISECONDS = 1_000
 
 /** The parameters of an admission request to an owner. */
 export interface AdmissionRequest {
@@ -79,7 +79,7 @@
   async requestAdmission (route: Route, request: AdmissionRequest, signal: AbortSignal): Promise<Result<HeldAdmission, LimpetwinchError>> {
     const { endpoint } = route.engine
     const entry = this.table.enter(endpoint, request.requestId, request.team)
-    const reply = await this.network.call(route.owner, { kind: 'admission-ask', endpoint, ...request }, request.patience + ANSWER_GRACE_MILLISECONDS, signal)
+    const reply = await this.network.call(route.owner, { kind: 'admission-ask', endpoint, ...request }, request.patience + RESPONSE_GRACE_MILLISECONDS, signal)
     const grant = reply.andThen((body) => this.read(body, endpoint))
     if (grant.isErr()) {
       this.notifyDone(route.owner, endpoint, request.requestId, 'withdrawn', 0)
--- a/packages/entry/src/delivery/answer-assembler.ts
+++ b/packages/entry/src/delivery/answer-assembler.ts
@@ -1,7 +1,7 @@
 /** Puts the parts of a streamed response in order and removes duplicates. */
 import type { GeneratedPart } from '@limpetwinch/core'
 
-const MOST_PARTS_AHEAD = 4_096
+const MAXIMUM_PARTS_AHEAD = 4_096
 
 /**
  * Parts may arrive twice (because a resumed stream starts at an earlier position), late (from an abandoned connection) or
@@ -31,7 +31,7 @@
   push (part: GeneratedPart): string[] {
     if (part.position < this.nextPosition) return []
     if (part.position > this.nextPosition) {
-      if (this.ahead.size < MOST_PARTS_AHEAD) this.ahead.set(part.position, part.text)
+      if (this.ahead.size < MAXIMUM_PARTS_AHEAD) this.ahead.set(part.position, part.text)
       return []
     }
     const ready = [part.text]
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -16,7 +16,7 @@
 import { ReplacementAdmission } from './replacement-admission.js'
 import type { Admitted } from './replacement-admission.js'
 
-const MOST_ATTEMPTS = 4
+const MAXIMUM_ATTEMPTS = 4
 /** Pause after all owners that can admit a request were unresponsive. */
 const RETRY_ADMISSION_MILLISECONDS = 50
 /** Pause before a request whose run was lost is tried again, after a refusal or while the retry budget is used up. */
@@ -351,7 +351,7 @@
   }
 
   private hasAttemptLeft (): boolean {
-    return !this.signal.aborted && this.attempts + 1 < MOST_ATTEMPTS
+    return !this.signal.aborted && this.attempts + 1 < MAXIMUM_ATTEMPTS
   }
 
   /** Withdraws the next attempt from the retry budget, at most once: a refused or withdrawn admission request leaves it paid for. */
--- a/packages/entry/src/delivery/service-delivery.ts
+++ b/packages/entry/src/delivery/service-delivery.ts
@@ -7,7 +7,7 @@
 import type { Membership } from '../membership/membership.js'
 import type { ExplainLog, RequestStory } from '../measures/explain-log.js'
 
-const MOST_ATTEMPTS = 3
+const MAXIMUM_ATTEMPTS = 3
 /** Calls in flight that an endpoint in another data centre counts as having in addition to its own. */
 const REMOTE_PENALTY = 4
 /** Time for which an endpoint is avoided after a failed call. */
@@ -78,7 +78,7 @@
       mayHaveRun ||= result.error.outcome === 'unknown'
       avoid.add(chosen.endpoint)
       const mayRetry = idempotent || !mayHaveRun
-      if (!mayRetry || signal.aborted || attempt >= MOST_ATTEMPTS) return err(this.withFinalOutcome(result.error, mayHaveRun))
+      if (!mayRetry || signal.aborted || attempt >= MAXIMUM_ATTEMPTS) return err(this.withFinalOutcome(result.error, mayHaveRun))
       if (!this.options.retryBudget.withdraw(this.options.clock.now())) return err(this.withFinalOutcome(result.error, mayHaveRun))
     }
   }
--- a/packages/entry/src/routing/prefix-tracker.ts
+++ b/packages/entry/src/routing/prefix-tracker.ts
@@ -4,7 +4,7 @@
 
 /** Size of the blocks in which prefixes are compared. */
 const BLOCK_CHARACTERS = 256
-const MOST_BLOCKS = 32
+const MAXIMUM_BLOCKS = 32
 const TRACKED_PREFIXES = 50_000
 
 /** Remembers prompt prefixes by endpoint and drops the least recently used ones first. */
@@ -28,7 +28,7 @@
 
 /** Builds one key for each block of the prompt. Keys include the adapter, because cached states differ between adapters. */
 function keysOf (endpoint: EndpointId, adapter: string | undefined, prompt: string): string[] {
-  const blocks = Math.min(MOST_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS))
+  const blocks = Math.min(MAXIMUM_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS))
   const keys: string[] = []
   let hash = 0
   for (let block = 0; block < blocks; block += 1) {
--- a/packages/entry/src/scheduling/data-centre-service-accounting.ts
+++ b/packages/entry/src/scheduling/data-centre-service-accounting.ts
@@ -5,7 +5,7 @@
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 
-const MOST_TEAMS_IN_A_FRAME = 100
+const MAXIMUM_TEAMS_IN_A_FRAME = 100
 
 /** The accounting for all queues of this instance. Other owners report the service they provided in `team-service` frames. */
 export class DataCentreServiceAccounting {
@@ -56,7 +56,7 @@
   /** Sends the service provided here since the previous call to the other members of the data centre. */
   broadcast (): void {
     if (this.unsentTokens.size === 0) return
-    const tokens = [...this.unsentTokens].slice(0, MOST_TEAMS_IN_A_FRAME).map(([team, amount]) => ({ team, tokens: amount }))
+    const tokens = [...this.unsentTokens].slice(0, MAXIMUM_TEAMS_IN_A_FRAME).map(([team, amount]) => ({ team, tokens: amount }))
     for (const { team } of tokens) this.unsentTokens.delete(team)
     const { self } = this.network
     for (const member of this.membership.members()) {
--- a/packages/entry/src/scheduling/loader.ts
+++ b/packages/entry/src/scheduling/loader.ts
@@ -12,10 +12,12 @@
 const LONGEST_BACKOFF_MILLISECONDS = 30_000
 /** Consecutive failures after which the waiting requests are refused. Later requests wait until the back-off is over. */
 const FAILURES_BEFORE_REFUSAL = 3
-const IDLE_MILLISECONDS = 1_000
-const RETRY_MILLISECONDS = 100
+/** Pause while no load is pending. */
+const IDLE_PAUSE_MILLISECONDS = 1_000
+/** Pause after a load that could not be made, and while no pending load may run yet. */
+const RETRY_PAUSE_MILLISECONDS = 100
 /** Urgency of a load that no request waits for, so that it runs after all other loads. */
-const LEAST_URGENCY = 0
+const MINIMUM_URGENCY = 0
 /** Upper bound of the eviction cost, which stands for an engine that cannot evict any adapter. */
 const LARGEST_COST = 1e9
 /** Largest clock difference that is expected between engines and instances. */
@@ -103,7 +105,7 @@
       // During the wait for the turn another load may have become more urgent, or the original one unnecessary.
       const current = this.mostUrgentLoad()
       const progressed = current !== undefined && await this.loadOne(current)
-      if (!progressed) await this.pause(RETRY_MILLISECONDS, signal)
+      if (!progressed) await this.pause(RETRY_PAUSE_MILLISECONDS, signal)
     } finally {
       release()
     }
@@ -228,8 +230,8 @@
 
   private async idle (signal: AbortSignal): Promise<void> {
     const { scheduler } = this.options
-    if (scheduler.adaptersAwaitingLoad().length > 0) return await this.pause(RETRY_MILLISECONDS, signal)
-    await this.pause(IDLE_MILLISECONDS, signal)
+    if (scheduler.adaptersAwaitingLoad().length > 0) return await this.pause(RETRY_PAUSE_MILLISECONDS, signal)
+    await this.pause(IDLE_PAUSE_MILLISECONDS, signal)
     if (!signal.aborted && scheduler.queued === 0) await this.loadAhead(signal)
   }
 
@@ -241,7 +243,7 @@
     const adapter = loadAhead.suggest(isHeld, clock.now())
     const reference = adapter === undefined ? undefined : servable(adapter)
     if (reference === undefined) return
-    const release = await this.waitForTurn(() => loadTurns.acquire(LEAST_URGENCY, signal), signal)
+    const release = await this.waitForTurn(() => loadTurns.acquire(MINIMUM_URGENCY, signal), signal)
     if (release === undefined) return
     try {
       const stillFree = scheduler.slots.hasFreeSlot && scheduler.slots.usableSlot(formatAdapter(reference)) === undefined
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -17,16 +17,16 @@
 import { PinAudit } from './pin-audit.js'
 
 /** Interval between polls of a busy engine's report. */
-const REPORT_MILLISECONDS = 500
+const REPORT_INTERVAL_MILLISECONDS = 500
 /** Interval for an idle engine, which is polled less often because each report costs its owner about 2.4 ms of processor time. */
-const IDLE_REPORT_MILLISECONDS = 2_500
-const MOST_QUEUED = 2_000
+const IDLE_REPORT_INTERVAL_MILLISECONDS = 2_500
+const MAXIMUM_QUEUED = 2_000
 /** Interval between full digests, which restore what a receiver missed because of a broken connection. */
-const FULL_DIGEST_MILLISECONDS = 30_000
+const FULL_DIGEST_INTERVAL_MILLISECONDS = 30_000
 const REPORTS_MISSED_BEFORE_UNHEALTHY = 4
 /** Digests are sent to each member, so the interval between them grows with the number of members to keep the traffic within its budget. */
 const DIGEST_MILLISECONDS_PER_MEMBER = 50
-const SHORTEST_DIGEST_MILLISECONDS = 100
+const SHORTEST_DIGEST_INTERVAL_MILLISECONDS = 100
 
 /** Dependencies of {@link OwnedEndpoints}. */
 export interface OwnedEndpointsOptions {
@@ -71,7 +71,7 @@
   private readonly eviction: EvictionPolicy = new StallEvictionPolicy()
   private readonly loadOrder: LoadOrderingPolicy = new StallLoadOrderingPolicy()
   private readonly loadAhead: LoadAhead = new PopularityLoadAhead()
-  private readonly guard = new OverloadGuard<WaitingRequest>({ maximumQueued: MOST_QUEUED })
+  private readonly guard = new OverloadGuard<WaitingRequest>({ maximumQueued: MAXIMUM_QUEUED })
   private readonly service: DataCentreServiceAccounting
   private readonly audit: PinAudit
   private nextFullDigestsAt = 0
@@ -152,7 +152,7 @@
       for (const owned of this.owned.values()) this.sendDigest(owned, full)
       this.service.broadcast()
       const members = this.options.membership.members().length
-      await this.options.clock.sleep(Math.max(SHORTEST_DIGEST_MILLISECONDS, DIGEST_MILLISECONDS_PER_MEMBER * members), signal)
+      await this.options.clock.sleep(Math.max(SHORTEST_DIGEST_INTERVAL_MILLISECONDS, DIGEST_MILLISECONDS_PER_MEMBER * members), signal)
     }
   }
 
@@ -246,7 +246,7 @@
       else owned.missedReports += 1
       await this.audit.auditIfDue(owned.scheduler)
       const idle = owned.latestReport !== undefined && owned.scheduler.running.size === 0 && owned.scheduler.queued === 0
-      await this.options.clock.sleep(idle ? IDLE_REPORT_MILLISECONDS : REPORT_MILLISECONDS, signal)
+      await this.options.clock.sleep(idle ? IDLE_REPORT_INTERVAL_MILLISECONDS : REPORT_INTERVAL_MILLISECONDS, signal)
     }
   }
 
@@ -279,7 +279,7 @@
     this.connected = new Set(network.connected())
     const joined = [...this.connected].some((peer) => !before.has(peer))
     if (!joined && clock.now() < this.nextFullDigestsAt) return false
-    this.nextFullDigestsAt = clock.now() + FULL_DIGEST_MILLISECONDS
+    this.nextFullDigestsAt = clock.now() + FULL_DIGEST_INTERVAL_MILLISECONDS
     return true
   }
 
--- a/packages/entry/src/scheduling/pin-audit.ts
+++ b/packages/entry/src/scheduling/pin-audit.ts
@@ -5,10 +5,10 @@
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 
 /** Interval between audits of one endpoint. */
-const AUDIT_MILLISECONDS = 10_000
+const AUDIT_INTERVAL_MILLISECONDS = 10_000
 /** Age from which a pin is audited. */
-const OLD_MILLISECONDS = 20_000
-const ANSWER_MILLISECONDS = 2_000
+const MINIMUM_PIN_AGE_MILLISECONDS = 20_000
+const RESPONSE_TIMEOUT_MILLISECONDS = 2_000
 
 /**
  * Asks the instances with old pins which requests they still have. The message that a request is done is lost when its
@@ -46,15 +46,15 @@
     const { endpoint } = scheduler.engine
     const now = this.clock.now()
     if (now < (this.nextAt.get(endpoint) ?? 0)) return
-    this.nextAt.set(endpoint, now + AUDIT_MILLISECONDS)
-    const holders = [...scheduler.holdersOfPinsOlderThan(OLD_MILLISECONDS)]
+    this.nextAt.set(endpoint, now + AUDIT_INTERVAL_MILLISECONDS)
+    const holders = [...scheduler.holdersOfPinsOlderThan(MINIMUM_PIN_AGE_MILLISECONDS)]
     await Promise.all(holders.map(async (holder) => await this.query(holder, scheduler)))
   }
 
   private async query (holder: InstanceId, scheduler: EndpointScheduler): Promise<void> {
     const queriedAt = this.clock.now()
     const { engine, token } = scheduler
-    const answer = await this.network.call(holder, { kind: 'pins-ask', endpoint: engine.endpoint, token }, ANSWER_MILLISECONDS)
+    const answer = await this.network.call(holder, { kind: 'pins-ask', endpoint: engine.endpoint, token }, RESPONSE_TIMEOUT_MILLISECONDS)
     if (answer.isErr() || answer.value.kind !== 'pins-report') return
     scheduler.dropPinsNotHeld(holder, new Set(answer.value.pins.map((pin) => pin.requestId as string)), queriedAt)
   }
--- a/packages/entry/test/scheduling/owned-engine.test.ts
+++ b/packages/entry/test/scheduling/owned-engine.test.ts
@@ -183,7 +183,7 @@
   // Guards against requests beyond the bound of the queue that wait until their deadlines. They are refused at once, with a
   // retry time.
   it('refuses at once when the queue is full', async () => {
-    const engine = await start({ mostQueued: 1, slots: 1, mayEvict: false })
+    const engine = await start({ maximumQueued: 1, slots: 1, mayEvict: false })
     expect((await engine.requestAdmission('first')).isOk()).toBe(true)
     const waiting = engine.requestAdmission('second', 500)
     const refused = await engine.requestAdmission('third')
--- a/packages/entry/test/scheduling/owned-engine.ts
+++ b/packages/entry/test/scheduling/owned-engine.ts
@@ -27,7 +27,7 @@
 export interface OwnedEngineOptions extends Partial<StandInEngineOptions> {
   readonly mayEvict?: boolean
   readonly earlierPins?: ReadonlySet<LoadedName>
-  readonly mostQueued?: number
+  readonly maximumQueued?: number
   /** Creates the engine client; the default is a plain {@link HttpEngineClient}. */
   readonly clientOf?: (url: string) => HttpEngineClient
 }
@@ -43,7 +43,7 @@
   private requests = 0
 
   constructor (options: OwnedEngineOptions = {}) {
-    const { mayEvict, earlierPins, mostQueued, clientOf, ...engine } = options
+    const { mayEvict, earlierPins, maximumQueued, clientOf, ...engine } = options
     this.options = options
     this.engine = new StandInEngine({ name: 'engine-1', slots: 2, stepMilliseconds: 2, loadMilliseconds: 5, reportLag: 0, reportInterval: 20, ...engine })
   }
@@ -126,7 +126,7 @@
       record,
       rights,
       queue,
-      guard: new OverloadGuard({ maximumQueued: this.options.mostQueued ?? 100 }),
+      guard: new OverloadGuard({ maximumQueued: this.options.maximumQueued ?? 100 }),
       loadMilliseconds: () => 5,
       clock,
       logger,
