--- a/packages/entry/src/scheduling/endpoint-scheduler.ts
+++ b/packages/entry/src/scheduling/endpoint-scheduler.ts
@@ -383,7 +383,8 @@
     const slot = this.slots.get(running.loadedName)
     if (slot === undefined) return
     slot.pins.delete(running.request.requestId)
-    // The engine rejected the request, for example because it does not hold the adapter; a load order checks that before the next grant.
+    // The engine did not run the request: it may not hold the adapter, or it may have failed. A load order checks that before
+    // the next grant.
     if (outcome === 'not-run' && slot.state === 'loaded') this.markUnverified(slot)
   }
 
