--- a/packages/ingress/src/cluster-state/accepted-configuration.ts
+++ b/packages/ingress/src/cluster-state/accepted-configuration.ts
@@ -1,53 +1,54 @@
-/** The configuration in force here. */
+/** Keeps the configuration that this instance routes by. */
 import type { Logger } from '@limpetwinch/core'
 import { RouteTable } from '../routes/route-table.js'
 import type { Configuration, Service, ServiceName } from '../routes/configuration.js'
 
-/** One accepted state, ready to be looked up in. */
+/** One accepted configuration with its lookup structures. */
 export interface ActiveConfiguration {
   readonly configuration: Configuration
   readonly table: RouteTable
   readonly services: ReadonlyMap<ServiceName, Service>
 }
 
-/** Holds the newest accepted configuration; in one life of the process it never goes back. */
+/** Holds the latest accepted configuration. Its version never decreases while the process runs. */
 export class AcceptedConfiguration {
   private readonly logger: Logger
-  private readonly listeners: ((inForce: ActiveConfiguration) => void)[] = []
-  private inForce: ActiveConfiguration | undefined
+  private readonly listeners: ((active: ActiveConfiguration) => void)[] = []
+  private active: ActiveConfiguration | undefined
 
-  /** @param logger - hears of each change */
+  /** @param logger - receives a line for each applied configuration */
   constructor (logger: Logger) {
     this.logger = logger
   }
 
-  /** @returns the version in force; 0 before the first */
+  /** @returns the version of the active configuration; 0 before the first one */
   get version (): number {
-    return this.inForce?.configuration.version ?? 0
+    return this.active?.configuration.version ?? 0
   }
 
-  /** @returns what is in force, or undefined before the first */
+  /** @returns the active configuration, or undefined before the first one */
   get current (): ActiveConfiguration | undefined {
-    return this.inForce
+    return this.active
   }
 
-  /** Calls the listener with each newer state. */
-  onChange (listener: (inForce: ActiveConfiguration) => void): void {
+  /** Registers a listener that is called with each newly applied configuration. */
+  onChange (listener: (active: ActiveConfiguration) => void): void {
     this.listeners.push(listener)
   }
 
   /**
-   * Takes a state up unless a newer one is in force.
+   * Applies a configuration unless the active one has the same or a newer version.
    *
-   * @param configuration - the state
-   * @param source - for the log: who brought it
+   * @param configuration - the configuration to apply
+   * @param source - where the configuration came from; logged
    */
   apply (configuration: Configuration, source: 'store' | 'peer'): void {
-    // A listing made before a change may arrive after it was heard from a peer; going back would undo what callers saw.
+    // A store listing made before a change may arrive after a peer has sent that change. Going back to the older version would
+    // undo what callers have already seen.
     if (configuration.version <= this.version) return
     const services = new Map(configuration.services.map((service) => [service.name, service]))
-    this.inForce = { configuration, table: new RouteTable(configuration.routes), services }
-    this.logger.info('A configuration is in force.', { version: configuration.version, source, routes: configuration.routes.length })
-    for (const listener of this.listeners) listener(this.inForce)
+    this.active = { configuration, table: new RouteTable(configuration.routes), services }
+    this.logger.info('A configuration was applied.', { version: configuration.version, source, routes: configuration.routes.length })
+    for (const listener of this.listeners) listener(this.active)
   }
 }
--- a/packages/ingress/src/cluster-state/adapter-versions.ts
+++ b/packages/ingress/src/cluster-state/adapter-versions.ts
@@ -1,76 +1,76 @@
-/** The newest announced version of each adapter, and from when on only it may be used. */
+/** Tracks the latest announced version of each adapter and the time from which new requests must use it. */
 import type { Logger } from '@limpetwinch/core'
 import type { AdapterAnnouncement, AdapterKey } from '../routes/configuration.js'
 
 /**
- * Part of the time allowed for a new version in which copies of the version before still serve. The rest covers how
- * late an announcement is heard and how long a request waits at an engine before it begins.
+ * Fraction of the time allowed for a new version in which loaded copies of the previous version may still serve. The rest covers
+ * the delay of the announcement and the time that a request waits at an engine before it starts.
  */
-const SHARE_FOR_OLD_COPIES = 0.4
+const PREVIOUS_VERSION_SHARE = 0.4
 
-interface Announced {
+interface AnnouncedVersion {
   readonly version: number
-  /** Monotonic time at which this instance heard of it. */
-  readonly heardAt: number
+  /** Monotonic time at which this instance learnt of the version; -Infinity when it was announced before this instance started. */
+  readonly learntAt: number
 }
 
-/** Announced versions; they never go back. */
+/** The announced adapter versions. The version of an adapter never decreases. */
 export class AdapterVersions {
-  private readonly announced = new Map<AdapterKey, Announced>()
+  private readonly announced = new Map<AdapterKey, AnnouncedVersion>()
   private readonly listeners: ((key: AdapterKey, version: number) => void)[] = []
   private readonly logger: Logger
-  private readonly oldCopiesMilliseconds: number
-  private heardAny = false
+  private readonly previousVersionMilliseconds: number
+  private hasAnnouncements = false
 
   /**
-   * @param logger - hears of each announcement
-   * @param newVersionMilliseconds - time in which a new version must be in use
+   * @param logger - receives a line for each newer version
+   * @param newVersionMilliseconds - time after its announcement in which a new version must be in use
    */
   constructor (logger: Logger, newVersionMilliseconds: number) {
     this.logger = logger
-    this.oldCopiesMilliseconds = newVersionMilliseconds * SHARE_FOR_OLD_COPIES
+    this.previousVersionMilliseconds = newVersionMilliseconds * PREVIOUS_VERSION_SHARE
   }
 
-  /** @returns a number that grows with each newer version, for comparing with peers */
+  /** @returns the sum of all versions. It grows with each newer version, so peers compare it to find out which of them is behind */
   get versionSum (): number {
     let sum = 0
     for (const { version } of this.announced.values()) sum += version
     return sum
   }
 
-  /** Calls the listener with each newer version. */
+  /** Registers a listener that is called with each newer version. */
   onNewVersion (listener: (key: AdapterKey, version: number) => void): void {
     this.listeners.push(listener)
   }
 
-  /** Takes up what is newer among the announcements. */
+  /** Applies the announcements that are newer than the known versions. */
   apply (announcements: Iterable<AdapterAnnouncement>, source: 'store' | 'peer', now: number): void {
-    const first = !this.heardAny
-    this.heardAny = true
+    const isFirst = !this.hasAnnouncements
+    this.hasAnnouncements = true
     for (const { key, version } of announcements) {
       const known = this.announced.get(key)
       if (known !== undefined && known.version >= version) continue
-      // What was announced before this instance started may have been so for long: there is no time left for it.
-      this.announced.set(key, { version, heardAt: first ? -Infinity : now })
+      // The first announcements may have been made long before this instance started, so they leave the previous versions no time.
+      this.announced.set(key, { version, learntAt: isFirst ? -Infinity : now })
       this.logger.info('A newer adapter version is announced.', { adapter: key, version, source })
       for (const listener of this.listeners) listener(key, version)
     }
   }
 
-  /** @returns all announcements, for peers that cannot reach the store */
+  /** @returns the latest announcement of each adapter, for peers that do not read the store */
   all (): readonly AdapterAnnouncement[] {
     return [...this.announced].map(([key, { version }]) => ({ key, version }))
   }
 
-  /** @returns the newest version, or undefined when none was announced */
+  /** @returns the latest version of the adapter, or undefined when none was announced */
   newest (key: AdapterKey): number | undefined {
     return this.announced.get(key)?.version
   }
 
-  /** @returns the least version that a new request may begin on; 0 allows any */
+  /** @returns the minimum version that a new request may start on; 0 allows any version */
   minimumUsable (key: AdapterKey, now: number): number {
     const known = this.announced.get(key)
     if (known === undefined) return 0
-    return now - known.heardAt < this.oldCopiesMilliseconds ? known.version - 1 : known.version
+    return now - known.learntAt < this.previousVersionMilliseconds ? known.version - 1 : known.version
   }
 }
--- a/packages/ingress/src/cluster-state/cluster-view.ts
+++ b/packages/ingress/src/cluster-state/cluster-view.ts
@@ -1,49 +1,49 @@
-/** The product's own objects in the store as they are known here, read or told by a peer. */
+/** The cluster objects of the store as this instance knows them, read from the store or received from a peer. */
 import { clusterPath, clusterVersion } from '../members/cluster-objects.js'
 import type { ClusterObject, LoadOwner, Member, StoredQuarantineDecision } from '../members/cluster-objects.js'
 
-/** Hears of each newer state. */
+/** Called with each newer state. */
 export type ClusterListener = (objects: ClusterObjectsByKind, revision: number) => void
 
-/** All objects by their kind. */
+/** All cluster objects by kind. */
 export interface ClusterObjectsByKind {
   readonly members: readonly Member[]
   readonly loadOwners: readonly LoadOwner[]
   readonly quarantineDecisions: readonly StoredQuarantineDecision[]
 }
 
-/** Members, holders and verdicts at one revision of the store; it never goes back. */
+/** Members, load owners and quarantine decisions at one revision of the store. The revision never decreases. */
 export class ClusterView {
   private readonly listener: ClusterListener
   private objects = new Map<string, ClusterObject>()
-  private revisionSeen = 0
+  private currentRevision = 0
 
-  /** @param listener - hears of each newer state */
+  /** @param listener - called with each newer state */
   constructor (listener: ClusterListener) {
     this.listener = listener
   }
 
-  /** @returns the store's revision of the newest state; 0 before the first */
+  /** @returns the store revision of the current state; 0 before the first one */
   get revision (): number {
-    return this.revisionSeen
+    return this.currentRevision
   }
 
-  /** Takes all objects as the store listed them. */
+  /** Replaces all objects by a listing of the store, unless the listing is older than the current state. */
   apply (objects: Iterable<ClusterObject>, revision: number): void {
-    if (revision < this.revisionSeen) return
-    this.revisionSeen = revision
+    if (revision < this.currentRevision) return
+    this.currentRevision = revision
     this.objects = new Map([...objects].map((object) => [clusterPath(object), object]))
-    this.tell()
+    this.notifyListener()
   }
 
   /**
-   * Takes what has changed since the revision known here.
+   * Applies the changes since the current revision.
    *
    * @param changed - the objects that changed
-   * @param present - paths of all objects
+   * @param present - paths of all objects; every other known object is removed
    */
   merge (changed: readonly ClusterObject[], present: readonly string[], revision: number): void {
-    if (revision <= this.revisionSeen) return
+    if (revision <= this.currentRevision) return
     const newer = new Map([...this.objects, ...changed.map((object): [string, ClusterObject] => [clusterPath(object), object])])
     this.apply(present.flatMap((path) => newer.get(path) ?? []), revision)
   }
@@ -58,11 +58,11 @@
     return [...this.objects.keys()]
   }
 
-  private tell (): void {
+  private notifyListener (): void {
     const all = [...this.objects.values()]
     const members = all.flatMap((object) => object.kind === 'member' ? [object.member] : [])
-    const holders = all.flatMap((object) => object.kind === 'holder' ? [object.holder] : [])
-    const verdicts = all.flatMap((object) => object.kind === 'verdict' ? [object.verdict] : [])
-    this.listener({ members, loadOwners: holders, quarantineDecisions: verdicts }, this.revisionSeen)
+    const loadOwners = all.flatMap((object) => object.kind === 'holder' ? [object.holder] : [])
+    const quarantineDecisions = all.flatMap((object) => object.kind === 'verdict' ? [object.verdict] : [])
+    this.listener({ members, loadOwners, quarantineDecisions }, this.currentRevision)
   }
 }
--- a/packages/ingress/src/cluster-state/state-exchange.ts
+++ b/packages/ingress/src/cluster-state/state-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Passes on what the store said: to instances that do not read it, since a hub of their data centre does, and to those that it
- * turns away.
+ * Exchanges the state read from the store between instances: leaves get it from a hub, which reads the store for them, and
+ * instances that the store rejects get it from any neighbour.
  */
 import type { BeliefRevisions, BeliefsAskFrame, BeliefsFrame, BeliefsOfferFrame, ChangedObjects, Clock, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { PeerLinks } from '@limpetwinch/entry'
@@ -13,20 +13,20 @@
 import type { ClusterView } from './cluster-view.js'
 import type { StoreHealth } from './store-health.js'
 
-/** Between offers: a peer that is behind learns it within this, well inside the second that beliefs may take. */
+/** Interval between offers. A peer that is behind learns of it within this time, well within the one second in which state must spread. */
 const OFFER_MILLISECONDS = 400
-/** An instance whose own reading is younger than this will see the change by itself; asking would double the bytes. */
-const FRESH_MILLISECONDS = 900
-/** All peers offer at once when the store turns one instance away; one answer is enough. */
-const ASK_MILLISECONDS = 150
-/** An offer with nothing new is repeated after this: a leaf has no other sign that its hub still reads the store. */
-const REPEAT_MILLISECONDS = 1_000
-/** A leaf that hears of no reading for so long reads for itself. */
-const CURRENT_MILLISECONDS = 2_500
-/** Whoever reads the store is answered at least this often: its watches end sooner. */
+/** An instance that has read the store more recently than this will read the change itself; requesting it would double the bytes. */
+const RECENT_READ_MILLISECONDS = 900
+/** Minimum interval between requests. When the store rejects an instance, all its peers make offers at once, and one reply is enough. */
+const REQUEST_INTERVAL_MILLISECONDS = 150
+/** Interval at which an unchanged offer is sent again: it is the only sign for a leaf that its hub still reads the store. */
+const UNCHANGED_OFFER_MILLISECONDS = 1_000
+/** A leaf that learns of no store read for this long reads the store itself. */
+const READ_VALID_MILLISECONDS = 2_500
+/** An instance that reads the store gets a response at least this often, because its watches end sooner. */
 const LONGEST_WATCH_MILLISECONDS = 3_500
 
-/** The beliefs that are exchanged. */
+/** The state that instances exchange. */
 export interface ExchangedState {
   readonly configuration: AcceptedConfiguration
   readonly directory: EndpointDirectory
@@ -35,42 +35,42 @@
   readonly health: StoreHealth
 }
 
-/** Offers revisions to neighbours and asks for what is newer there. */
+/** Offers the revisions of this instance's state to neighbours and requests the state that is newer there. */
 export class StateExchange {
   private readonly network: PeerLinks
   private readonly overlay: PeerOverlay
-  private readonly beliefs: ExchangedState
+  private readonly state: ExchangedState
   private readonly clock: Clock
-  private offered = ''
+  private lastOffer = ''
   private offeredAt = -Infinity
-  private askedAt = -Infinity
-  /** When somebody read the store, as far as the word of it has come here. */
+  private requestedAt = -Infinity
+  /** Monotonic time of the latest store read by another instance that this instance has learnt of. */
   private readAt = -Infinity
 
-  constructor (network: PeerLinks, overlay: PeerOverlay, beliefs: ExchangedState, clock: Clock) {
+  constructor (network: PeerLinks, overlay: PeerOverlay, state: ExchangedState, clock: Clock) {
     this.network = network
     this.overlay = overlay
-    this.beliefs = beliefs
+    this.state = state
     this.clock = clock
-    network.onNotice('beliefs-offer', (from, frame) => this.consider(from, frame))
-    network.onNotice('beliefs-ask', (from, frame) => this.answer(from, frame))
-    network.onNotice('beliefs', (_from, frame) => this.take(frame))
-    overlay.onNeighbour((neighbour) => { if (!overlay.isHub) this.attached(neighbour) })
+    network.onNotice('beliefs-offer', (from, frame) => this.handleOffer(from, frame))
+    network.onNotice('beliefs-ask', (from, frame) => this.sendState(from, frame))
+    network.onNotice('beliefs', (_from, frame) => this.applyState(frame))
+    overlay.onNeighbour((neighbour) => { if (!overlay.isHub) this.handleAttached(neighbour) })
   }
 
-  /** Whether this instance has to read the store itself: nobody reads it for it, or who does is behind. */
+  /** Whether this instance must read the store itself: no hub reads it for this instance, or the latest read known here is too old. */
   get needsStore (): boolean {
     if (this.overlay.isHub) return true
     if (!this.overlay.isAttached) return !this.overlay.isAwaitingHub
-    return this.clock.now() - this.readAt > CURRENT_MILLISECONDS
+    return this.clock.now() - this.readAt > READ_VALID_MILLISECONDS
   }
 
-  /** This process stood still: what it was told before is old, and its hub may have given it up without a sign. */
+  /** Discards what is known of store reads after a process pause: it is out of date, and the hub may have dropped this instance unnoticed. */
   markStale (): void {
     this.readAt = -Infinity
   }
 
-  /** Offers until the signal ends it. */
+  /** Sends offers until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(OFFER_MILLISECONDS, signal)
@@ -82,92 +82,100 @@
     const revisions = this.revisions()
     const text = JSON.stringify(revisions)
     const now = this.clock.now()
-    // At rest every peer has heard it already; one that lost the frame is behind in the next change only.
-    const isRepeat = text === this.offered && this.beliefs.health.reachable
-    this.offered = text
-    const neighbours = isRepeat ? this.overlay.neighboursOf('leaf') : this.overlay.neighbours()
-    if (isRepeat && now - this.offeredAt < REPEAT_MILLISECONDS) return
+    // Unchanged revisions were offered to every peer before, so only leaves need them again. A hub that lost that frame is behind
+    // only until the next change.
+    const isUnchanged = text === this.lastOffer && this.state.health.reachable
+    this.lastOffer = text
+    const neighbours = isUnchanged ? this.overlay.neighboursOf('leaf') : this.overlay.neighbours()
+    if (isUnchanged && now - this.offeredAt < UNCHANGED_OFFER_MILLISECONDS) return
     this.offeredAt = now
     this.network.notifyAll(neighbours, { kind: 'beliefs-offer', ...revisions, readMillisecondsAgo: this.readMillisecondsAgo(now) })
   }
 
-  /** Passed on, an age goes on growing: two instances that both hear of a reading only from each other do not keep it young. */
+  /**
+   * The age keeps growing while it is passed on, so two instances that know of a read only from each other do not keep it recent.
+   *
+   * @returns milliseconds since the latest store read that this instance knows of; undefined when it knows of none
+   */
   private readMillisecondsAgo (now: number): number | undefined {
-    const { reachable } = this.beliefs.health
-    const silence = this.beliefs.health.millisecondsSinceAnswer(now)
-    // One that has just begun to read again, after a hub did it for a while, knows nothing of the store yet.
-    if (reachable && silence < LONGEST_WATCH_MILLISECONDS) return 0
-    const age = Math.min(silence, now - this.readAt)
+    const { reachable } = this.state.health
+    const sinceResponse = this.state.health.millisecondsSinceAnswer(now)
+    // An instance that starts to read again after a hub read for it has no response yet: its last one may be long ago.
+    if (reachable && sinceResponse < LONGEST_WATCH_MILLISECONDS) return 0
+    const age = Math.min(sinceResponse, now - this.readAt)
     return age === Infinity ? undefined : age
   }
 
   private revisions (): Required<BeliefRevisions> {
     return {
-      configuration: this.beliefs.configuration.version,
-      endpoints: this.beliefs.directory.revision,
-      announcements: this.beliefs.versions.versionSum,
-      cluster: this.beliefs.cluster.revision
+      configuration: this.state.configuration.version,
+      endpoints: this.state.directory.revision,
+      announcements: this.state.versions.versionSum,
+      cluster: this.state.cluster.revision
     }
   }
 
-  private consider (from: InstanceId, offer: BeliefsOfferFrame): void {
+  private handleOffer (from: InstanceId, offer: BeliefsOfferFrame): void {
     const own = this.revisions()
     const now = this.clock.now()
     if (offer.readMillisecondsAgo !== undefined) this.readAt = Math.max(this.readAt, now - offer.readMillisecondsAgo)
-    const behind = offer.configuration > own.configuration || offer.endpoints > own.endpoints || offer.announcements > own.announcements || (offer.cluster ?? 0) > own.cluster
-    if (!behind) return
-    const fresh = this.needsStore && this.beliefs.health.reachable && this.beliefs.health.millisecondsSinceAnswer(now) < FRESH_MILLISECONDS
-    if (fresh || now - this.askedAt < ASK_MILLISECONDS) return
-    this.ask(from)
+    const isBehind = offer.configuration > own.configuration || offer.endpoints > own.endpoints ||
+      offer.announcements > own.announcements || (offer.cluster ?? 0) > own.cluster
+    if (!isBehind) return
+    const hasRecentRead = this.needsStore && this.state.health.reachable && this.state.health.millisecondsSinceAnswer(now) < RECENT_READ_MILLISECONDS
+    if (hasRecentRead || now - this.requestedAt < REQUEST_INTERVAL_MILLISECONDS) return
+    this.requestState(from)
   }
 
-  /** The hub's own word follows within a second; until then it is taken to read the store, as hubs do. */
-  private attached (hub: InstanceId): void {
+  /** Assumes that a newly attached hub reads the store, as hubs do, until its own offer arrives within a second. */
+  private handleAttached (hub: InstanceId): void {
     this.readAt = this.clock.now()
-    this.ask(hub)
+    this.requestState(hub)
   }
 
-  private ask (neighbour: InstanceId): void {
-    this.askedAt = this.clock.now()
+  private requestState (neighbour: InstanceId): void {
+    this.requestedAt = this.clock.now()
     this.network.notify(neighbour, { kind: 'beliefs-ask', ...this.revisions() })
   }
 
-  private answer (to: InstanceId, ask: BeliefsAskFrame): void {
-    const { configuration, directory, versions } = this.beliefs
-    const inForce = configuration.current
+  private sendState (to: InstanceId, request: BeliefsAskFrame): void {
+    const { configuration, directory, versions } = this.state
+    const active = configuration.current
     this.network.notify(to, {
       kind: 'beliefs',
-      configuration: inForce !== undefined && configuration.version > ask.configuration ? { revision: configuration.version, value: inForce.configuration } : undefined,
-      endpoints: directory.revision > ask.endpoints ? this.endpointsSince(ask.endpoints) : undefined,
-      announcements: versions.versionSum > ask.announcements ? { revision: versions.versionSum, value: versions.all() } : undefined,
-      cluster: this.clusterSince(ask.cluster)
+      configuration: active !== undefined && configuration.version > request.configuration
+        ? { revision: configuration.version, value: active.configuration }
+        : undefined,
+      endpoints: directory.revision > request.endpoints ? this.endpointsSince(request.endpoints) : undefined,
+      announcements: versions.versionSum > request.announcements ? { revision: versions.versionSum, value: versions.all() } : undefined,
+      cluster: this.clusterSince(request.cluster)
     })
   }
 
   private endpointsSince (revision: number): ChangedObjects {
-    const { directory } = this.beliefs
+    const { directory } = this.state
     return { revision: directory.revision, value: directory.since(revision), ...directory.ids() }
   }
 
   private clusterSince (revision: number | undefined): ChangedObjects | undefined {
-    const { cluster } = this.beliefs
+    const { cluster } = this.state
     if (revision === undefined || cluster.revision <= revision) return undefined
     return { revision: cluster.revision, value: cluster.since(revision), present: cluster.paths() }
   }
 
-  /** Peers run the same release and have checked what they pass on when they read it from the store. */
-  private take (frame: BeliefsFrame): void {
-    const { configuration, versions, cluster } = this.beliefs
+  /** Applies state without validation: peers run the same release and validated the state when they read it from the store. */
+  private applyState (frame: BeliefsFrame): void {
+    const { configuration, versions, cluster } = this.state
     if (frame.configuration !== undefined) configuration.apply(frame.configuration.value as Configuration, 'peer')
-    if (frame.endpoints !== undefined) this.takeEndpoints(frame.endpoints)
+    if (frame.endpoints !== undefined) this.applyEndpoints(frame.endpoints)
     if (frame.announcements !== undefined) {
       versions.apply(frame.announcements.value as readonly AdapterAnnouncement[], 'peer', this.clock.now())
     }
     if (frame.cluster !== undefined) cluster.merge(frame.cluster.value as readonly ClusterObject[], frame.cluster.present ?? [], frame.cluster.revision)
   }
 
-  private takeEndpoints ({ revision, value, present = [], lapsed = [] }: ChangedObjects): void {
-    const { directory, health } = this.beliefs
+  private applyEndpoints ({ revision, value, present = [], lapsed = [] }: ChangedObjects): void {
+    const { directory, health } = this.state
     const now = this.clock.now()
     const changed = new Map((value as readonly Endpoint[]).map((endpoint) => [endpoint.id, endpoint]))
     const endpoints = present.flatMap((id) => changed.get(id as EndpointId) ?? directory.find(id as EndpointId) ?? [])
--- a/packages/ingress/src/cluster-state/store-follower.ts
+++ b/packages/ingress/src/cluster-state/store-follower.ts
@@ -1,12 +1,12 @@
-/** Follows all objects of one kind: a listing, then a watch, and a listing again whenever the watch cannot go on. */
+/** Follows all objects of one kind: lists them, then watches for changes, and lists again whenever the watch cannot continue. */
 import type { Clock, Logger, ObjectStore, StoredObject } from '@limpetwinch/core'
 import type { StoreHealth } from './store-health.js'
 
-/** After a failed call: the store is left in peace for a moment, and a returning one is met within it. */
-const FIRST_PAUSE_MILLISECONDS = 100
-const LONGEST_PAUSE_MILLISECONDS = 500
+/** Shortest and longest delay after failed calls. They spare a failing store, and a store that recovers is read within them. */
+const MINIMUM_BACKOFF_MILLISECONDS = 100
+const MAXIMUM_BACKOFF_MILLISECONDS = 500
 
-/** What a follower is made of. */
+/** Options of a follower. */
 export interface StoreFollowerOptions<Decoded> {
   readonly store: ObjectStore
   readonly health: StoreHealth
@@ -14,17 +14,17 @@
   readonly logger: Logger
   /** The kind of object, such as `servers`. */
   readonly kind: string
-  /** @returns the object's meaning, or undefined when it has none */
+  /** @returns the decoded object, or undefined when the object is invalid */
   readonly decode: (object: StoredObject) => Decoded | undefined
-  /** Called with all decoded objects by path after each change, and with the store's revision. */
+  /** Called after each change with all decoded objects by path and the store's revision. */
   readonly apply: (objects: ReadonlyMap<string, Decoded>, revision: number) => void
-  /** How long a watch waits. It bounds how late a silent connection is noticed; each watch is a call. */
+  /** Longest wait of one watch. A shorter one detects an unresponsive connection sooner but makes more calls. */
   readonly watchMilliseconds: number
-  /** Least time between two steps: changes that come together cost one call instead of one each. */
+  /** Minimum interval between two steps of a watch, so that changes close together cost one call instead of one each. */
   readonly paceMilliseconds: () => number
 }
 
-/** One follower; `run` is its task. */
+/** Keeps the decoded objects of one kind up to date; `run` is its task. */
 export class StoreFollower<Decoded> {
   private readonly options: StoreFollowerOptions<Decoded>
   private readonly objects = new Map<string, Decoded>()
@@ -34,27 +34,27 @@
     this.options = options
   }
 
-  /** Ends the present wait and lists again, after a pause in which anything may have been missed. */
+  /** Ends the current watch and lists again, after a process pause in which any change may have been missed. */
   refresh (): void {
     this.refreshing.abort()
   }
 
-  /** Follows until the signal ends it. */
+  /** Follows the store until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
-    let pause = FIRST_PAUSE_MILLISECONDS
+    let backoff = MINIMUM_BACKOFF_MILLISECONDS
     while (!signal.aborted) {
       this.refreshing = new AbortController()
-      const followed = await this.listAndWatch(AbortSignal.any([signal, this.refreshing.signal]))
-      if (followed) {
-        pause = FIRST_PAUSE_MILLISECONDS
+      const responded = await this.listAndWatch(AbortSignal.any([signal, this.refreshing.signal]))
+      if (responded) {
+        backoff = MINIMUM_BACKOFF_MILLISECONDS
         continue
       }
-      await this.options.clock.sleep(pause, signal)
-      pause = Math.min(LONGEST_PAUSE_MILLISECONDS, 2 * pause)
+      await this.options.clock.sleep(backoff, signal)
+      backoff = Math.min(MAXIMUM_BACKOFF_MILLISECONDS, 2 * backoff)
     }
   }
 
-  /** @returns whether anything was read */
+  /** @returns false when a call to the store failed, so that the next listing is delayed */
   private async listAndWatch (signal: AbortSignal): Promise<boolean> {
     const { store, health, clock, kind, watchMilliseconds, paceMilliseconds } = this.options
     const listing = await store.list(`${kind}/`)
@@ -65,13 +65,13 @@
     health.answered(clock.now())
     let { cursor } = listing.value
     this.objects.clear()
-    for (const object of listing.value.objects) this.take(object)
+    for (const object of listing.value.objects) this.applyChange(object)
     this.options.apply(this.objects, cursor)
     while (!signal.aborted) {
       const step = await store.watch(`${kind}/`, cursor, watchMilliseconds, signal)
       if (signal.aborted) return true
       if (step.isErr()) {
-        // Lost history is an answer: the store is there, and a listing makes the gap good.
+        // Lost history is a response: the store works, and a new listing fills the gap.
         if (step.error.kind === 'history-lost') return true
         health.failed(step.error.message, clock.now())
         return false
@@ -79,14 +79,14 @@
       health.answered(clock.now())
       cursor = step.value.cursor
       if (step.value.changes.length === 0) continue
-      for (const object of step.value.changes) this.take(object)
+      for (const object of step.value.changes) this.applyChange(object)
       this.options.apply(this.objects, cursor)
       await clock.sleep(paceMilliseconds(), signal)
     }
     return true
   }
 
-  private take (object: StoredObject): void {
+  private applyChange (object: StoredObject): void {
     if (object.removed === true) {
       this.objects.delete(object.path)
       return
@@ -96,7 +96,7 @@
       this.objects.set(object.path, decoded)
       return
     }
-    this.options.logger.warn('An object of the store cannot be used.', { path: object.path, revision: object.version })
+    this.options.logger.warn('An object in the store is invalid and is not used.', { path: object.path, revision: object.version })
     this.objects.delete(object.path)
   }
 }
--- a/packages/ingress/src/cluster-state/store-health.ts
+++ b/packages/ingress/src/cluster-state/store-health.ts
@@ -1,53 +1,53 @@
-/** Whether the platform's store answers, and when it came back. */
+/** Tracks whether the platform's store responds and when its last outage ended. */
 import type { Logger } from '@limpetwinch/core'
 
-/** An outage is over for good when this has passed since its end; entries that lapsed in it are back or gone by then. */
-const AFTERMATH_MILLISECONDS = 3_000
-/** One call may fail by itself; an outage is said when nothing was answered for so long. */
-const OUTAGE_AFTER_MILLISECONDS = 1_000
+/** Time after the end of an outage in which entries that lapsed during it may return; after it, they are listed again or removed. */
+const RECOVERY_MILLISECONDS = 3_000
+/** A single call may fail on its own: failures count as an outage only when no call got a response for at least this long. */
+const MINIMUM_OUTAGE_MILLISECONDS = 1_000
 
-/** Followed by every reader of the store. */
+/** Records the outcome of each call by which this instance reads the store. */
 export class StoreHealth {
   private readonly logger: Logger
-  private lastAnswerAt = -Infinity
+  private lastResponseAt = -Infinity
   private failingSince: number | undefined
-  private endedAt = -Infinity
+  private outageEndedAt = -Infinity
 
-  /** @param logger - hears of outages */
+  /** @param logger - receives a line when calls begin to fail and when an outage ends */
   constructor (logger: Logger) {
     this.logger = logger
   }
 
-  /** Whether the last calls were answered. */
+  /** Whether the latest call got a response. */
   get reachable (): boolean {
-    return this.failingSince === undefined && this.lastAnswerAt > -Infinity
+    return this.failingSince === undefined && this.lastResponseAt > -Infinity
   }
 
-  /** A call was answered. */
+  /** Records a call that got a response. */
   answered (now: number): void {
-    if (this.failingSince !== undefined && now - this.lastAnswerAt >= OUTAGE_AFTER_MILLISECONDS) {
-      this.endedAt = now
+    if (this.failingSince !== undefined && now - this.lastResponseAt >= MINIMUM_OUTAGE_MILLISECONDS) {
+      this.outageEndedAt = now
       this.logger.warn('The store answers again.', { outageMilliseconds: Math.round(now - this.failingSince) })
     }
     this.failingSince = undefined
-    this.lastAnswerAt = now
+    this.lastResponseAt = now
   }
 
-  /** A call failed. */
+  /** Records a failed call. */
   failed (reason: string, now: number): void {
     if (this.failingSince !== undefined) return
     this.failingSince = now
-    this.logger.warn('The store does not answer.', { reason, lastAnswerMillisecondsAgo: ageOf(this.lastAnswerAt, now) })
+    this.logger.warn('The store does not answer.', { reason, lastAnswerMillisecondsAgo: ageOf(this.lastResponseAt, now) })
   }
 
-  /** @returns when an outage ended whose aftermath is not over; undefined at all other times */
+  /** @returns monotonic time at which the latest outage ended, while entries that lapsed during it may return; otherwise undefined */
   recentOutageEnd (now: number): number | undefined {
-    return now - this.endedAt < AFTERMATH_MILLISECONDS ? this.endedAt : undefined
+    return now - this.outageEndedAt < RECOVERY_MILLISECONDS ? this.outageEndedAt : undefined
   }
 
-  /** @returns milliseconds since the last answer; Infinity before the first */
+  /** @returns milliseconds since the latest response; Infinity before the first one */
   millisecondsSinceAnswer (now: number): number {
-    return now - this.lastAnswerAt
+    return now - this.lastResponseAt
   }
 }
 
--- a/packages/ingress/test/state-exchange.failure.test.ts
+++ b/packages/ingress/test/state-exchange.failure.test.ts
@@ -1,6 +1,6 @@
-// A leaf does not read the store: its hub does, and tells it what has changed. An entry that the hub still keeps after an outage
-// must not count as gone at the leaf, or its callers would be refused beside a living endpoint; and a leaf whose hub cannot read
-// the store reads for itself, or a new configuration would come into force nowhere in its data centre.
+// A leaf gets the state of the store from its hub. If it dropped an endpoint that the hub keeps after an outage of the store, it
+// would refuse callers although the endpoint is alive. If it did not read the store itself when its hub cannot, a new
+// configuration would reach no instance of its data centre.
 import { afterEach, describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
 import type { EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
@@ -16,130 +16,130 @@
 import { ManualClock } from './support/manual-clock.js'
 import { endpoint } from './support/samples.js'
 
-const SETTLED_MILLISECONDS = 1_500
-const TOLD_MILLISECONDS = 1_000
-/** After an outage of the store lapsed entries are back within this, or gone. */
+const STARTUP_MILLISECONDS = 1_500
+const EXCHANGE_MILLISECONDS = 1_000
+/** Time after an outage of the store in which lapsed entries are listed again or removed. */
 const LAPSE_MILLISECONDS = 2_000
 
-interface Believer {
+interface StatefulInstance {
   readonly directory: EndpointDirectory
   readonly health: StoreHealth
   readonly cluster: ClusterView
   readonly exchange: StateExchange
-  readonly holders: Map<EndpointId, LoadOwner>
+  readonly loadOwners: Map<EndpointId, LoadOwner>
 }
 
-let world: SimulatedNetwork
-let endings: AbortController[] = []
+let network: SimulatedNetwork
+let controllers: AbortController[] = []
 
 afterEach(() => {
-  world.end()
-  for (const ending of endings) ending.abort()
-  endings = []
+  network.end()
+  for (const controller of controllers) controller.abort()
+  controllers = []
 })
 
-function believer ({ links, overlay }: SimulatedInstance): Believer {
+function createState ({ links, overlay }: SimulatedInstance): StatefulInstance {
   const logger = silentLogger()
   const [directory, health] = [new EndpointDirectory(logger), new StoreHealth(logger)]
-  const holders = new Map<EndpointId, LoadOwner>()
+  const loadOwners = new Map<EndpointId, LoadOwner>()
   const cluster = new ClusterView(({ loadOwners: listed }) => {
-    holders.clear()
-    for (const holder of listed) holders.set(holder.endpoint, holder)
+    loadOwners.clear()
+    for (const loadOwner of listed) loadOwners.set(loadOwner.endpoint, loadOwner)
   })
-  const beliefs = { configuration: new AcceptedConfiguration(logger), directory, versions: new AdapterVersions(logger, 1), cluster, health }
-  const exchange = new StateExchange(links, overlay, beliefs, world.clock)
-  const ending = new AbortController()
-  endings.push(ending)
-  void exchange.run(ending.signal)
-  return { directory, health, cluster, exchange, holders }
+  const state = { configuration: new AcceptedConfiguration(logger), directory, versions: new AdapterVersions(logger, 1), cluster, health }
+  const exchange = new StateExchange(links, overlay, state, network.clock)
+  const controller = new AbortController()
+  controllers.push(controller)
+  void exchange.run(controller.signal)
+  return { directory, health, cluster, exchange, loadOwners }
 }
 
-async function fleet (): Promise<{ readonly hub: Believer, readonly leaf: Believer, readonly hubs: readonly Believer[] }> {
-  world = new SimulatedNetwork(new ManualClock())
-  world.start(1, 22)
-  const believers = new Map(world.instances.map((instance) => [instance, believer(instance)]))
-  await world.clock.advance(SETTLED_MILLISECONDS)
-  const hubs = world.instances.filter(({ overlay }) => overlay.isHub)
+async function fleet (): Promise<{ readonly hub: StatefulInstance, readonly leaf: StatefulInstance, readonly hubs: readonly StatefulInstance[] }> {
+  network = new SimulatedNetwork(new ManualClock())
+  network.start(1, 22)
+  const states = new Map(network.instances.map((instance) => [instance, createState(instance)]))
+  await network.clock.advance(STARTUP_MILLISECONDS)
+  const hubs = network.instances.filter(({ overlay }) => overlay.isHub)
   const [first] = hubs
-  const leaf = world.instances.find(({ overlay, links }) => !overlay.isHub && links.isConnected(first?.member.instance as InstanceId))
-  const [hubBelieves, leafBelieves] = [first, leaf].map((each) => each === undefined ? undefined : believers.get(each))
-  if (hubBelieves === undefined || leafBelieves === undefined) throw new Error('There is no such instance.')
-  return { hub: hubBelieves, leaf: leafBelieves, hubs: hubs.flatMap((each) => believers.get(each) ?? []) }
+  const leaf = network.instances.find(({ overlay, links }) => !overlay.isHub && links.isConnected(first?.member.instance as InstanceId))
+  const [hubState, leafState] = [first, leaf].map((each) => each === undefined ? undefined : states.get(each))
+  if (hubState === undefined || leafState === undefined) throw new Error('The fleet has no hub with a leaf.')
+  return { hub: hubState, leaf: leafState, hubs: hubs.flatMap((each) => states.get(each) ?? []) }
 }
 
-function ids ({ directory }: Believer): readonly EndpointId[] {
+function ids ({ directory }: StatefulInstance): readonly EndpointId[] {
   return directory.all().map(({ id }) => id)
 }
 
-describe('beliefs of a leaf', () => {
-  it('follow those of its hub, by what has changed', async () => {
+describe('state of a leaf', () => {
+  it('follows the state of its hub, from the changed objects', async () => {
     const { hub, leaf } = await fleet()
-    const holder = (name: string, token: number): LoadOwner => ({ endpoint: name as EndpointId, holder: 'h', previous: undefined, claimedAt: 0, token: token as FencingToken })
-    hub.health.answered(world.clock.now())
-    hub.directory.apply({ revision: 5, endpoints: [endpoint('a', { revision: 2 }), endpoint('b', { revision: 5 })] }, undefined, world.clock.now())
-    hub.cluster.apply([{ kind: 'holder', holder: holder('a', 3) }, { kind: 'holder', holder: holder('b', 4) }], 5)
-    await world.clock.advance(TOLD_MILLISECONDS)
-    const first = [ids(leaf), [...leaf.holders.keys()]]
-    hub.directory.apply({ revision: 9, endpoints: [endpoint('b', { revision: 5 }), endpoint('c', { revision: 9 })] }, undefined, world.clock.now())
-    hub.cluster.apply([{ kind: 'holder', holder: holder('b', 8) }], 9)
-    await world.clock.advance(TOLD_MILLISECONDS)
-    expect([first, ids(leaf), [...leaf.holders.values()].map(({ token }) => token)]).toEqual([[['a', 'b'], ['a', 'b']], ['b', 'c'], [8]])
+    const loadOwner = (name: string, token: number): LoadOwner => ({ endpoint: name as EndpointId, holder: 'h', previous: undefined, claimedAt: 0, token: token as FencingToken })
+    hub.health.answered(network.clock.now())
+    hub.directory.apply({ revision: 5, endpoints: [endpoint('a', { revision: 2 }), endpoint('b', { revision: 5 })] }, undefined, network.clock.now())
+    hub.cluster.apply([{ kind: 'holder', holder: loadOwner('a', 3) }, { kind: 'holder', holder: loadOwner('b', 4) }], 5)
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
+    const first = [ids(leaf), [...leaf.loadOwners.keys()]]
+    hub.directory.apply({ revision: 9, endpoints: [endpoint('b', { revision: 5 }), endpoint('c', { revision: 9 })] }, undefined, network.clock.now())
+    hub.cluster.apply([{ kind: 'holder', holder: loadOwner('b', 8) }], 9)
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
+    expect([first, ids(leaf), [...leaf.loadOwners.values()].map(({ token }) => token)]).toEqual([[['a', 'b'], ['a', 'b']], ['b', 'c'], [8]])
   })
 
-  it('keep an endpoint that lapsed in an outage of the store for as long as the hub does', async () => {
+  it('keeps an endpoint that lapsed in an outage of the store for as long as the hub does', async () => {
     const { hub, leaf } = await fleet()
-    hub.directory.apply({ revision: 5, endpoints: [endpoint('a'), endpoint('b')] }, undefined, world.clock.now())
-    await world.clock.advance(TOLD_MILLISECONDS)
-    hub.directory.apply({ revision: 6, endpoints: [endpoint('a')] }, world.clock.now(), world.clock.now())
-    await world.clock.advance(TOLD_MILLISECONDS)
+    hub.directory.apply({ revision: 5, endpoints: [endpoint('a'), endpoint('b')] }, undefined, network.clock.now())
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
+    hub.directory.apply({ revision: 6, endpoints: [endpoint('a')] }, network.clock.now(), network.clock.now())
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
     const during = ids(leaf)
-    await world.clock.advance(LAPSE_MILLISECONDS)
-    leaf.directory.expire(world.clock.now())
+    await network.clock.advance(LAPSE_MILLISECONDS)
+    leaf.directory.expire(network.clock.now())
     expect([during, ids(leaf)]).toEqual([['a', 'b'], ['a']])
   })
 
-  it('are read from the store only where no hub reads it', async () => {
+  it('is read from the store only while no hub reads it', async () => {
     const { hub, leaf, hubs } = await fleet()
-    for (const each of hubs) each.health.answered(world.clock.now())
-    await world.clock.advance(TOLD_MILLISECONDS)
-    const whileReading = [hub.exchange.needsStore, leaf.exchange.needsStore]
-    for (const each of hubs) each.health.failed('turned away', world.clock.now())
-    await world.clock.advance(6_000)
-    expect([whileReading, leaf.exchange.needsStore]).toEqual([[true, false], true])
+    for (const each of hubs) each.health.answered(network.clock.now())
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
+    const whileHubReads = [hub.exchange.needsStore, leaf.exchange.needsStore]
+    for (const each of hubs) each.health.failed('turned away', network.clock.now())
+    await network.clock.advance(6_000)
+    expect([whileHubReads, leaf.exchange.needsStore]).toEqual([[true, false], true])
   })
 
-  // The store turns both hubs away, and each has just heard from the other that all is well. Were that passed to and fro, they
-  // would take each other's word for news for ever, and no leaf would ever look for itself.
-  // A leaf was paused. Its hub has given it up, which it does not see yet, and what it was told is as old as the pause.
-  it('are read from the store after a pause, until the hub speaks again', async () => {
+  // A leaf was paused: its hub may have dropped it without the leaf noticing yet, and its state is as old as the pause.
+  it('is read from the store after a process pause, until the hub makes an offer again', async () => {
     const { hub, leaf } = await fleet()
-    hub.health.answered(world.clock.now())
-    await world.clock.advance(TOLD_MILLISECONDS)
+    hub.health.answered(network.clock.now())
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
     leaf.exchange.markStale()
     const paused = leaf.exchange.needsStore
-    hub.health.answered(world.clock.now())
-    await world.clock.advance(2 * TOLD_MILLISECONDS)
+    hub.health.answered(network.clock.now())
+    await network.clock.advance(2 * EXCHANGE_MILLISECONDS)
     expect([paused, leaf.exchange.needsStore]).toEqual([true, false])
   })
 
-  // A leaf begins to read again and has no answer yet. Its last one is long ago; were it offered as news, its hub would tell it
-  // back, and the leaf would stop to read before it has read anything.
-  it('are not called new by one whose last answer is long ago', async () => {
+  // A leaf starts to read the store again and has no response yet. If it offered its last read, which is long ago, as recent, its
+  // hub would pass that back and the leaf would stop reading before it has read anything.
+  it('is not offered as recent by an instance whose last response from the store is long ago', async () => {
     const { leaf, hubs } = await fleet()
-    leaf.health.answered(world.clock.now())
-    await world.clock.advance(10_000)
-    const before = leaf.exchange.needsStore
-    await world.clock.advance(1_000)
-    expect([before, leaf.exchange.needsStore, hubs.every(({ exchange }) => exchange.needsStore)]).toEqual([true, true, true])
+    leaf.health.answered(network.clock.now())
+    await network.clock.advance(10_000)
+    const beforeOffers = leaf.exchange.needsStore
+    await network.clock.advance(1_000)
+    expect([beforeOffers, leaf.exchange.needsStore, hubs.every(({ exchange }) => exchange.needsStore)]).toEqual([true, true, true])
   })
 
-  it('are read from the store when hubs know it only from each other', async () => {
+  // The store rejects both hubs, and each has just learnt of a read from the other. If the age of that read did not grow while it
+  // is passed back and forth, both would consider it recent for ever, and no leaf would read the store itself.
+  it('is read from the store when the hubs know of reads only from each other', async () => {
     const { leaf, hubs } = await fleet()
-    for (const each of hubs) each.health.answered(world.clock.now())
-    for (const [index, each] of hubs.entries()) each.directory.apply({ revision: 5 + index, endpoints: [endpoint('a')] }, undefined, world.clock.now())
-    await world.clock.advance(TOLD_MILLISECONDS)
-    for (const each of hubs) each.health.failed('turned away', world.clock.now())
-    await world.clock.advance(6_000)
+    for (const each of hubs) each.health.answered(network.clock.now())
+    for (const [index, each] of hubs.entries()) each.directory.apply({ revision: 5 + index, endpoints: [endpoint('a')] }, undefined, network.clock.now())
+    await network.clock.advance(EXCHANGE_MILLISECONDS)
+    for (const each of hubs) each.health.failed('turned away', network.clock.now())
+    await network.clock.advance(6_000)
     expect(leaf.exchange.needsStore).toBe(true)
   })
 })
