--- a/packages/ingress/src/overlay/hub-plan.ts
+++ b/packages/ingress/src/overlay/hub-plan.ts
@@ -1,27 +1,28 @@
 /**
- * Which instances pass notices on for their data centre.
+ * Decides which instances are hubs and forward notices for their data centre.
  *
- * With a connection between any two instances, the connections, heartbeats and copies of each notice grow with the square of
- * the fleet. So a few instances of each data centre are hubs: hubs are connected to each other, every other instance to one
- * hub of its own data centre. All instances that know the same members make the same plan, without a word between them.
+ * With a connection between any two instances, the number of connections, heartbeats and copies of each notice grows with the
+ * square of the fleet size. Therefore a few instances of each data centre are hubs: hubs are connected to each other, and every
+ * other instance, a leaf, to one hub of its own data centre. Instances that know the same members compute the same plan without
+ * exchanging messages.
  */
 import type { DataCentreId } from '@limpetwinch/core'
 import { rendezvousWeight } from '@limpetwinch/decisions'
 import type { Member } from '../members/cluster-objects.js'
 
-/** Up to so many instances all are hubs: the way over a hub costs more time than the connections that it saves. */
+/** Up to this number of members all instances are hubs: a path through a hub would cost more time than the connections it saves. */
 const FULL_MESH_MEMBERS = 20
-/** One may be lost while the other goes on. */
+/** Two, so that one hub remains when the other is lost. */
 const HUBS_PER_DATA_CENTRE = 2
 
-/** The plan for one set of members. */
+/** The hubs of one set of members. */
 export class HubPlan {
   /** Whether all instances are hubs. */
   readonly isMesh: boolean
   private readonly ranked: ReadonlyMap<DataCentreId, readonly Member[]>
   private readonly hubNames: ReadonlySet<string>
 
-  /** @param members - all that are written down, this instance included */
+  /** @param members - all members registered in the store, including this instance */
   constructor (members: readonly Member[]) {
     this.isMesh = members.length <= FULL_MESH_MEMBERS
     const dataCentres = [...new Set(members.map(({ dataCentre }) => dataCentre))]
@@ -41,10 +42,10 @@
   }
 
   /**
-   * @param name - of the instance that looks for a hub
-   * @param dataCentre - where it is
-   * @returns instances to ask, the first one first: the hubs in an order of its own, which spreads instances over them, then those
-   * that follow in rank, for when the hubs cannot be reached
+   * @param name - name of the instance that looks for a hub
+   * @param dataCentre - data centre of that instance
+   * @returns instances to connect to, in order of preference: first the hubs, in an order that depends on the name and so spreads
+   * the leaves over them, then the other instances by rank, for when no hub can be reached
    */
   candidatesFor (name: string, dataCentre: DataCentreId): readonly Member[] {
     const ranked = (this.ranked.get(dataCentre) ?? []).filter((member) => member.name !== name)
@@ -54,7 +55,7 @@
   }
 }
 
-/** A hub writes each notice to all of its data centre, so the largest hosts come first. */
+/** Ranks the instances with the most cores first, because a hub sends each notice to many instances of its data centre. */
 function byCapacity (one: Member, other: Member): number {
   return other.cores - one.cores || rendezvousWeight(other.dataCentre, other.name) - rendezvousWeight(one.dataCentre, one.name)
 }
--- a/packages/ingress/src/overlay/notice-outbox.ts
+++ b/packages/ingress/src/overlay/notice-outbox.ts
@@ -1,33 +1,34 @@
-/** Collects notices that are passed on, so that many small ones go out as one frame. */
+/** Batches overlay notices, so that many small ones are sent as one frame. */
 import type { Clock, InstanceId, OverlayItem } from '@limpetwinch/core'
 
 /**
- * A notice passes three instances at most and is late by this at each. A frame costs its reader a wake-up and its writer a
- * system call for each neighbour, so that a busy fleet would otherwise spend most of its time on frames of one notice.
+ * Time for which an urgent notice waits to be batched with others, at each of the at most three instances that send it. Each
+ * frame costs its reader a wake-up and its writer one system call per neighbour; without batches, a busy fleet would spend most
+ * of its time on frames with one notice.
  */
 export const FLUSH_MILLISECONDS = 10
-/** What is told at a pace of its own, slower than this, may wait so long for company at each hop. */
+/** Time for which a patient notice waits at each hop. Patient notices are sent periodically, at longer intervals than this. */
 const PATIENT_FLUSH_MILLISECONDS = 50
 
-/** How soon a notice has to go on. */
+/** How soon a notice must be sent: `patient` notices wait longer to be batched. */
 export type Urgency = 'urgent' | 'patient'
 
-/** A notice on its way. */
+/** A notice that waits to be sent. */
 export interface QueuedItem {
   readonly item: OverlayItem
   readonly urgency: Urgency
 }
 
-/** Sends items to each of the neighbours as one frame. */
+/** Sends the items as one frame to each of the neighbours. */
 export type SendItems = (to: readonly InstanceId[], items: readonly QueuedItem[]) => void
 
-/** Who hears what is put under `leaves` and `hubs`, at the moment of sending. */
+/** The leaves and the hubs connected to this instance, read when notices are sent. */
 export interface OutboxNeighbours {
   readonly leaves: () => readonly InstanceId[]
   readonly hubs: () => readonly InstanceId[]
 }
 
-/** What waits to be sent. An urgent item takes all with it that came before it: nothing overtakes. */
+/** Queue of notices to be sent. An urgent item also sends all items queued before it, so no item overtakes another. */
 export class NoticeOutbox {
   private readonly clock: Clock
   private readonly neighbours: OutboxNeighbours
@@ -43,19 +44,19 @@
     this.send = send
   }
 
-  /** For all leaves; the one that made an item drops it. */
+  /** Queues an item for all leaves. A leaf that created the item drops it on receipt. */
   toLeaves (queued: QueuedItem): void {
     this.forLeaves.push(queued)
     this.schedule(queued.urgency)
   }
 
-  /** For all hubs. */
+  /** Queues an item for all hubs. */
   toHubs (queued: QueuedItem): void {
     this.forHubs.push(queued)
     this.schedule(queued.urgency)
   }
 
-  /** For one neighbour. */
+  /** Queues an item for one neighbour. */
   toOne (neighbour: InstanceId, queued: QueuedItem): void {
     const items = this.forOne.get(neighbour)
     if (items === undefined) this.forOne.set(neighbour, [queued])
--- a/packages/ingress/src/overlay/notice-router.ts
+++ b/packages/ingress/src/overlay/notice-router.ts
@@ -1,35 +1,39 @@
-/** Sends notices over the overlay and passes on those of others. */
+/** Sends this instance's notices over the overlay and forwards those of other instances. */
 import { encodeFrame } from '@limpetwinch/entry'
 import type { NoticeFrame, PeerLinks } from '@limpetwinch/entry'
 import type { Clock, InstanceId, Logger, OverlayBatchFrame, OverlayItem, OverlayRoleFrame } from '@limpetwinch/core'
 import { FLUSH_MILLISECONDS, NoticeOutbox } from './notice-outbox.js'
 import type { QueuedItem, Urgency } from './notice-outbox.js'
 
-/** From a leaf over its hub and that of another data centre to a leaf there. Beyond, two instances take each other for a leaf. */
-const MOST_HOPS = 3
+/**
+ * Hops on the longest path: from a leaf through its hub and a hub of another data centre to a leaf there. A longer path arises only
+ * while two instances consider each other a leaf.
+ */
+const MAXIMUM_HOPS = 3
+/** Destination of a notice for all instances. */
 const ALL = ''
-/** A notice between two instances that are connected, with the work that its reader has in hand. */
+/** Time for a notice between two connected instances and its reply, including the work that is queued at the receiver. */
 const DIRECT_NOTICE_MILLISECONDS = 30
 
-/** What an instance is towards its neighbours. */
+/** Role of an instance in the overlay. */
 export type OverlayRole = OverlayRoleFrame['role']
 
-/** The overlay around one instance, as it is at the moment. */
+/** The current overlay from the point of view of one instance. */
 export interface OverlayView {
   readonly self: InstanceId
   readonly isHub: boolean
-  /** Whether notices go straight from each instance to each other one. */
+  /** Whether each instance sends notices directly to every other instance. */
   readonly isMesh: boolean
-  /** The hub of a leaf. */
+  /** The hub that this instance is attached to, when it is a leaf. */
   readonly ownHub: InstanceId | undefined
   readonly neighbours: () => readonly InstanceId[]
   readonly neighboursOf: (role: OverlayRole) => readonly InstanceId[]
   readonly isLeaf: (neighbour: InstanceId) => boolean
-  /** @returns the hub that is connected to the instance */
+  /** @returns a hub that is connected to the instance, or undefined when none is known */
   readonly hubOf: (instance: InstanceId) => InstanceId | undefined
 }
 
-/** The notices of one instance, its own and those that it passes on. */
+/** Routes the notices of one instance: those it creates and those it forwards. */
 export class NoticeRouter {
   private readonly network: PeerLinks
   private readonly view: OverlayView
@@ -42,15 +46,20 @@
     this.logger = logger
     const neighbours = { leaves: () => view.neighboursOf('leaf'), hubs: () => view.neighboursOf('hub') }
     this.outbox = new NoticeOutbox(clock, neighbours, (to, queued) => network.notifyAll(to, batchOf(queued)))
-    network.onNotice('overlay-batch', (from, frame) => this.takeBatch(from, frame))
+    network.onNotice('overlay-batch', (from, frame) => this.handleBatch(from, frame))
   }
 
-  /** Within this a notice has reached all others, and their answer is here. */
+  /** Time in milliseconds in which a notice reaches all other instances and their replies arrive here. */
   get noticeRoundTripMilliseconds (): number {
-    return this.view.isMesh ? DIRECT_NOTICE_MILLISECONDS : DIRECT_NOTICE_MILLISECONDS + 2 * MOST_HOPS * FLUSH_MILLISECONDS
+    return this.view.isMesh ? DIRECT_NOTICE_MILLISECONDS : DIRECT_NOTICE_MILLISECONDS + 2 * MAXIMUM_HOPS * FLUSH_MILLISECONDS
   }
 
-  /** Tells all other instances. @param urgency - whether it may wait at each hop for others to go with */
+  /**
+   * Sends a notice to all other instances.
+   *
+   * @param frame - the notice
+   * @param urgency - whether the notice may wait longer at each hop to be batched
+   */
   broadcast (frame: NoticeFrame, urgency: Urgency): void {
     const { view } = this
     if (view.isMesh) return this.network.notifyAll(view.neighbours(), frame)
@@ -62,7 +71,7 @@
     this.outbox.toLeaves(queued)
   }
 
-  /** Tells one instance; lost when it cannot be reached. */
+  /** Sends a notice to one instance; the notice is lost when the instance cannot be reached. */
   notify (to: InstanceId, frame: NoticeFrame): void {
     if (to === this.view.self || this.network.isConnected(to)) return this.network.notify(to, frame)
     const item = this.itemOf(this.view.self, to, frame)
@@ -70,9 +79,10 @@
   }
 
   /**
-   * Tells a neighbour, and all behind it, what was said before it was there.
+   * Sends a neighbour, and the instances behind it, notices that were broadcast before it connected.
    *
-   * @param frames - with those who made them
+   * @param neighbour - the neighbour
+   * @param frames - the notices with the instances that created them
    */
   replay (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
     for (const [origin, frame] of frames) {
@@ -85,23 +95,23 @@
     }
   }
 
-  private takeBatch (from: InstanceId, { items, patient = [] }: OverlayBatchFrame): void {
+  private handleBatch (from: InstanceId, { items, patient = [] }: OverlayBatchFrame): void {
     const { self } = this.view
     const isFromLeaf = this.view.isLeaf(from)
-    const mayWait = new Set(patient)
-    for (const [place, [origin, to, hops, frame]] of items.entries()) {
-      // What goes to all leaves comes back to the one that made it.
+    const isPatient = new Set(patient)
+    for (const [index, [origin, to, hops, frame]] of items.entries()) {
+      // A notice for all leaves is also sent back to the leaf that created it.
       if (origin === self) continue
       if (to === ALL || to === self) this.network.takePassedOn(origin, frame)
-      if (to === self || hops >= MOST_HOPS) continue
-      const next: QueuedItem = { item: [origin, to, hops + 1, frame], urgency: mayWait.has(place) ? 'patient' : 'urgent' }
-      if (to === ALL) this.passOn(next, isFromLeaf)
+      if (to === self || hops >= MAXIMUM_HOPS) continue
+      const next: QueuedItem = { item: [origin, to, hops + 1, frame], urgency: isPatient.has(index) ? 'patient' : 'urgent' }
+      if (to === ALL) this.forward(next, isFromLeaf)
       else this.route(next, to)
     }
   }
 
-  /** What comes from a leaf goes to all hubs, and what comes from a hub to leaves only: nothing goes round in circles. */
-  private passOn (queued: QueuedItem, isFromLeaf: boolean): void {
+  /** Forwards a notice of a leaf to hubs and leaves, and a notice of a hub to leaves only, so that no notice circulates. */
+  private forward (queued: QueuedItem, isFromLeaf: boolean): void {
     if (!this.view.isHub) return
     if (isFromLeaf) this.outbox.toHubs(queued)
     this.outbox.toLeaves(queued)
@@ -122,13 +132,13 @@
   private itemOf (origin: InstanceId, to: InstanceId | typeof ALL, frame: NoticeFrame): OverlayItem | undefined {
     const encoded = encodeFrame(frame)
     if (encoded.isOk()) return [origin, to, 1, encoded.value]
-    this.logger.error('A notice cannot be sent.', { kind: frame.kind, reason: encoded.error.message })
+    this.logger.error('A notice could not be encoded and was not sent.', { kind: frame.kind, reason: encoded.error.message })
     return undefined
   }
 }
 
 function batchOf (queued: readonly QueuedItem[]): OverlayBatchFrame {
   const items = queued.map(({ item }) => item)
-  const patient = [...queued.keys()].filter((place) => queued[place]?.urgency === 'patient')
+  const patient = [...queued.keys()].filter((index) => queued[index]?.urgency === 'patient')
   return patient.length === 0 ? { kind: 'overlay-batch', items } : { kind: 'overlay-batch', items, patient }
 }
--- a/packages/ingress/src/overlay/peer-overlay.ts
+++ b/packages/ingress/src/overlay/peer-overlay.ts
@@ -1,8 +1,8 @@
 /**
- * How notices reach the other instances, and how an instance knows that another one lives.
+ * Connects the instances, delivers notices between them and tracks which instances can be reached.
  *
- * In a small fleet every instance is connected to every other one. In a larger one a leaf has one connection, to a hub of its
- * data centre, which passes its notices on to the other hubs and leaves and brings it theirs.
+ * In a small fleet every instance is connected to every other one. In a larger fleet a leaf has one connection, to a hub of its
+ * data centre, which forwards the notices of the leaf to the other hubs and leaves, and their notices to the leaf.
  */
 import type { Clock, InstanceId, Logger } from '@limpetwinch/core'
 import type { NoticeFrame, PeerLinks } from '@limpetwinch/entry'
@@ -14,13 +14,14 @@
 import type { OverlayRole, OverlayView } from './notice-router.js'
 import { Presence } from './presence.js'
 
-const LOOK_MILLISECONDS = 250
-/** Connections come and go in crowds; one word tells of all within this. */
-const PRESENCE_MILLISECONDS = 50
-/** Within this a leaf has found a hub, or the next one after it; until then nothing else has to be done about its absence. */
-const AWAITED_MILLISECONDS = 900
+/** Interval between checks of the connections. */
+const CHECK_MILLISECONDS = 250
+/** Delay before a hub announces its connections: they often change in groups, and one announcement then covers all changes. */
+const PRESENCE_DELAY_MILLISECONDS = 50
+/** Time for a leaf to attach to a hub, or to the next one after it; until then the leaf does not start to read the store itself. */
+const ATTACHING_MILLISECONDS = 900
 
-/** What the overlay needs. */
+/** Dependencies of the overlay. */
 export interface PeerOverlayDependencies {
   readonly self: { readonly name: string, readonly instance: InstanceId, readonly dataCentre: Member['dataCentre'] }
   readonly network: PeerLinks
@@ -28,16 +29,16 @@
   readonly logger: Logger
 }
 
-/** Hears of a neighbour that has to be told what others were told before. */
+/** Called with a new neighbour, which must be sent the notices that were broadcast before it connected. */
 export type NeighbourListener = (neighbour: InstanceId, role: OverlayRole) => void
 
-/** The overlay as one instance takes part in it. */
+/** One instance's view of the overlay: its role, its connections and the notices that it sends. */
 export class PeerOverlay implements OverlayView {
-  private readonly parts: PeerOverlayDependencies
+  private readonly dependencies: PeerOverlayDependencies
   private readonly notices: NoticeRouter
   private readonly presence = new Presence()
-  private readonly choice = new HubChoice()
-  /** What connected instances said of themselves. */
+  private readonly hubChoice = new HubChoice()
+  /** Roles that connected instances have announced. */
   private readonly roles = new Map<InstanceId, OverlayRole>()
   private readonly leaving = new Set<InstanceId>()
   private readonly lostAt = new Map<InstanceId, number>()
@@ -48,28 +49,28 @@
   private detachedAt = -Infinity
   private reached: ReadonlySet<InstanceId> = new Set()
   private reachedDirectly: ReadonlySet<InstanceId> = new Set()
-  private targetsSet = ''
-  private isReachOld = false
+  private currentTargets = ''
+  private isReachStale = false
   private isPresenceDue = false
 
-  constructor (parts: PeerOverlayDependencies) {
-    this.parts = parts
-    const { network, clock } = parts
-    this.notices = new NoticeRouter(network, this, clock, parts.logger)
-    network.onConnected(({ instance }) => this.connected(instance))
-    network.onDisconnected((instance) => this.disconnected(instance))
-    network.onEndEvidence((instance) => this.avoid(instance))
-    network.onHeartbeat((from, { frame }) => { if (frame.leaving) this.noteLeaving(from) })
-    network.onNotice('overlay-role', (from, { role }) => this.takeRole(from, role))
+  constructor (dependencies: PeerOverlayDependencies) {
+    this.dependencies = dependencies
+    const { network, clock } = dependencies
+    this.notices = new NoticeRouter(network, this, clock, dependencies.logger)
+    network.onConnected(({ instance }) => this.handleConnected(instance))
+    network.onDisconnected((instance) => this.handleDisconnected(instance))
+    network.onEndEvidence((instance) => this.avoidHub(instance))
+    network.onHeartbeat((from, { frame }) => { if (frame.leaving) this.markLeaving(from) })
+    network.onNotice('overlay-role', (from, { role }) => this.applyRole(from, role))
     network.onNotice('overlay-presence', (from, frame) => {
       this.presence.update(from, frame)
-      this.isReachOld = true
+      this.isReachStale = true
     })
   }
 
-  /** The process of this instance. */
+  /** Id of this instance; each process has its own. */
   get self (): InstanceId {
-    return this.parts.self.instance
+    return this.dependencies.self.instance
   }
 
   /** The hub that this leaf is attached to. */
@@ -77,42 +78,42 @@
     return this.attachedTo
   }
 
-  /** Whether this instance passes on what others say. */
+  /** Whether this instance forwards the notices of other instances. */
   get isHub (): boolean {
     return this.ownRole === 'hub'
   }
 
-  /** Whether this instance hears the others: as a hub by itself, as a leaf over its hub. */
+  /** Whether this instance receives the notices of the others: directly as a hub, or through its hub as a leaf. */
   get isAttached (): boolean {
     return this.isHub || this.attachedTo !== undefined
   }
 
-  /** Whether this instance is a leaf that has lost its hub a moment ago, or has none yet. */
+  /** Whether this instance is a leaf that lost its hub a moment ago or has not attached to one yet. */
   get isAwaitingHub (): boolean {
-    return !this.isAttached && this.parts.clock.now() - this.detachedAt < AWAITED_MILLISECONDS
+    return !this.isAttached && this.dependencies.clock.now() - this.detachedAt < ATTACHING_MILLISECONDS
   }
 
-  /** Whether notices go straight from each instance to each other one. */
+  /** Whether each instance sends notices directly to every other instance. */
   get isMesh (): boolean {
     return this.plan.isMesh && this.neighboursOf('leaf').length === 0
   }
 
-  /** Within this a notice has reached all others, and their answer is here. */
+  /** Time in milliseconds in which a notice reaches all other instances and their replies arrive here. */
   get noticeRoundTripMilliseconds (): number {
     return this.notices.noticeRoundTripMilliseconds
   }
 
-  /** Leaves that this instance passes notices on to. */
+  /** Number of leaves that this instance forwards notices to. */
   get leafCount (): number {
     return this.neighboursOf('leaf').length
   }
 
   /** @returns instances with a connection to this one */
   neighbours (): readonly InstanceId[] {
-    return this.parts.network.connected()
+    return this.dependencies.network.connected()
   }
 
-  /** @returns the neighbours of a role; one that has not said what it is counts as a hub */
+  /** @returns the neighbours with a role; a neighbour that has not announced its role counts as a hub */
   neighboursOf (role: OverlayRole): readonly InstanceId[] {
     return this.neighbours().filter((instance) => (this.roles.get(instance) ?? 'hub') === role)
   }
@@ -122,198 +123,204 @@
     return this.roles.get(neighbour) === 'leaf'
   }
 
-  /** @returns the hub that is connected to the instance */
+  /** @returns a hub that is connected to the instance, or undefined when none is known */
   hubOf (instance: InstanceId): InstanceId | undefined {
     return this.neighboursOf('hub').find((hub) => this.presence.isConnected(hub, instance))
   }
 
-  /** Calls the listener when a neighbour has joined that has heard nothing from here yet. */
+  /** Registers a listener that is called when a neighbour has joined that has received no notices from this instance yet. */
   onNeighbour (listener: NeighbourListener): void {
     this.neighbourListeners.push(listener)
   }
 
-  /** Takes the members as they are written down. */
+  /** Applies the members that are registered in the store. */
   apply (members: readonly Member[]): void {
     this.plan = new HubPlan(members)
     const known = new Set(members.map(({ instance }) => instance))
     for (const instance of this.lostAt.keys()) if (!known.has(instance)) this.lostAt.delete(instance)
     this.presence.keep(new Set([...known, ...this.neighbours()]))
-    this.look()
+    this.updateConnections()
   }
 
-  /** @returns whether the instance can be reached, here or over hubs */
+  /** @returns whether the instance can be reached, directly or through hubs */
   isReachable (instance: InstanceId): boolean {
-    return this.parts.network.isConnected(instance) || this.reach().has(instance)
+    return this.dependencies.network.isConnected(instance) || this.reachableInstances().has(instance)
   }
 
-  /** @returns whether the instance has said that it takes no new duties */
+  /** @returns whether the instance has announced that it is stopping */
   isLeaving (instance: InstanceId): boolean {
     return this.leaving.has(instance) || this.presence.isLeaving(instance)
   }
 
-  /** @returns monotonic time until which an instance that is not present is known to have been there; undefined when it never was */
+  /** @returns monotonic time at which an unreachable instance was last known to be reachable; undefined when it never was */
   lastReachableAt (instance: InstanceId): number | undefined {
-    this.reach()
-    const heard = this.parts.network.lastHeard(instance)
+    this.reachableInstances()
+    const lastContact = this.dependencies.network.lastHeard(instance)
     const lost = this.lostAt.get(instance)
-    if (heard === undefined || lost === undefined) return heard ?? lost
-    return Math.max(heard, lost)
+    if (lastContact === undefined || lost === undefined) return lastContact ?? lost
+    return Math.max(lastContact, lost)
   }
 
-  /** Tells all other instances. @param urgency - `patient` for what is told at a pace of its own and may be later by some of that */
+  /**
+   * Sends a notice to all other instances.
+   *
+   * @param frame - the notice
+   * @param urgency - `patient` for a notice that is sent periodically and may be delayed by a part of its interval
+   */
   broadcast (frame: NoticeFrame, urgency: Urgency = 'urgent'): void {
     this.notices.broadcast(frame, urgency)
   }
 
-  /** Tells one instance; lost when it cannot be reached. */
+  /** Sends a notice to one instance; the notice is lost when the instance cannot be reached. */
   notify (to: InstanceId, frame: NoticeFrame): void {
     this.notices.notify(to, frame)
   }
 
   /**
-   * Tells a neighbour, and all behind it, what was said before it was there.
+   * Sends a neighbour, and the instances behind it, notices that were broadcast before it connected.
    *
-   * @param frames - with those who made them
+   * @param neighbour - the neighbour
+   * @param frames - the notices with the instances that created them
    */
   replay (neighbour: InstanceId, frames: Iterable<readonly [origin: InstanceId, frame: NoticeFrame]>): void {
     this.notices.replay(neighbour, frames)
   }
 
-  /** Looks after the connections until the signal ends it. */
+  /** Maintains the connections until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.parts.clock.sleep(LOOK_MILLISECONDS, signal)
-      this.look()
+      await this.dependencies.clock.sleep(CHECK_MILLISECONDS, signal)
+      this.updateConnections()
     }
   }
 
-  /** Sets whom to be connected to, by what this instance is now. */
-  private look (): void {
-    const { self, clock } = this.parts
-    this.reach()
+  /** Determines this instance's role and the instances to connect to. */
+  private updateConnections (): void {
+    const { self, clock } = this.dependencies
+    this.reachableInstances()
     const isHub = this.plan.isMesh || this.plan.isHub(self.name) || this.neighboursOf('leaf').length > 0
     const targets = isHub ? this.plan.hubs().filter(({ name }) => name !== self.name) : this.hubToAttach(clock.now())
     this.setTargets(targets, isHub)
-    this.becomes(isHub ? 'hub' : 'leaf')
+    this.changeRole(isHub ? 'hub' : 'leaf')
     if (!isHub) this.dropOtherHubs()
   }
 
-  /** Each setting wakes the tasks that dial, so that nothing is set that stands already. */
+  /** Sets the targets only when they have changed, because each call wakes the tasks that dial. */
   private setTargets (targets: readonly Member[], dialsBack: boolean): void {
-    const described = targets.map(({ instance, address }) => `${instance} ${address}`).join()
-    if (described === this.targetsSet) return
-    this.targetsSet = described
-    this.parts.network.setTargets(targets.map(({ instance, address, dataCentre }) => ({ instance, address, dataCentre, keep: true, dialsBack })))
+    const description = targets.map(({ instance, address }) => `${instance} ${address}`).join()
+    if (description === this.currentTargets) return
+    this.currentTargets = description
+    this.dependencies.network.setTargets(targets.map(({ instance, address, dataCentre }) => ({ instance, address, dataCentre, keep: true, dialsBack })))
   }
 
   private hubToAttach (now: number): readonly Member[] {
-    const { self } = this.parts
-    const chosen = this.choice.choose(this.plan.candidatesFor(self.name, self.dataCentre), ({ instance }) => instance === this.attachedTo, now)
+    const { self } = this.dependencies
+    const chosen = this.hubChoice.choose(this.plan.candidatesFor(self.name, self.dataCentre), ({ instance }) => instance === this.attachedTo, now)
     return chosen === undefined ? [] : [chosen]
   }
 
-  private becomes (role: OverlayRole): void {
+  private changeRole (role: OverlayRole): void {
     if (role === this.ownRole) return
     this.ownRole = role
     this.attachedTo = undefined
-    this.detachedAt = this.parts.clock.now()
-    this.isReachOld = true
-    this.parts.logger.info('The part of this instance in the overlay has changed.', { role, mesh: this.plan.isMesh })
-    this.parts.network.notifyAll(this.neighbours(), { kind: 'overlay-role', role })
-    if (role === 'hub') this.announceSoon()
+    this.detachedAt = this.dependencies.clock.now()
+    this.isReachStale = true
+    this.dependencies.logger.info('The role of this instance in the overlay has changed.', { role, mesh: this.plan.isMesh })
+    this.dependencies.network.notifyAll(this.neighbours(), { kind: 'overlay-role', role })
+    if (role === 'hub') this.schedulePresence()
     else for (const hub of this.neighboursOf('hub')) this.attach(hub)
   }
 
-  /** A leaf is connected to one hub; the one before stays until the next has taken its place. */
+  /** Disconnects a leaf from all hubs but its own and the chosen one, so that the previous hub stays until the next one replaces it. */
   private dropOtherHubs (): void {
-    const { network } = this.parts
+    const { network } = this.dependencies
     if (this.attachedTo === undefined) return
     for (const hub of this.neighboursOf('hub')) {
-      if (hub !== this.attachedTo && hub !== this.choice.current?.instance) network.disconnect(hub, 'this instance is attached to another hub')
+      if (hub !== this.attachedTo && hub !== this.hubChoice.current?.instance) network.disconnect(hub, 'this instance is attached to another hub')
     }
   }
 
-  private connected (instance: InstanceId): void {
-    this.isReachOld = true
-    // Also where all are hubs: the other one may know of more members, and waits for a hub to say that it is one.
-    this.parts.network.notify(instance, { kind: 'overlay-role', role: this.ownRole })
+  private handleConnected (instance: InstanceId): void {
+    this.isReachStale = true
+    // Sent in a mesh too: the other instance may know of more members, therefore be a leaf, and wait for a hub to announce its role.
+    this.dependencies.network.notify(instance, { kind: 'overlay-role', role: this.ownRole })
     const role = this.roles.get(instance)
-    // What was said on an earlier connection may be lost with it.
-    if (role !== undefined) this.joined(instance, role)
-    else if (this.plan.isMesh) this.takeRole(instance, 'hub')
-    this.announceSoon()
+    // Notices sent on an earlier connection may be lost with it, so the neighbour is treated as a new one.
+    if (role !== undefined) this.notifyJoined(instance, role)
+    else if (this.plan.isMesh) this.applyRole(instance, 'hub')
+    this.schedulePresence()
   }
 
-  private disconnected (instance: InstanceId): void {
+  private handleDisconnected (instance: InstanceId): void {
     this.roles.delete(instance)
     this.presence.forget(instance)
     this.leaving.delete(instance)
-    this.isReachOld = true
-    this.announceSoon()
+    this.isReachStale = true
+    this.schedulePresence()
     if (instance !== this.attachedTo) return
     this.attachedTo = undefined
-    this.detachedAt = this.parts.clock.now()
-    this.avoid(instance)
+    this.detachedAt = this.dependencies.clock.now()
+    this.avoidHub(instance)
   }
 
-  private avoid (instance: InstanceId): void {
-    const { current } = this.choice
+  private avoidHub (instance: InstanceId): void {
+    const { current } = this.hubChoice
     if (this.isHub || current?.instance !== instance) return
-    this.choice.avoid(current, this.parts.clock.now())
-    this.look()
+    this.hubChoice.avoid(current, this.dependencies.clock.now())
+    this.updateConnections()
   }
 
-  private takeRole (from: InstanceId, role: OverlayRole): void {
+  private applyRole (from: InstanceId, role: OverlayRole): void {
     if (this.roles.get(from) === role) return
     this.roles.set(from, role)
-    this.isReachOld = true
-    if (role === 'leaf') this.look()
+    this.isReachStale = true
+    if (role === 'leaf') this.updateConnections()
     if (!this.isHub && role === 'hub') this.attach(from)
-    else this.joined(from, role)
+    else this.notifyJoined(from, role)
   }
 
   private attach (hub: InstanceId): void {
-    if (this.choice.current?.instance !== hub || this.attachedTo === hub) return
+    if (this.hubChoice.current?.instance !== hub || this.attachedTo === hub) return
     this.attachedTo = hub
-    this.isReachOld = true
-    this.parts.logger.info('This instance is attached to a hub.', { hub })
-    this.joined(hub, 'hub')
+    this.isReachStale = true
+    this.dependencies.logger.info('This instance is attached to a hub.', { hub })
+    this.notifyJoined(hub, 'hub')
     this.dropOtherHubs()
   }
 
-  private joined (neighbour: InstanceId, role: OverlayRole): void {
+  private notifyJoined (neighbour: InstanceId, role: OverlayRole): void {
     if (role === 'leaf') this.replay(neighbour, this.presence.frames())
-    if (role === 'leaf' || !this.plan.isMesh) this.announceSoon()
+    if (role === 'leaf' || !this.plan.isMesh) this.schedulePresence()
     for (const listener of this.neighbourListeners) listener(neighbour, role)
   }
 
-  private noteLeaving (instance: InstanceId): void {
+  private markLeaving (instance: InstanceId): void {
     if (this.leaving.has(instance)) return
     this.leaving.add(instance)
-    this.announceSoon()
+    this.schedulePresence()
   }
 
-  private announceSoon (): void {
+  private schedulePresence (): void {
     if (this.isPresenceDue || !this.isHub || this.isMesh) return
     this.isPresenceDue = true
-    void this.parts.clock.sleep(PRESENCE_MILLISECONDS).then(() => {
+    void this.dependencies.clock.sleep(PRESENCE_DELAY_MILLISECONDS).then(() => {
       this.isPresenceDue = false
       const connected = this.neighbours()
       if (this.isHub) this.broadcast({ kind: 'overlay-presence', connected, leaving: connected.filter((instance) => this.leaving.has(instance)) })
     })
   }
 
-  /** A leaf hears of others through its hub and the hubs behind it, a hub through the hubs that it is connected to. */
-  private reach (): ReadonlySet<InstanceId> {
-    if (!this.isReachOld) return this.reached
-    this.isReachOld = false
-    const now = this.parts.clock.now()
+  /** A leaf reaches others through its hub and the hubs behind that one, a hub through the hubs that it is connected to. */
+  private reachableInstances (): ReadonlySet<InstanceId> {
+    if (!this.isReachStale) return this.reached
+    this.isReachStale = false
+    const now = this.dependencies.clock.now()
     const { reached: before, reachedDirectly: directlyBefore } = this
     const neighbours = this.neighbours()
     this.reachedDirectly = new Set(neighbours)
     this.reached = this.isMesh ? new Set(neighbours) : this.presence.reachableFrom(neighbours, this.isHub ? 1 : 2)
     for (const instance of before) {
-      // Of one that was connected here its last frame says when it was there.
+      // For an instance that was connected directly, the time of its last frame is known instead.
       if (!this.reached.has(instance) && !directlyBefore.has(instance)) this.lostAt.set(instance, now)
     }
     return this.reached
--- a/packages/ingress/src/overlay/presence.ts
+++ b/packages/ingress/src/overlay/presence.ts
@@ -1,65 +1,65 @@
-/** Which instances are connected to the overlay, as hubs tell it. */
+/** Tracks which instances are connected to the overlay, from the announcements of hubs. */
 import type { InstanceId, OverlayPresenceFrame } from '@limpetwinch/core'
 
-/** Hubs of dozens of data centres, with processes that have ended. */
-const MOST_TOLD = 200
+/** Number of announcements to keep: enough for the hubs of dozens of data centres and for processes that have ended. */
+const MAXIMUM_ANNOUNCEMENTS = 200
 
-interface Told {
+interface Announcement {
   readonly connected: ReadonlySet<InstanceId>
   readonly leaving: ReadonlySet<InstanceId>
 }
 
-/** What hubs told last. */
+/** The latest announcement of each hub. */
 export class Presence {
-  private readonly told = new Map<InstanceId, Told>()
+  private readonly announcements = new Map<InstanceId, Announcement>()
 
-  /** Takes a hub's word, which replaces its last one. */
+  /** Stores a hub's announcement, which replaces its previous one. */
   update (hub: InstanceId, frame: OverlayPresenceFrame): void {
-    this.told.set(hub, { connected: new Set(frame.connected), leaving: new Set(frame.leaving) })
+    this.announcements.set(hub, { connected: new Set(frame.connected), leaving: new Set(frame.leaving) })
   }
 
-  /** Drops what a hub told. */
+  /** Drops the announcement of a hub. */
   forget (hub: InstanceId): void {
-    this.told.delete(hub)
+    this.announcements.delete(hub)
   }
 
   /**
-   * Drops what others than these told once much has gathered, mostly words of processes that have ended. Not at once: a hub that
-   * has just started may be heard of here before it is heard that it is written down.
+   * Drops the announcements of all instances but these once too many are kept, most of them from processes that have ended. They
+   * are not dropped at once, because the announcement of a hub that has just started may arrive before its entry in the store.
    */
   keep (instances: ReadonlySet<InstanceId>): void {
-    if (this.told.size <= MOST_TOLD) return
-    for (const hub of [...this.told.keys()]) if (!instances.has(hub)) this.told.delete(hub)
+    if (this.announcements.size <= MAXIMUM_ANNOUNCEMENTS) return
+    for (const hub of [...this.announcements.keys()]) if (!instances.has(hub)) this.announcements.delete(hub)
   }
 
   /** @returns whether the hub is connected to the instance */
   isConnected (hub: InstanceId, instance: InstanceId): boolean {
-    return this.told.get(hub)?.connected.has(instance) === true
+    return this.announcements.get(hub)?.connected.has(instance) === true
   }
 
-  /** @returns whether a hub said that the instance leaves */
+  /** @returns whether a hub announced that the instance is stopping */
   isLeaving (instance: InstanceId): boolean {
-    return [...this.told.values()].some(({ leaving }) => leaving.has(instance))
+    return [...this.announcements.values()].some(({ leaving }) => leaving.has(instance))
   }
 
   /**
-   * @param neighbours - whom this instance is connected to
-   * @param hops - over how many hubs an instance may be reached
-   * @returns all that can be reached; the word of a hub that cannot be reached itself does not count
+   * @param neighbours - the instances that this instance is connected to
+   * @param hops - number of hubs through which an instance may be reached
+   * @returns all reachable instances; the announcement of a hub that cannot be reached itself does not count
    */
   reachableFrom (neighbours: Iterable<InstanceId>, hops: number): Set<InstanceId> {
     const reached = new Set(neighbours)
-    let newest: readonly InstanceId[] = [...reached]
+    let frontier: readonly InstanceId[] = [...reached]
     for (let hop = 0; hop < hops; hop++) {
-      const next = newest.flatMap((hub) => [...this.told.get(hub)?.connected ?? []]).filter((instance) => !reached.has(instance))
+      const next = frontier.flatMap((hub) => [...this.announcements.get(hub)?.connected ?? []]).filter((instance) => !reached.has(instance))
       for (const instance of next) reached.add(instance)
-      newest = next
+      frontier = next
     }
     return reached
   }
 
-  /** @returns the last words of all hubs, for an instance that has heard none */
+  /** @returns the latest announcements of all hubs, for an instance that has received none */
   frames (): readonly (readonly [hub: InstanceId, frame: OverlayPresenceFrame])[] {
-    return [...this.told].map(([hub, { connected, leaving }]) => [hub, { kind: 'overlay-presence', connected: [...connected], leaving: [...leaving] }])
+    return [...this.announcements].map(([hub, { connected, leaving }]) => [hub, { kind: 'overlay-presence', connected: [...connected], leaving: [...leaving] }])
   }
 }
--- a/packages/ingress/test/hub-plan.test.ts
+++ b/packages/ingress/test/hub-plan.test.ts
@@ -1,5 +1,5 @@
-// All instances plan the hubs for themselves. Were two plans to differ for the same members, leaves would attach to instances
-// that do not pass notices on.
+// Each instance plans the hubs on its own. If two plans for the same members differed, leaves would attach to instances that do
+// not forward notices.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { DataCentreId, InstanceId } from '@limpetwinch/core'
@@ -15,12 +15,12 @@
   return Array.from({ length: count }, (_, index) => member(index))
 }
 
-describe('the plan of hubs', () => {
-  it('makes all instances of a small fleet hubs, and two of each data centre in a larger one', () => {
+describe('the hub plan', () => {
+  it('makes all instances hubs in a small fleet, and two per data centre in a larger one', () => {
     expect([new HubPlan(members(20)), new HubPlan(members(21))].map((plan) => [plan.isMesh, plan.hubs().length])).toEqual([[true, 20], [false, 6]])
   })
 
-  it('is the same in whichever order members are known, and names the largest hosts', () => {
+  it('does not depend on the order of the members, and selects the largest hosts', () => {
     const large = [member(5, 2), member(11, 2)]
     const all = [...members(40).filter(({ name }) => !large.some((each) => each.name === name)), ...large]
     fc.assert(fc.property(fc.shuffledSubarray(all, { minLength: all.length }), (shuffled) => {
@@ -30,7 +30,7 @@
     }), { seed: 3, numRuns: 30 })
   })
 
-  it('asks hubs before others, and spreads leaves over both', () => {
+  it('prefers hubs to other instances, and spreads leaves over the hubs', () => {
     const plan = new HubPlan(members(60))
     const firsts = members(60).filter(({ name }) => !plan.isHub(name)).map(({ name, dataCentre }) => plan.candidatesFor(name, dataCentre)[0]?.name ?? '')
     expect([firsts.every((name) => plan.isHub(name)), new Set(firsts).size]).toEqual([true, 6])
@@ -40,18 +40,18 @@
 describe('the choice of a hub', () => {
   const candidates = [member(0), member(3), member(6)]
 
-  it('goes on to the next when one cannot be attached to, and back after a while', () => {
+  it('moves on to the next hub when one cannot be attached to, and returns to the first one after a while', () => {
     const choice = new HubChoice()
     const chosen = [0, 600, 800, 1_400, 1_600, 9_000].map((now) => choice.choose(candidates, () => false, now)?.name)
     expect(chosen).toEqual(['host-0', 'host-0', 'host-3', 'host-3', 'host-6', 'host-0'])
   })
 
-  // All processes are killed and started again. The list still names the hub's old process, which another one has replaced;
-  // when it names the new one, the host is a hub like before.
-  it('takes the host of a lost hub at once when another process runs there', () => {
+  // All processes are killed and restarted. The member list first names the old process of a hub, which is avoided as lost. Once
+  // it names the new process, the host must be chosen again at once.
+  it('chooses the host of a lost hub again as soon as a new process runs there', () => {
     const choice = new HubChoice()
     const [hub, ...others] = candidates
-    if (hub === undefined) throw new Error('There is none.')
+    if (hub === undefined) throw new Error('There is no candidate.')
     choice.choose(candidates, () => false, 0)
     choice.avoid(hub, 100)
     const meanwhile = choice.choose(candidates, () => false, 100)?.name
@@ -59,7 +59,7 @@
     expect([meanwhile, choice.choose([again, ...others], () => false, 200)?.instance]).toEqual(['host-3', 'i-0-again'])
   })
 
-  it('stays with a hub to which it is attached', () => {
+  it('keeps a hub to which it is attached', () => {
     const choice = new HubChoice()
     expect([0, 1_000, 20_000].map((now) => choice.choose(candidates, () => true, now)?.name)).toEqual(['host-0', 'host-0', 'host-0'])
   })
--- a/packages/ingress/test/overlay-random.failure.test.ts
+++ b/packages/ingress/test/overlay-random.failure.test.ts
@@ -1,6 +1,6 @@
-// Instances are killed and started again, data centres are cut off and joined, several times and at once, in any order. A
-// caller notices nothing of it while each instance goes on to hear of adapters that leave and of engines that change hands. One
-// that hears nothing for good, or is taken for gone by others, sends callers to adapters that are not there.
+// Instances are killed and restarted, and data centres are cut off and reconnected, repeatedly and at once, in any order. An
+// instance that afterwards no longer receives notices of evicted adapters and changed load owners, or that others consider gone,
+// sends its callers to adapters that are no longer loaded.
 import { afterEach, describe, expect, it } from 'vitest'
 import fc from 'fast-check'
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
@@ -10,12 +10,12 @@
 import { ManualClock } from './support/manual-clock.js'
 
 const DATA_CENTRES = 3
-const IN_EACH = 8
+const INSTANCES_PER_DATA_CENTRE = 8
 const SETTLED_MILLISECONDS = 1_000
-/** A hub that was lost is avoided for five seconds, and a connection that fell silent is noticed within two. */
+/** A lost hub is avoided for five seconds, and an unresponsive connection is detected within two. */
 const RECOVERED_MILLISECONDS = 8_000
-const HEARD_MILLISECONDS = 200
-/** More runs with other seeds, by hand. */
+const DELIVERY_MILLISECONDS = 200
+/** The environment variable allows more runs, with other seeds, by hand. */
 const RUNS = Number(process.env['OVERLAY_RUNS'] ?? 12)
 const RUN_MILLISECONDS = 20_000
 
@@ -27,7 +27,7 @@
   | { readonly kind: 'heal' }
   | { readonly kind: 'wait', readonly milliseconds: number }
 
-const place = fc.nat({ max: DATA_CENTRES * IN_EACH - 1 })
+const place = fc.nat({ max: DATA_CENTRES * INSTANCES_PER_DATA_CENTRE - 1 })
 const step: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constant('kill' as const), place }),
   fc.record({ kind: fc.constant('kill-hub' as const), place }),
@@ -37,71 +37,71 @@
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('wait' as const), milliseconds: fc.integer({ min: 1, max: 2_500 }) }) }
 )
 
-let world: SimulatedNetwork
+let network: SimulatedNetwork
 
-afterEach(() => world.end())
+afterEach(() => network.end())
 
-function word (key: string): NoticeFrame {
+function notice (key: string): NoticeFrame {
   return { kind: 'load-refused', endpoint: 'e' as EndpointId, key, reason: '' }
 }
 
 function live (): SimulatedInstance[] {
-  return world.instances.filter(({ links }) => links.isUp)
+  return network.instances.filter(({ links }) => links.isUp)
 }
 
 function pick (among: readonly SimulatedInstance[], at: number): SimulatedInstance | undefined {
   return among[at % Math.max(1, among.length)]
 }
 
-/** Hosts whose last process has ended. */
+/** @returns the last instances of the hosts that have no running process */
 function stopped (): SimulatedInstance[] {
-  const last = [...new Map(world.instances.map((each) => [each.member.name, each])).values()]
+  const last = [...new Map(network.instances.map((each) => [each.member.name, each])).values()]
   return last.filter(({ links }) => !links.isUp)
 }
 
-async function carryOut (next: Step): Promise<void> {
-  if (next.kind === 'wait') return await world.clock.advance(next.milliseconds)
-  if (next.kind === 'heal') return world.heal()
-  if (next.kind === 'cut') return world.cut(`dc-${next.dataCentre}` as DataCentreId)
+async function perform (next: Step): Promise<void> {
+  if (next.kind === 'wait') return await network.clock.advance(next.milliseconds)
+  if (next.kind === 'heal') return network.heal()
+  if (next.kind === 'cut') return network.cut(`dc-${next.dataCentre}` as DataCentreId)
   if (next.kind === 'restart') {
     const killed = pick(stopped(), next.place)
-    if (killed !== undefined) world.restart(killed)
+    if (killed !== undefined) network.restart(killed)
     return
   }
   const among = next.kind === 'kill' ? live() : live().filter(({ overlay }) => overlay.isHub)
   const killed = pick(among, next.place)
-  // The fleet stays larger than a mesh: what is checked is the way over hubs.
-  if (killed !== undefined && live().length > DATA_CENTRES) world.kill(killed)
+  // A few instances must stay alive. The member list keeps its size, so the overlay never becomes a mesh.
+  if (killed !== undefined && live().length > DATA_CENTRES) network.kill(killed)
 }
 
-/** @returns what the instances see once all has been joined and started again; nothing stands out when all is well */
-async function afterwards (): Promise<{ unheard: string[], twice: string[], unattached: string[], absent: string[] }> {
-  world.heal()
-  for (const killed of stopped()) world.restart(killed)
-  await world.clock.advance(RECOVERED_MILLISECONDS)
+/** Reconnects and restarts everything. @returns the pairs and instances that did not recover; all lists are empty when all did */
+async function recoverAll (): Promise<{ undelivered: string[], duplicated: string[], unattached: string[], unreachable: string[] }> {
+  network.heal()
+  for (const killed of stopped()) network.restart(killed)
+  await network.clock.advance(RECOVERED_MILLISECONDS)
   const all = live()
-  for (const { overlay, member } of all) overlay.broadcast(word(`from ${member.name}`))
-  await world.clock.advance(HEARD_MILLISECONDS)
-  const heardBy = (hearer: SimulatedInstance, from: SimulatedInstance): number => hearer.heard.filter((said) => said === `${from.member.instance} from ${from.member.name}`).length
+  for (const { overlay, member } of all) overlay.broadcast(notice(`from ${member.name}`))
+  await network.clock.advance(DELIVERY_MILLISECONDS)
+  const deliveries = (receiver: SimulatedInstance, from: SimulatedInstance): number => receiver.heard.filter((entry) => entry === `${from.member.instance} from ${from.member.name}`).length
   const pairs = all.flatMap((one) => all.filter((other) => other !== one).map((other) => ({ one, other, title: `${one.member.name} of ${other.member.name}` })))
   return {
-    unheard: pairs.filter(({ one, other }) => heardBy(one, other) === 0).map(({ title }) => title),
-    twice: pairs.filter(({ one, other }) => heardBy(one, other) > 1).map(({ title }) => title),
+    undelivered: pairs.filter(({ one, other }) => deliveries(one, other) === 0).map(({ title }) => title),
+    duplicated: pairs.filter(({ one, other }) => deliveries(one, other) > 1).map(({ title }) => title),
     unattached: all.filter(({ overlay }) => !overlay.isAttached).map(({ member }) => member.name),
-    absent: pairs.filter(({ one, other }) => !one.overlay.isReachable(other.member.instance)).map(({ title }) => title)
+    unreachable: pairs.filter(({ one, other }) => !one.overlay.isReachable(other.member.instance)).map(({ title }) => title)
   }
 }
 
 describe('the overlay under failures in any order', () => {
-  it('comes back whole: each instance hears each other one, once, and takes it for living', async () => {
+  it('recovers: each instance receives each notice of every other one once and considers it reachable', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 3, maxLength: 14 }), async (steps) => {
-      world = new SimulatedNetwork(new ManualClock())
-      world.start(DATA_CENTRES, IN_EACH)
-      await world.clock.advance(SETTLED_MILLISECONDS)
-      for (const next of steps) await carryOut(next)
-      const seen = await afterwards()
-      world.end()
-      expect(seen).toEqual({ unheard: [], twice: [], unattached: [], absent: [] })
+      network = new SimulatedNetwork(new ManualClock())
+      network.start(DATA_CENTRES, INSTANCES_PER_DATA_CENTRE)
+      await network.clock.advance(SETTLED_MILLISECONDS)
+      for (const next of steps) await perform(next)
+      const seen = await recoverAll()
+      network.end()
+      expect(seen).toEqual({ undelivered: [], duplicated: [], unattached: [], unreachable: [] })
     }), { numRuns: RUNS })
   }, RUNS * RUN_MILLISECONDS)
 })
--- a/packages/ingress/test/support/simulated-links.ts
+++ b/packages/ingress/test/support/simulated-links.ts
@@ -1,4 +1,4 @@
-/** Connections between many instances in one process, under a test's clock: they can be cut, and instances can be killed. */
+/** Simulates the connections between many instances in one process, under a test's clock: connections can be cut and instances killed. */
 import { LimpetwinchError, silentLogger } from '@limpetwinch/core'
 import type { DataCentreId, FrameOf, InstanceId, PeerFrame } from '@limpetwinch/core'
 import { decodeFrame, encodeFrame, PeerLinks } from '@limpetwinch/entry'
@@ -8,38 +8,38 @@
 import { PeerOverlay } from '../../src/overlay/peer-overlay.js'
 import type { ManualClock } from './manual-clock.js'
 
-/** The way to another instance; a dial takes two of them. */
+/** One-way latency between two instances; a dial takes twice as long. */
 const LATENCY_MILLISECONDS = 1
-/** Three heartbeats without a word. */
-const SILENCE_MILLISECONDS = 1_500
+/** Time after which an unresponsive connection is dropped: three heartbeat intervals. */
+const UNRESPONSIVE_MILLISECONDS = 1_500
 const REDIAL_MILLISECONDS = 100
-/** Between two instances' reading of the same change. */
-const READ_APART_MILLISECONDS = 20
+/** Difference between the times at which two instances read the same change from the store. */
+const READ_OFFSET_MILLISECONDS = 20
 
-/** The links of one instance. */
+/** The connections of one instance. */
 export class SimulatedLinks extends PeerLinks {
   override readonly self: PeerIdentity
   readonly peers = new Map<InstanceId, SimulatedLinks>()
   isUp = true
-  /** Frames that came. */
+  /** Number of frames received. */
   received = 0
-  private readonly world: SimulatedNetwork
+  private readonly network: SimulatedNetwork
   private readonly handlers = new Map<string, ((from: InstanceId, frame: PeerFrame) => void)[]>()
   private readonly connectedListeners: ((peer: PeerIdentity) => void)[] = []
   private readonly disconnectedListeners: ((instance: InstanceId) => void)[] = []
   private readonly evidenceListeners: ((instance: InstanceId, evidence: EndEvidence) => void)[] = []
-  private readonly heardUntil = new Map<InstanceId, number>()
+  private readonly lastHeardAt = new Map<InstanceId, number>()
   private targets: readonly PeerTarget[] = []
 
-  constructor (self: PeerIdentity, world: SimulatedNetwork) {
+  constructor (self: PeerIdentity, network: SimulatedNetwork) {
     super()
     this.self = self
-    this.world = world
+    this.network = network
   }
 
   override notify (to: InstanceId, frame: NoticeFrame): void {
     const encoded = encodeFrame(frame)
-    if (encoded.isOk()) this.world.deliver(this, to, encoded.value)
+    if (encoded.isOk()) this.network.deliver(this, to, encoded.value)
   }
 
   override notifyAll (to: Iterable<InstanceId>, frame: NoticeFrame): void {
@@ -82,13 +82,13 @@
 
   override setTargets (targets: readonly PeerTarget[]): void {
     this.targets = targets
-    for (const { instance } of targets) this.world.dial(this, instance)
+    for (const { instance } of targets) this.network.dial(this, instance)
   }
 
   override describeHeartbeat (): void {}
 
   override lastHeard (instance: InstanceId): number | undefined {
-    return this.peers.has(instance) ? this.world.clock.now() : this.heardUntil.get(instance)
+    return this.peers.has(instance) ? this.network.clock.now() : this.lastHeardAt.get(instance)
   }
 
   override onConnected (listener: (peer: PeerIdentity) => void): void {
@@ -116,9 +116,9 @@
 
   dropPeer (instance: InstanceId): void {
     if (!this.peers.delete(instance)) return
-    this.heardUntil.set(instance, this.world.clock.now())
+    this.lastHeardAt.set(instance, this.network.clock.now())
     for (const listener of this.disconnectedListeners) listener(instance)
-    this.world.dial(this, instance)
+    this.network.dial(this, instance)
   }
 
   reportRefusal (instance: InstanceId): void {
@@ -135,17 +135,17 @@
   }
 }
 
-/** One instance with its overlay, and what it was told. */
+/** One instance with its overlay and the notices it received. */
 export interface SimulatedInstance {
   readonly member: Member
   readonly links: SimulatedLinks
   readonly overlay: PeerOverlay
-  /** Who said what, in the order in which it came. */
+  /** Received notices, each as `sender key`, in the order of arrival. */
   readonly heard: string[]
   readonly stop: () => void
 }
 
-/** All instances and what is between them. */
+/** All instances and the network between them. */
 export class SimulatedNetwork {
   readonly clock: ManualClock
   readonly instances: SimulatedInstance[] = []
@@ -156,9 +156,9 @@
     this.clock = clock
   }
 
-  /** Starts instances that know each other, or so many of them. */
-  start (dataCentres: number, inEach: number, known = Infinity): void {
-    for (let index = 0; index < dataCentres * inEach; index++) {
+  /** Starts instances. Each knows the first `known` members, all of them by default. */
+  start (dataCentres: number, perDataCentre: number, known = Infinity): void {
+    for (let index = 0; index < dataCentres * perDataCentre; index++) {
       const name = `host-${String(index).padStart(3, '0')}`
       const dataCentre = `dc-${index % dataCentres}` as DataCentreId
       this.add({ name, instance: `i-${name}` as InstanceId, address: name, dataCentre, cores: 1, version: index + 1 })
@@ -166,7 +166,7 @@
     for (const { overlay } of this.instances) overlay.apply(this.instances.map(({ member }) => member).slice(0, known))
   }
 
-  /** Ends an instance at once. */
+  /** Kills an instance: its connections close at once. */
   kill (killed: SimulatedInstance): void {
     killed.links.isUp = false
     killed.stop()
@@ -174,35 +174,35 @@
   }
 
   /**
-   * Starts a new process on the host of one that has ended. The others read of it in the store within some hundred
-   * milliseconds, each in its own moment.
+   * Starts a new process on the host of an instance that has ended. The others read the new member from the store one after the
+   * other, within some hundred milliseconds.
    */
   restart (killed: SimulatedInstance): SimulatedInstance {
     this.starts += 1
     const started = this.add({ ...killed.member, instance: `${killed.member.name}-${this.starts}` as InstanceId })
     const members = [...new Map(this.instances.map(({ member }) => [member.name, member])).values()]
     for (const [place, { overlay }] of this.instances.entries()) {
-      void this.clock.sleep(place * READ_APART_MILLISECONDS).then(() => overlay.apply(members))
+      void this.clock.sleep(place * READ_OFFSET_MILLISECONDS).then(() => overlay.apply(members))
     }
     return started
   }
 
-  /** Cuts a data centre off from the others: connections fall silent. */
+  /** Cuts a data centre off from the others: connections between them deliver nothing and are dropped after a while. */
   cut (dataCentre: DataCentreId): void {
     this.cutOff.add(dataCentre)
-    void this.clock.sleep(SILENCE_MILLISECONDS).then(() => {
+    void this.clock.sleep(UNRESPONSIVE_MILLISECONDS).then(() => {
       for (const { links } of this.instances) {
         for (const [instance, other] of [...links.peers]) if (!this.isOpen(links, other)) links.dropPeer(instance)
       }
     })
   }
 
-  /** Heals all cuts. */
+  /** Ends all cuts. */
   heal (): void {
     this.cutOff.clear()
   }
 
-  /** Ends all tasks. */
+  /** Stops the tasks of all instances. */
   end (): void {
     for (const { stop } of this.instances) stop()
   }
