--- a/packages/ingress/src/observability/ingress-metrics.ts
+++ b/packages/ingress/src/observability/ingress-metrics.ts
@@ -1,13 +1,13 @@
-/** Counters and histograms of an instance, served as text. */
+/** Counters, gauges and histograms of an ingress instance, served in the Prometheus text format. */
 import type { FrameCounts } from '@limpetwinch/entry'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Bounds around the objectives of interactive work, seconds. */
-const SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 20]
-/** Names of routes and services come from operators; beyond so many they share one label, so that memory stays bounded. */
-const MOST_LABELS = 200
+/** Histogram bounds in seconds, around the latency objectives of interactive requests. */
+const BUCKET_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 20]
+/** Names of routes and services come from operators; beyond this number, names share the label `other`, so that memory stays bounded. */
+const MAXIMUM_LABELS = 200
 
-/** Ages and counts read when metrics are asked for. */
+/** Ages and counts that are read at each scrape. */
 export interface GaugeReadings {
   readonly configurationVersion: number
   readonly storeSilenceSeconds: number
@@ -20,7 +20,7 @@
   readonly isHub: number
   readonly leaves: number
   readonly peerFrames: FrameCounts
-  /** Requests that crashes speak against. */
+  /** Requests suspected of crashing endpoints. */
   readonly accusedRequests: number
   readonly quarantinedRequests: number
 }
@@ -32,19 +32,19 @@
   private readonly requests = this.counter('limpetwinch_requests_total', 'Requests by route, outcome and reason', ['route', 'outcome', 'reason'])
   private readonly attempts = this.counter('limpetwinch_attempts_total', 'Tries on endpoints by service and end', ['service', 'end'])
   private readonly storeCalls = this.counter('limpetwinch_store_calls_total', 'Calls to the platform store', ['kind', 'outcome'])
-  private readonly orders = this.counter('limpetwinch_adapter_notices_total', 'Statements on held adapters, sent or taken', ['direction'])
+  private readonly adapterNotices = this.counter('limpetwinch_adapter_notices_total', 'Statements on held adapters, sent or taken', ['direction'])
   private readonly ejections = this.counter('limpetwinch_ejections_total', 'Endpoints that were kept from new work after failures', [])
   private readonly crashes = this.counter('limpetwinch_endpoint_crashes_total', 'Endpoints that crashed under requests of this instance, by service', ['service'])
   private readonly suspicions = this.counter('limpetwinch_quarantine_total', 'Suspected requests by what was done', ['action'])
   private readonly frames = this.counter('limpetwinch_peer_frames_total', 'Frames between instances', ['kind', 'direction'])
   private readonly frameBytes = this.counter('limpetwinch_peer_bytes_total', 'Bytes between instances', ['kind', 'direction'])
   private readonly read: () => GaugeReadings
-  private readonly whole = this.histogram('limpetwinch_request_seconds', 'From the request to the end of its answer', ['route', 'outcome'])
+  private readonly requestSeconds = this.histogram('limpetwinch_request_seconds', 'From the request to the end of its answer', ['route', 'outcome'])
   private readonly firstEvent = this.histogram('limpetwinch_first_event_seconds', 'From the request to its first event', ['route'])
   private readonly loadStall = this.histogram('limpetwinch_load_stall_seconds', 'Waiting for an adapter to be loaded', ['route'])
   private readonly storeSeconds = this.histogram('limpetwinch_store_call_seconds', 'Calls to the platform store, watches left out', ['kind'])
 
-  /** @param read - called for each scrape */
+  /** @param read - reads the gauges, called for each value of a scrape */
   constructor (read: () => GaugeReadings) {
     this.read = read
     this.gauge('limpetwinch_configuration_version', 'Version in force', () => read().configurationVersion)
@@ -60,25 +60,25 @@
     this.gauge('limpetwinch_overlay_leaves', 'Leaves attached to this hub', () => read().leaves)
   }
 
-  /** Counts a request's end. */
+  /** Counts a finished request and records how long it took. */
   requestEnded (route: string, outcome: string, reason: string, milliseconds: number): void {
     const label = this.bounded(route)
     this.requests.inc({ route: label, outcome, reason })
-    this.whole.observe({ route: label, outcome }, milliseconds / 1_000)
+    this.requestSeconds.observe({ route: label, outcome }, milliseconds / 1_000)
   }
 
-  /** Records a stream's first event. */
+  /** Records the time to the first event of a stream, and the part of it spent waiting for a load. */
   firstEventArrived (route: string, milliseconds: number, stallMilliseconds: number): void {
     this.firstEvent.observe({ route: this.bounded(route) }, milliseconds / 1_000)
     if (stallMilliseconds > 0) this.loadStall.observe({ route: this.bounded(route) }, stallMilliseconds / 1_000)
   }
 
-  /** Counts a try on an endpoint. */
+  /** Counts an attempt at an endpoint. */
   attemptEnded (service: string, end: string): void {
     this.attempts.inc({ service: this.bounded(service), end })
   }
 
-  /** Counts an ejection. */
+  /** Counts an ejected endpoint. */
   endpointEjected (): void {
     this.ejections.inc()
   }
@@ -88,7 +88,7 @@
     this.crashes.inc({ service: this.bounded(service) })
   }
 
-  /** Counts what was done about a suspected request. */
+  /** Counts an action on a suspected request. */
   quarantineActionTaken (action: 'isolated' | 'deferred' | 'cleared' | 'convicted' | 'refused'): void {
     this.suspicions.inc({ action })
   }
@@ -99,20 +99,20 @@
     if (kind !== 'watch') this.storeSeconds.observe({ kind }, milliseconds / 1_000)
   }
 
-  /** Counts a statement on held adapters. */
+  /** Counts a notice about held adapters. */
   adapterNotice (direction: 'sent' | 'taken'): void {
-    this.orders.inc({ direction })
+    this.adapterNotices.inc({ direction })
   }
 
   /** @returns all metrics as Prometheus text */
   async text (): Promise<string> {
-    this.takeFrameCounts(this.read().peerFrames)
+    this.updateFrameCounts(this.read().peerFrames)
     return await this.registry.metrics()
   }
 
   private bounded (label: string): string {
     if (this.labels.has(label)) return label
-    if (this.labels.size >= MOST_LABELS) return 'other'
+    if (this.labels.size >= MAXIMUM_LABELS) return 'other'
     this.labels.add(label)
     return label
   }
@@ -122,11 +122,11 @@
   }
 
   private histogram<Name extends string> (name: string, help: string, labelNames: readonly Name[]): Histogram<Name> {
-    return new Histogram({ name, help, labelNames: [...labelNames], buckets: SECONDS, registers: [this.registry] })
+    return new Histogram({ name, help, labelNames: [...labelNames], buckets: BUCKET_SECONDS, registers: [this.registry] })
   }
 
-  /** The network counts by itself; its counts are taken over whenever metrics are read. */
-  private takeFrameCounts (counts: FrameCounts): void {
+  /** Replaces the counts of frames by the network's own counts, whenever metrics are read. */
+  private updateFrameCounts (counts: FrameCounts): void {
     this.frames.reset()
     this.frameBytes.reset()
     for (const [kind, { sent, received, bytesSent, bytesReceived }] of Object.entries(counts)) {
