--- a/packages/ingress/src/index.ts
+++ b/packages/ingress/src/index.ts
@@ -1,4 +1,4 @@
-/** Routed requests before shared endpoints: the ingress instance and what a platform lends it. */
+/** Ingress instance that routes requests to shared endpoints, and the interfaces that a platform implements for it. */
 export * from './routes/configuration.js'
 export * from './relay/request-codec.js'
 export * from './adapters/engine-control.js'
--- a/packages/ingress/src/runtime/graceful-stop.ts
+++ b/packages/ingress/src/runtime/graceful-stop.ts
@@ -1,17 +1,17 @@
-/** The end of an instance: out of rotation first, then no new connections, then every request to its end. */
+/** Stops an instance gracefully: it leaves the rotation, accepts no new connections, and then finishes the requests in progress. */
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { RoutedListener } from '../relay/routed-listener.js'
 
 /**
- * The balancer asks once a second and takes an instance out after two refusals; connections come until then. What is
- * taken much later may not end within the grace.
+ * Time for the load balancer to take the instance out of rotation: it checks readiness once a second and stops sending
+ * connections after two failures. Requests accepted much later might not finish within the grace period.
  */
 const ROTATION_MILLISECONDS = 2_600
-/** Left of the grace for the last words: the member object, log lines, the exit itself. */
-const LAST_WORDS_MILLISECONDS = 700
-const LOOK_MILLISECONDS = 25
+/** Part of the grace period reserved for removing the member object, writing the last log lines and exiting. */
+const EXIT_MILLISECONDS = 700
+const POLL_MILLISECONDS = 25
 
-/** What is stopped, and how long it may take. */
+/** The listener to stop, and how long that may take. */
 export interface GracefulStopOptions {
   readonly listener: RoutedListener
   readonly clock: Clock
@@ -19,16 +19,16 @@
   readonly graceMilliseconds: number
 }
 
-/** Resolves when nothing runs any more, or when the grace is almost over. */
+/** Resolves when no request is in progress, or shortly before the grace period ends; what is still open then is cut off. */
 export async function stopGracefully ({ listener, clock, logger, graceMilliseconds }: GracefulStopOptions): Promise<void> {
   const startedAt = clock.now()
-  const lastMoment = startedAt + graceMilliseconds - LAST_WORDS_MILLISECONDS
-  logger.info('This instance stops.', { inProgress: listener.requestsInProgress, graceMilliseconds })
+  const deadline = startedAt + graceMilliseconds - EXIT_MILLISECONDS
+  logger.info('This instance is stopping.', { inProgress: listener.requestsInProgress, graceMilliseconds })
   listener.startStopping()
   await clock.sleep(Math.min(ROTATION_MILLISECONDS, graceMilliseconds / 2))
   listener.stopAccepting()
-  while (listener.requestsInProgress > 0 && clock.now() < lastMoment) {
-    await clock.sleep(LOOK_MILLISECONDS)
+  while (listener.requestsInProgress > 0 && clock.now() < deadline) {
+    await clock.sleep(POLL_MILLISECONDS)
     listener.stopAccepting()
   }
   logger.info('No more requests are served.', { cutOff: listener.requestsInProgress, milliseconds: Math.round(clock.now() - startedAt) })
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -1,4 +1,4 @@
-/** One ingress instance: builds the parts, runs their tasks, stops them in order. */
+/** One ingress instance: creates its components, runs their tasks and stops them in order. */
 import { newInstanceId, SystemClock } from '@limpetwinch/core'
 import type { Clock, LineSink, Logger } from '@limpetwinch/core'
 import { EngineSpeeds, ErrorRates, OutlierEjection, StallEvictionPolicy } from '@limpetwinch/decisions'
@@ -44,22 +44,23 @@
 import { waitAtMost } from './wait-at-most.js'
 import { stopGracefully } from './graceful-stop.js'
 
-/** Left of the time to stop for closing what is open and for the last lines. */
+/** Part of the time to stop that is reserved for closing connections and writing the last log lines. */
 const EXIT_MILLISECONDS = 300
-/** A silent peer is noticed within three of these. */
+/** Interval between heartbeats; an unresponsive peer is detected within three of them. */
 const HEARTBEAT_MILLISECONDS = 500
 const HOUSEKEEPING_MILLISECONDS = 250
-/** At each housekeeping: an endpoint that is avoided for its errors is tried again after some seconds. */
+/** Factor applied to the error rates at each housekeeping, so that an endpoint avoided for its errors is tried again after some seconds. */
 const ERROR_DECAY = 0.97
-/** After a pause no order is given until the store has been read again. */
+/** Time after a process pause in which this instance sends no load orders, so that it reads the store again first. */
 const ORDER_PAUSE_MILLISECONDS = 1_000
 /**
- * Ejections here are short: an endpoint that comes back is needed at once, and one that fails again is ejected longer. The
- * floor is below the share of a data centre that is cut off from two others, which must not go on trying theirs.
+ * Ejections are short, because an endpoint that recovers is needed at once and one that fails again is ejected for longer. The
+ * minimum usable share is below the share of all endpoints that one of three data centres has: when it is cut off from the other
+ * two, its instances must not keep trying the endpoints there to reach that share.
  */
 const EJECTION = { failuresToEject: 2, ejectionMilliseconds: 1_500, longestEjectionMilliseconds: 10_000, recoveryMilliseconds: 4_000, minimumUsableShare: 0.25 }
 
-/** One instance. */
+/** One ingress instance with all its components. */
 export class IngressInstance {
   readonly instance = newInstanceId()
   readonly metrics: IngressMetrics
@@ -78,34 +79,34 @@
   private readonly versions: AdapterVersions
   private readonly cluster: ClusterView
   private readonly exchange: StateExchange
-  private readonly reading: StoreReader
+  private readonly storeReader: StoreReader
   private readonly locations = new AdapterLocations()
-  private readonly storePace = new WeightStoreLimiter(() => this.engineCount())
-  private readonly board = new EndpointWorkTracker()
+  private readonly storeLimiter = new WeightStoreLimiter(() => this.engineCount())
+  private readonly workTracker = new EndpointWorkTracker()
   private readonly speeds = new EngineSpeeds()
   private readonly forecast = new FirstEventForecast(this.speeds)
-  private readonly prefixes = new PrefixCacheEstimate()
+  private readonly prefixCache = new PrefixCacheEstimate()
   private readonly ejection = new OutlierEjection(EJECTION)
   private readonly errors = new ErrorRates()
   private readonly policy = new StallEvictionPolicy({ minimumResidenceMilliseconds: 1_500, loadsPerSecond: 30 })
   private readonly heldNotices: HeldAdapterNotices
   private readonly digests: WorkDigests
-  private readonly duty: LoadOwnership
-  private readonly seeker: EngineFinder
-  private readonly talk: PeerMessaging
+  private readonly loadOwnership: LoadOwnership
+  private readonly engineFinder: EngineFinder
+  private readonly messaging: PeerMessaging
   private readonly quarantine: QuarantineExchange
   private readonly senders: EndpointSenders
   private readonly listener: RoutedListener
-  private readonly sideAddresses: MonitoringServers
-  private engines: number | undefined
+  private readonly monitoring: MonitoringServers
+  private cachedEngineCount: number | undefined
   private stopping = false
   private stopped: Promise<void> | undefined
 
   /**
-   * @param settings - of this instance
-   * @param platform - what it runs on
-   * @param logger - for all parts
-   * @param sink - where the lines go; asked for its count of dropped ones
+   * @param settings - settings of this instance
+   * @param platform - creates the access to the platform
+   * @param logger - logger of all components
+   * @param sink - destination of the log lines, which counts the dropped ones
    */
   constructor (settings: IngressSettings, platform: (onStoreCall: IngressMetrics['storeCall']) => IngressPlatform, logger: Logger, sink: LineSink) {
     this.settings = settings
@@ -130,101 +131,108 @@
     this.configuration = new AcceptedConfiguration(logger.part('configuration'))
     this.directory = new EndpointDirectory(logger.part('endpoints'))
     this.versions = new AdapterVersions(logger.part('versions'), settings.newVersionMilliseconds)
-    this.cluster = new ClusterView(({ members, loadOwners: holders, quarantineDecisions: verdicts }, revision) => {
+    this.cluster = new ClusterView(({ members, loadOwners, quarantineDecisions }, revision) => {
       this.members.apply(members, revision)
-      this.duty.apply(holders, revision)
-      this.quarantine.apply(verdicts)
-      this.reading.reevaluate()
+      this.loadOwnership.apply(loadOwners, revision)
+      this.quarantine.apply(quarantineDecisions)
+      this.storeReader.reevaluate()
     })
-    this.exchange = new StateExchange(this.network, this.overlay, { configuration: this.configuration, directory: this.directory, versions: this.versions, cluster: this.cluster, health: this.health }, this.clock)
-    // An endpoint that does not check tokens must not hear from two instances; only whoever reads the store itself knows in time
-    // that it holds no more.
+    this.exchange = new StateExchange(this.network, this.overlay, {
+      configuration: this.configuration,
+      directory: this.directory,
+      versions: this.versions,
+      cluster: this.cluster,
+      health: this.health
+    }, this.clock)
+    // An endpoint that does not check fencing tokens must not get orders from two instances. Only an instance that reads the store
+    // itself learns in time that it has lost the load ownership.
     const isNeeded = (): boolean => !settings.fencedEndpoints || this.exchange.needsStore
-    this.reading = new StoreReader(this.followerParts(), { isNeeded, areMembersKnown: () => this.cluster.revision > 0 }, this.clock, logger.part('store'))
+    this.storeReader = new StoreReader(this.followerDependencies(), { isNeeded, areMembersKnown: () => this.cluster.revision > 0 }, this.clock, logger.part('store'))
     this.heldNotices = new HeldAdapterNotices(this.overlay, this.locations, this.metrics, this.clock, this.instance)
-    this.digests = new WorkDigests(this.overlay, this.board, () => this.members.count, this.clock)
-    this.duty = this.makeDuty()
+    this.digests = new WorkDigests(this.overlay, this.workTracker, () => this.members.count, this.clock)
+    this.loadOwnership = this.createLoadOwnership()
     const router = new EngineRouter({
       directory: this.directory,
       locations: this.locations,
-      workTracker: this.board,
+      workTracker: this.workTracker,
       forecast: this.forecast,
       speeds: this.speeds,
-      prefixes: this.prefixes,
+      prefixes: this.prefixCache,
       ejection: this.ejection,
       dataCentre: settings.dataCentre,
       leastVersion: (key, now) => this.versions.minimumUsable(key, now),
-      loadMilliseconds: () => this.storePace.expectedMilliseconds(this.locations.inFlight.count(this.clock.now())),
-      hasLoadOwner: (endpoint) => this.duty.loadOwnerOf(endpoint) !== undefined
+      loadMilliseconds: () => this.storeLimiter.expectedMilliseconds(this.locations.inFlight.count(this.clock.now())),
+      hasLoadOwner: (endpoint) => this.loadOwnership.loadOwnerOf(endpoint) !== undefined
     })
-    this.seeker = new EngineFinder({
+    this.engineFinder = new EngineFinder({
       clock: this.clock,
       logger: logger.part('relay'),
       router,
       locations: this.locations,
-      loadOwnerOf: (endpoint) => this.duty.loadOwnerOf(endpoint),
+      loadOwnerOf: (endpoint) => this.loadOwnership.loadOwnerOf(endpoint),
       requestLoad: (to, frame) => this.overlay.notify(to, frame),
       leastVersion: (facts, now) => facts.adapter === undefined ? 0 : this.versions.minimumUsable(facts.adapter.key, now)
     })
-    this.talk = new PeerMessaging({
+    this.messaging = new PeerMessaging({
       self: this.instance,
       network: this.network,
       overlay: this.overlay,
       clock: this.clock,
-      workTracker: this.board,
+      workTracker: this.workTracker,
       digests: this.digests,
       locations: this.locations,
       heldNotices: this.heldNotices,
-      loadOwnership: this.duty,
-      engineFinder: this.seeker,
+      loadOwnership: this.loadOwnership,
+      engineFinder: this.engineFinder,
       metrics: this.metrics
     })
-    this.quarantine = this.makeQuarantine()
+    this.quarantine = this.createQuarantine()
     this.senders = new EndpointSenders(this.platform.codec, this.ejection, this.clock, logger.part('relay'), this.metrics, this.quarantine.quarantine)
-    this.listener = this.makeListener()
-    this.sideAddresses = new MonitoringServers({ isReady: () => this.isReady(), metrics: async () => await this.metrics.text() })
-    this.connectParts()
+    this.listener = this.createListener()
+    this.monitoring = new MonitoringServers({ isReady: () => this.isReady(), metrics: async () => await this.metrics.text() })
+    this.connectComponents()
   }
 
-  /** Starts to listen and to follow the store. */
+  /** Starts to serve requests and to follow the store. */
   async start (): Promise<void> {
     const { settings, logger } = this
     await this.listenForCallers()
     const { supervisor, network } = this
     void supervisor.start('peers', async (signal) => { await network.run(signal) })
     void supervisor.start('overlay', async (signal) => { await this.overlay.run(signal) })
-    this.reading.start(supervisor)
+    this.storeReader.start(supervisor)
     void supervisor.start('members', async (signal) => { await this.members.run(signal) })
-    void supervisor.start('load duty', async (signal) => { await this.duty.run(signal) })
+    void supervisor.start('load duty', async (signal) => { await this.loadOwnership.run(signal) })
     void supervisor.start('quarantine', async (signal) => { await this.quarantine.run(signal) })
     void supervisor.start('beliefs', async (signal) => { await this.exchange.run(signal) })
     void supervisor.start('digests', async (signal) => { await this.digests.run(signal) })
-    void supervisor.start('housekeeping', async (signal) => { await this.keepHouse(signal) })
-    void supervisor.start('pauses', async (signal) => { await watchForProcessPauses(this.clock, logger.part('clock'), () => this.afterPause(), signal) })
-    await this.sideAddresses.listen(settings.readinessAddress, settings.metricsAddress)
+    void supervisor.start('housekeeping', async (signal) => { await this.runHousekeeping(signal) })
+    void supervisor.start('pauses', async (signal) => { await watchForProcessPauses(this.clock, logger.part('clock'), () => this.handlePause(), signal) })
+    await this.monitoring.listen(settings.readinessAddress, settings.metricsAddress)
     logger.info('This instance has started.', { instance: this.instance, ...settings })
   }
 
   /**
-   * Stops without cutting anything off. Whoever asks again waits for the same end: one that was told at once that all is over
-   * would end the process under the requests that still run.
+   * Stops gracefully. A second call waits for the same stop: if it resolved at once, its caller would end the process while
+   * requests are still in progress.
    */
   async stop (): Promise<void> {
-    this.stopped ??= this.finish()
+    this.stopped ??= this.performStop()
     await this.stopped
   }
 
-  private async finish (): Promise<void> {
+  private async performStop (): Promise<void> {
     this.stopping = true
-    const stopsAt = this.clock.now() + this.settings.stopMilliseconds - EXIT_MILLISECONDS
+    const deadline = this.clock.now() + this.settings.stopMilliseconds - EXIT_MILLISECONDS
     this.members.leave()
     await stopGracefully({ listener: this.listener, clock: this.clock, logger: this.logger.part('stop'), graceMilliseconds: this.settings.stopMilliseconds })
-    // Until now requests here and elsewhere waited for loads of the engines that this instance orders.
-    this.duty.stop()
-    // A silent store holds each call for more than a second; an instance that waits for it is killed, and its last lines with it.
-    await waitAtMost(stopsAt - this.clock.now(), this.members.unregister())
-    await waitAtMost(stopsAt - this.clock.now(), this.supervisor.stop())
-    this.sideAddresses.close()
+    // The load ownership stops only now, because requests at this and other instances may have waited for loads that it orders.
+    this.loadOwnership.stop()
+    // An unresponsive store holds each call for more than a second; an instance that waited for it would be killed before it writes
+    // its last log lines.
+    await waitAtMost(deadline - this.clock.now(), this.members.unregister())
+    await waitAtMost(deadline - this.clock.now(), this.supervisor.stop())
+    this.monitoring.close()
     this.senders.close()
     await this.platform.close()
     this.logger.info('This instance has stopped.', { instance: this.instance })
@@ -236,12 +244,12 @@
 
   private async listenForCallers (): Promise<void> {
     const { callerAddress } = this.settings
-    const at = callerAddress.lastIndexOf(':')
-    await this.listener.listen(callerAddress.slice(0, at), Number(callerAddress.slice(at + 1)))
+    const separator = callerAddress.lastIndexOf(':')
+    await this.listener.listen(callerAddress.slice(0, separator), Number(callerAddress.slice(separator + 1)))
   }
 
-  private makeDuty (): LoadOwnership {
-    const parts = {
+  private createLoadOwnership (): LoadOwnership {
+    const dependencies = {
       store: this.platform.store,
       health: this.health,
       clock: this.clock,
@@ -252,39 +260,39 @@
       leaseMilliseconds: this.settings.leaseMilliseconds,
       fencedEndpoints: this.settings.fencedEndpoints
     }
-    return new LoadOwnership(parts, {
+    return new LoadOwnership(dependencies, {
       control: this.platform.control,
       clock: this.clock,
       logger: this.logger.part('loads'),
       locations: this.locations,
-      workTracker: this.board,
+      workTracker: this.workTracker,
       policy: this.policy,
       modelLoadLimiter: new ModelLoadRateLimiter(this.clock, () => this.members.count),
-      storeLimiter: this.storePace,
+      storeLimiter: this.storeLimiter,
       latestVersion: (key) => this.versions.newest(key) ?? 0,
-      isModelNeeded: (endpoint, model) => isModelNeeded(this.enginesWith(endpoint, model)),
+      isModelNeeded: (endpoint, model) => isModelNeeded(this.engineUsage(endpoint, model)),
       publish: (statement, urgency) => this.heldNotices.publish(statement, urgency),
       noticeRoundTripMilliseconds: () => this.overlay.noticeRoundTripMilliseconds,
       onUnreachable: (endpoint, reason) => this.senders.observe(endpoint, 'failed', reason)
     })
   }
 
-  private enginesWith (endpoint: Endpoint, model: ModelName): EngineUsage[] {
+  private engineUsage (endpoint: Endpoint, model: ModelName): EngineUsage[] {
     const slots = this.configuration.current?.services.get(endpoint.service)?.engine?.adapterSlots ?? 0
     const now = this.clock.now()
     return this.directory.servable(endpoint.service)
       .filter((engine) => engine.models.includes(model))
-      .map(({ id }) => ({ slots, adaptersInUse: this.board.adaptersInUse(id, now) }))
+      .map(({ id }) => ({ slots, adaptersInUse: this.workTracker.adaptersInUse(id, now) }))
   }
 
-  /** @returns engines that take adapters; asked at each request, so it is counted anew only when something has changed */
+  /** @returns the number of engines with adapter slots. It is read at each request, so it is cached until endpoints or the configuration change */
   private engineCount (): number {
     const services = this.configuration.current?.services
-    this.engines ??= this.directory.all().filter(({ service }) => (services?.get(service)?.engine?.adapterSlots ?? 0) > 0).length
-    return this.engines
+    this.cachedEngineCount ??= this.directory.all().filter(({ service }) => (services?.get(service)?.engine?.adapterSlots ?? 0) > 0).length
+    return this.cachedEngineCount
   }
 
-  private makeQuarantine (): QuarantineExchange {
+  private createQuarantine (): QuarantineExchange {
     const { clock, logger, metrics, network, overlay, directory, versions } = this
     return new QuarantineExchange({
       self: this.instance,
@@ -300,47 +308,61 @@
     })
   }
 
-  private makeListener (): RoutedListener {
-    const { clock, board, senders, metrics } = this
+  private createListener (): RoutedListener {
+    const { clock, workTracker, senders, metrics } = this
     const { quarantine } = this.quarantine
     const budgets = new RetryBudgets(this.settings.repeats, () => this.members.count)
     const logger = this.logger.part('relay')
     const services = new ServiceRelay({
       clock,
       logger,
-      workTracker: board,
+      workTracker,
       senders,
       errors: this.errors,
       budgets,
       quarantine,
       random: Math.random,
-      router: new ServiceRouter(this.directory, board, this.ejection, this.errors, this.settings.dataCentre)
+      router: new ServiceRouter(this.directory, workTracker, this.ejection, this.errors, this.settings.dataCentre)
     })
     const streams = new StreamRelay({
       clock,
       logger,
-      workTracker: board,
+      workTracker,
       senders,
       budgets,
       quarantine,
-      engineFinder: this.seeker,
+      engineFinder: this.engineFinder,
       locations: this.locations,
       forecast: this.forecast,
       speeds: this.speeds,
-      prefixes: this.prefixes,
+      prefixes: this.prefixCache,
       expectedVersion: ({ facts }, now) => this.expectedVersion(facts.adapter?.key, now)
     })
-    return new RoutedListener({ clock, logger, codec: this.platform.codec, configuration: this.configuration, budgets, quarantine, metrics, random: Math.random, streams, services })
+    return new RoutedListener({
+      clock,
+      logger,
+      codec: this.platform.codec,
+      configuration: this.configuration,
+      budgets,
+      quarantine,
+      metrics,
+      random: Math.random,
+      streams,
+      services
+    })
   }
 
-  /** Engines check the version once only the newest may be used; before, any copy will do. */
+  /**
+   * Returns the version that the engine must check. The engine checks it only once requests must use the latest version; before,
+   * any loaded copy may serve.
+   */
   private expectedVersion (key: AdapterKey | undefined, now: number): number | undefined {
     if (key === undefined) return undefined
-    const newest = this.versions.newest(key)
-    return newest !== undefined && this.versions.minimumUsable(key, now) === newest ? newest : undefined
+    const latest = this.versions.newest(key)
+    return latest !== undefined && this.versions.minimumUsable(key, now) === latest ? latest : undefined
   }
 
-  private followerParts (): FollowerDependencies {
+  private followerDependencies (): FollowerDependencies {
     return {
       platform: this.platform,
       health: this.health,
@@ -357,36 +379,36 @@
     }
   }
 
-  private connectParts (): void {
+  private connectComponents (): void {
     this.network.describeHeartbeat(() => ({
       leaving: this.stopping, settingsHash: '', ownershipVersion: 0, storeReachable: this.health.reachable
     }))
     this.directory.onChange((endpoint, change) => this.endpointChanged(endpoint, change))
-    this.directory.onListing(() => { this.engines = undefined })
-    this.configuration.onChange(() => { this.engines = undefined })
+    this.directory.onListing(() => { this.cachedEngineCount = undefined })
+    this.configuration.onChange(() => { this.cachedEngineCount = undefined })
     this.directory.onListing((endpoints) => { for (const endpoint of endpoints) this.locations.applyStatement(endpoint) })
-    this.locations.inFlight.onCompleted((load) => this.storePace.completed(load))
-    this.versions.onNewVersion((key, version) => this.duty.versionAnnounced(key, version))
-    this.board.onUse((_endpoint, key) => this.policy.recordUse(key, '', 1, this.clock.now()))
-    this.talk.connect()
+    this.locations.inFlight.onCompleted((load) => this.storeLimiter.completed(load))
+    this.versions.onNewVersion((key, version) => this.loadOwnership.versionAnnounced(key, version))
+    this.workTracker.onUse((_endpoint, key) => this.policy.recordUse(key, '', 1, this.clock.now()))
+    this.messaging.connect()
   }
 
   private endpointChanged (endpoint: Endpoint, change: 'arrived' | 'restarted' | 'leaving' | 'gone'): void {
-    this.engines = undefined
+    this.cachedEngineCount = undefined
     if (change === 'leaving') return
     if (change === 'gone') {
       this.locations.remove(endpoint.id)
-      this.talk.forget(endpoint.id)
+      this.messaging.forget(endpoint.id)
       this.senders.forget(endpoint.id)
       this.errors.forget(endpoint.id)
     }
     if (change !== 'arrived') {
-      this.prefixes.forget(endpoint.id)
+      this.prefixCache.forget(endpoint.id)
       this.forecast.forget(endpoint.id)
     }
   }
 
-  private async keepHouse (signal: AbortSignal): Promise<void> {
+  private async runHousekeeping (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(HOUSEKEEPING_MILLISECONDS, signal)
       this.directory.expire(this.clock.now())
@@ -395,11 +417,11 @@
     }
   }
 
-  private afterPause (): void {
-    this.duty.pauseUntil(this.clock.now() + ORDER_PAUSE_MILLISECONDS)
+  private handlePause (): void {
+    this.loadOwnership.pauseUntil(this.clock.now() + ORDER_PAUSE_MILLISECONDS)
     this.exchange.markStale()
-    this.reading.reevaluate()
-    this.reading.refresh()
+    this.storeReader.reevaluate()
+    this.storeReader.refresh()
   }
 
   private readGauges (): GaugeReadings {
--- a/packages/ingress/src/runtime/ingress-platform.ts
+++ b/packages/ingress/src/runtime/ingress-platform.ts
@@ -1,10 +1,10 @@
-/** What a platform lends to an ingress instance. */
+/** Interface between a platform and an ingress instance. */
 import type { DeletingObjectStore, StoredObject } from '@limpetwinch/core'
 import type { EngineControl } from '../adapters/engine-control.js'
 import type { RequestCodec } from '../relay/request-codec.js'
 import type { AdapterAnnouncement, Configuration, Endpoint } from '../routes/configuration.js'
 
-/** Where the platform's objects lie, and how they are read. */
+/** Kinds of the platform's objects in the store, and how to decode them. */
 export interface PlatformObjectFormats {
   readonly configurationKind: string
   readonly endpointKind: string
@@ -14,7 +14,7 @@
   readonly decodeAnnouncement: (object: StoredObject) => AdapterAnnouncement | undefined
 }
 
-/** What a platform lends to an instance. */
+/** What a platform provides to an ingress instance. */
 export interface IngressPlatform {
   readonly store: DeletingObjectStore
   readonly control: EngineControl
--- a/packages/ingress/src/runtime/ingress-settings.ts
+++ b/packages/ingress/src/runtime/ingress-settings.ts
@@ -1,50 +1,50 @@
-/** What an ingress instance is told at its start. */
+/** Settings of an ingress instance. */
 import type { DataCentreId } from '@limpetwinch/core'
 
-/** Bounds on repeats of requests, for one service over all instances. */
+/** Limit on the retries of requests to one service, over all instances together. */
 export interface RetryBudgetSettings {
-  /** Repeats for each request. */
+  /** Allowed retries per request. */
   readonly share: number
-  /** Repeats in a window whatever the number of requests. */
+  /** Additional retries allowed in each window, whatever the number of requests. */
   readonly slack: number
   readonly windowMilliseconds: number
 }
 
 /** The settings of one instance. */
 export interface IngressSettings {
-  /** Stays the same when the process is started again. */
+  /** Stays the same when the process restarts. */
   readonly name: string
   readonly dataCentre: DataCentreId
-  /** What the host gives this process, in cores; 0 where it is not known. */
+  /** Processor cores available to this process; 0 when unknown. */
   readonly cores: number
-  /** Each address is `host:port`. */
+  /** Address for callers. All addresses have the form `host:port`. */
   readonly callerAddress: string
   readonly readinessAddress: string
   readonly peerAddress: string
   readonly metricsAddress: string
   readonly storeAddress: string
-  /** Time from the signal to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   readonly stopMilliseconds: number
   readonly repeats: RetryBudgetSettings
-  /** Whether endpoints refuse orders with an old fencing token. */
+  /** Whether endpoints reject load orders with an old fencing token. */
   readonly fencedEndpoints: boolean
-  /** Two instances must not order one endpoint within this time. */
+  /** Time within which no two instances may send load orders to the same endpoint. */
   readonly leaseMilliseconds: number
   /** Time in which a new adapter version must be in use. */
   readonly newVersionMilliseconds: number
 }
 
-/** The port of the metrics address where a platform names none: the usual one of exporters. */
+/** Default port of the metrics address: the one that metrics exporters commonly use. */
 export const METRICS_PORT = 9_464
 
-/** What holds where a platform says nothing of it. */
+/** Defaults for settings that a platform does not provide. */
 export const INGRESS_DEFAULTS = {
   cores: 0,
-  /** What most platforms wait between the signal to stop and the kill is longer. */
+  /** Most platforms wait longer than this between the stop signal and the kill. */
   stopMilliseconds: 8_000,
-  /** One repeat for each five requests, and so few besides that a quiet service cannot be flooded. */
+  /** One retry per five requests, and in addition so few per window that retries cannot flood an idle service. */
   repeats: { share: 0.2, slack: 20, windowMilliseconds: 10_000 },
-  /** Taken for granted only where it is said: unfenced endpoints are ordered more carefully. */
+  /** Must be enabled explicitly, because endpoints that do not check fencing tokens need more careful load orders. */
   fencedEndpoints: false,
   leaseMilliseconds: 3_000,
   newVersionMilliseconds: 5_000
--- a/packages/ingress/src/runtime/monitoring-servers.ts
+++ b/packages/ingress/src/runtime/monitoring-servers.ts
@@ -1,29 +1,29 @@
-/** Listens at the addresses for readiness and metrics. */
+/** Serves readiness and metrics, each at its own address. */
 import type { Server } from 'node:http'
 import { listenAt, metricsListener, readinessListener } from './monitoring-listeners.js'
 import type { MonitoringSources } from './monitoring-listeners.js'
 
-/** The side addresses of one instance. */
+/** The readiness and metrics servers of one instance. */
 export class MonitoringServers {
   private readonly servers: Server[] = []
-  private readonly answers: MonitoringSources
+  private readonly sources: MonitoringSources
 
-  constructor (answers: MonitoringSources) {
-    this.answers = answers
+  constructor (sources: MonitoringSources) {
+    this.sources = sources
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @param readiness - `host:port`
-   * @param metrics - `host:port`
+   * @param readiness - address of the readiness server, `host:port`
+   * @param metrics - address of the metrics server, `host:port`
    */
   async listen (readiness: string, metrics: string): Promise<void> {
-    this.servers.push(await listenAt(readiness, readinessListener(this.answers)))
-    this.servers.push(await listenAt(metrics, metricsListener(this.answers)))
+    this.servers.push(await listenAt(readiness, readinessListener(this.sources)))
+    this.servers.push(await listenAt(metrics, metricsListener(this.sources)))
   }
 
-  /** Listens no more. */
+  /** Stops listening. */
   close (): void {
     for (const server of this.servers) server.close()
   }
--- a/packages/ingress/src/runtime/peer-messaging.ts
+++ b/packages/ingress/src/runtime/peer-messaging.ts
@@ -1,4 +1,4 @@
-/** What instances tell each other of work, held adapters and loads, and what each does with it. */
+/** Sends and handles the notices between instances about outstanding work, held adapters and loads. */
 import type { AdaptersHeldFrame, Clock, EndpointId, InstanceId, LoadAskFrame } from '@limpetwinch/core'
 import type { WaitingRequestFacts } from '@limpetwinch/decisions'
 import type { PeerLinks } from '@limpetwinch/entry'
@@ -14,7 +14,7 @@
 import type { EndpointWorkTracker } from '../routing/endpoint-work-tracker.js'
 import type { WorkDigests } from '../routing/work-digests.js'
 
-/** Who speaks and who listens. */
+/** Dependencies of the peer messaging. */
 export interface PeerMessagingDependencies {
   readonly self: InstanceId
   readonly network: PeerLinks
@@ -29,86 +29,89 @@
   readonly metrics: IngressMetrics
 }
 
-/** The notices of one instance. */
+/** Peer messaging of one instance. */
 export class PeerMessaging {
-  private readonly parts: PeerMessagingDependencies
-  private readonly heldWords = new HeldAdapterBaselines()
+  private readonly dependencies: PeerMessagingDependencies
+  private readonly heldAdapters = new HeldAdapterBaselines()
 
-  constructor (parts: PeerMessagingDependencies) {
-    this.parts = parts
+  constructor (dependencies: PeerMessagingDependencies) {
+    this.dependencies = dependencies
   }
 
-  /** Begins to listen. */
+  /** Registers the handlers and listeners. */
   connect (): void {
-    const { network, overlay, workTracker: board, loadOwnership: duty, engineFinder: seeker, clock } = this.parts
-    board.onReleased((endpoint) => this.tellRelease(endpoint))
+    const { network, overlay, workTracker, loadOwnership, engineFinder, clock } = this.dependencies
+    workTracker.onReleased((endpoint) => this.announceRelease(endpoint))
     network.onNotice('relay-load', (from, frame) => {
-      board.applyPeerReport(from, frame.loads, clock.now())
-      duty.runsEnded()
+      workTracker.applyPeerReport(from, frame.loads, clock.now())
+      loadOwnership.runsEnded()
     })
     network.onNotice('adapters-held', (from, frame) => {
-      this.heldWords.setFull(from, frame)
-      this.takeHeld(from, frame)
+      this.heldAdapters.setFull(from, frame)
+      this.handleHeldAdapters(from, frame)
     })
     network.onNotice('adapters-changed', (from, change) => {
-      const frame = this.heldWords.apply(from, change)
-      if (frame !== undefined) this.takeHeld(from, frame)
+      const frame = this.heldAdapters.apply(from, change)
+      if (frame !== undefined) this.handleHeldAdapters(from, frame)
     })
-    network.onNotice('load-ask', (from, frame) => this.takeAsk(from, frame))
-    network.onNotice('load-refused', (_from, frame) => seeker.refused(frame.endpoint, frame.key))
-    overlay.onNeighbour((neighbour, role) => this.retell(neighbour, role))
+    network.onNotice('load-ask', (from, frame) => this.handleLoadRequest(from, frame))
+    network.onNotice('load-refused', (_from, frame) => engineFinder.refused(frame.endpoint, frame.key))
+    overlay.onNeighbour((neighbour, role) => this.replayHeldAdapters(neighbour, role))
   }
 
-  /** The endpoint is gone. */
+  /** Drops what is known of an endpoint that was removed. */
   forget (endpoint: EndpointId): void {
-    this.heldWords.forget(endpoint)
+    this.heldAdapters.forget(endpoint)
   }
 
-  /** A neighbour has heard nothing from here; a leaf has heard nothing of anybody else either. */
-  private retell (neighbour: InstanceId, role: OverlayRole): void {
-    const { self, overlay, heldNotices, loadOwnership: duty } = this.parts
-    const own = heldNotices.present((endpoint) => duty.loader(endpoint) !== undefined)
+  /**
+   * Sends a new neighbour the held adapters of the engines whose loads this instance owns. A hub also sends those that others have
+   * announced: to a leaf the announcements of all instances, to a hub those of its own leaves.
+   */
+  private replayHeldAdapters (neighbour: InstanceId, role: OverlayRole): void {
+    const { self, overlay, heldNotices, loadOwnership } = this.dependencies
+    const own = heldNotices.present((endpoint) => loadOwnership.loader(endpoint) !== undefined)
     overlay.replay(neighbour, own.map((frame) => [self, frame]))
     if (!overlay.isHub || overlay.isMesh) return
     const leaves = new Set(overlay.neighboursOf('leaf'))
-    overlay.replay(neighbour, this.heldWords.all().filter(([from]) => role === 'leaf' || leaves.has(from)))
+    overlay.replay(neighbour, this.heldAdapters.all().filter(([from]) => role === 'leaf' || leaves.has(from)))
   }
 
-  private takeAsk (from: InstanceId, frame: LoadAskFrame): void {
-    const { loadOwnership: duty, overlay } = this.parts
+  private handleLoadRequest (from: InstanceId, frame: LoadAskFrame): void {
+    const { loadOwnership, overlay } = this.dependencies
     const { endpoint, key, version } = frame
-    const loader = duty.loader(endpoint)
+    const loader = loadOwnership.loader(endpoint)
     if (loader === undefined) return overlay.notify(from, { kind: 'load-refused', endpoint, key, reason: 'this instance does not order its loads' })
-    loader.requestLoad(key as AdapterKey, version, waiterOf(frame, from))
+    loader.requestLoad(key as AdapterKey, version, waitingRequestOf(frame, from))
   }
 
-  private takeHeld (from: InstanceId, frame: AdaptersHeldFrame): void {
-    const { metrics, locations, clock } = this.parts
+  private handleHeldAdapters (from: InstanceId, frame: AdaptersHeldFrame): void {
+    const { metrics, locations, clock } = this.dependencies
     metrics.adapterNotice('taken')
     const hidden = locations.applyNotice(from, frame, clock.now())
     this.objectToEviction(from, frame.endpoint, hidden)
   }
 
   /**
-   * The one that orders an engine's loads knows what runs from digests, and a request that began since the last one is not
-   * in them. Were the adapter evicted under it, the engine would take no other order until that request has ended: all its
-   * loads stood still for seconds. The objection reaches the holder before its order goes out.
+   * The load owner of an engine knows the running requests from digests, and a request that started after the last digest is
+   * missing there. If its adapter were evicted, the engine would accept no other order until that request has ended, and all
+   * loads of the engine would wait for seconds. The digest sent here reaches the load owner before it sends the order.
    */
-  private objectToEviction (holder: InstanceId, endpoint: EndpointId, hidden: readonly AdapterKey[]): void {
-    const { workTracker: board, digests } = this.parts
-    if (hidden.some((key) => board.ownRunning(endpoint, key) > 0)) digests.send(holder)
+  private objectToEviction (loadOwner: InstanceId, endpoint: EndpointId, hidden: readonly AdapterKey[]): void {
+    const { workTracker, digests } = this.dependencies
+    if (hidden.some((key) => workTracker.ownRunning(endpoint, key) > 0)) digests.send(loadOwner)
   }
 
-  /** A slot may be free where loads wait for one. */
-  private tellRelease (endpoint: EndpointId): void {
-    const { locations, loadOwnership: duty, digests, self } = this.parts
-    const holder = locations.line(endpoint)?.waiting.size === 0 ? undefined : duty.loadOwnerOf(endpoint)
-    if (holder === self) duty.loader(endpoint)?.runsEnded()
-    else if (holder !== undefined) digests.sendSoon(holder)
+  /** Informs the load owner of an engine that a slot may be free, when loads wait for one. */
+  private announceRelease (endpoint: EndpointId): void {
+    const { locations, loadOwnership, digests, self } = this.dependencies
+    const loadOwner = locations.line(endpoint)?.waiting.size === 0 ? undefined : loadOwnership.loadOwnerOf(endpoint)
+    if (loadOwner === self) loadOwnership.loader(endpoint)?.runsEnded()
+    else if (loadOwner !== undefined) digests.sendSoon(loadOwner)
   }
 }
 
-/** A release without names of requests asks for each instance as if one request waited there. */
-function waiterOf (frame: LoadAskFrame, from: InstanceId): WaitingRequestFacts | undefined {
+/** Describes the request that waits for a load. An instance of a release that sends no request ids counts as one waiting request. */
+function waitingRequestOf (frame: LoadAskFrame, from: InstanceId): WaitingRequestFacts | undefined {
   return frame.waiting ? { request: frame.request ?? from, onTimeMilliseconds: frame.onTimeMilliseconds } : undefined
 }
--- a/packages/ingress/src/runtime/platform-followers.ts
+++ b/packages/ingress/src/runtime/platform-followers.ts
@@ -1,4 +1,4 @@
-/** The followers of all kinds of objects that an instance reads from the platform's store. */
+/** Creates the followers of all kinds of objects that an instance reads from the platform's store. */
 import type { Clock, Logger, StoredObject } from '@limpetwinch/core'
 import { StoreFollower } from '../cluster-state/store-follower.js'
 import type { StoreHealth } from '../cluster-state/store-health.js'
@@ -7,19 +7,22 @@
 import type { AdapterAnnouncement, Configuration, Endpoint } from '../routes/configuration.js'
 import type { IngressPlatform } from './ingress-platform.js'
 
-/** A watch bounds how late a store that fell silent is noticed; each one is a call that the platform counts. */
+/** Longest wait of one watch. It bounds how late an unresponsive store is detected; each watch is a call that the platform counts. */
 const ENDPOINT_WATCH_MILLISECONDS = 2_500
 const OTHER_WATCH_MILLISECONDS = 8_000
-/** Engines write with each load, so that nearly each step is a call. A leaving endpoint must still be seen within two seconds, on a slow store too. */
+/**
+ * Minimum interval between two steps of the endpoint watch. Engines write with each load, so nearly each step finds a change and
+ * costs a call. A leaving endpoint must still be seen within two seconds, even with a slow store.
+ */
 const ENDPOINT_PACE_MILLISECONDS = 900
 const OTHER_PACE_MILLISECONDS = 50
 /**
- * When many instances start together each writes itself down. Followed step by step, every reader would make a call for each
- * writer; so the pace grows with the members.
+ * Minimum interval between two steps of the watch of cluster objects, for each member. When many instances start together, each
+ * writes its member object, and with a fixed interval every reader would make one call per writer.
  */
-const CLUSTER_PACE_FOR_MEMBER_MILLISECONDS = 5
+const CLUSTER_PACE_PER_MEMBER_MILLISECONDS = 5
 
-/** Who hears what the store says. */
+/** Dependencies of the followers, and the functions that receive the objects read. */
 export interface FollowerDependencies {
   readonly platform: IngressPlatform
   readonly health: StoreHealth
@@ -29,18 +32,18 @@
   readonly onEndpoints: (endpoints: readonly Endpoint[], revision: number) => void
   readonly onAnnouncements: (announcements: Iterable<AdapterAnnouncement>) => void
   readonly onCluster: (objects: Iterable<ClusterObject>, revision: number) => void
-  /** How many instances there are. */
+  /** @returns the number of members */
   readonly memberCount: () => number
 }
 
 /** The followers of one instance. */
 export interface PlatformFollowers {
-  /** Of the product's own objects, by which instances find each other. */
+  /** Follows the cluster objects, by which instances find each other. */
   readonly cluster: StoreFollower<unknown>
   readonly others: readonly StoreFollower<unknown>[]
 }
 
-interface Followed<Decoded> {
+interface FollowedKind<Decoded> {
   readonly kind: string
   readonly decode: (object: StoredObject) => Decoded | undefined
   readonly watchMilliseconds: number
@@ -51,40 +54,40 @@
 const OTHER_PACES = { watchMilliseconds: OTHER_WATCH_MILLISECONDS, paceMilliseconds: () => OTHER_PACE_MILLISECONDS }
 const ENDPOINT_PACES = { watchMilliseconds: ENDPOINT_WATCH_MILLISECONDS, paceMilliseconds: () => ENDPOINT_PACE_MILLISECONDS }
 
-/** @returns one follower for each kind, not yet running */
-export function makeFollowers (parts: FollowerDependencies): PlatformFollowers {
-  const { forms } = parts.platform
+/** @returns one follower for each kind of object, not yet running */
+export function createFollowers (dependencies: FollowerDependencies): PlatformFollowers {
+  const { forms } = dependencies.platform
   const others = [
-    follower<Configuration>(parts, {
+    createFollower<Configuration>(dependencies, {
       ...OTHER_PACES,
       kind: forms.configurationKind,
       decode: forms.decodeConfiguration,
-      apply: (objects) => { for (const configuration of objects.values()) parts.onConfiguration(configuration) }
+      apply: (objects) => { for (const configuration of objects.values()) dependencies.onConfiguration(configuration) }
     }),
-    follower<Endpoint>(parts, {
+    createFollower<Endpoint>(dependencies, {
       ...ENDPOINT_PACES,
       kind: forms.endpointKind,
       decode: forms.decodeEndpoint,
-      apply: (objects, revision) => parts.onEndpoints([...objects.values()], revision)
+      apply: (objects, revision) => dependencies.onEndpoints([...objects.values()], revision)
     }),
-    follower<AdapterAnnouncement>(parts, {
+    createFollower<AdapterAnnouncement>(dependencies, {
       ...OTHER_PACES,
       kind: forms.announcementKind,
       decode: forms.decodeAnnouncement,
-      apply: (objects) => parts.onAnnouncements(objects.values())
+      apply: (objects) => dependencies.onAnnouncements(objects.values())
     })
   ]
-  const cluster = follower<ClusterObject>(parts, {
+  const cluster = createFollower<ClusterObject>(dependencies, {
     kind: CLUSTER_KIND,
     decode: decodeClusterObject,
     watchMilliseconds: OTHER_WATCH_MILLISECONDS,
-    paceMilliseconds: () => Math.max(OTHER_PACE_MILLISECONDS, CLUSTER_PACE_FOR_MEMBER_MILLISECONDS * parts.memberCount()),
-    apply: (objects, revision) => parts.onCluster(objects.values(), revision)
+    paceMilliseconds: () => Math.max(OTHER_PACE_MILLISECONDS, CLUSTER_PACE_PER_MEMBER_MILLISECONDS * dependencies.memberCount()),
+    apply: (objects, revision) => dependencies.onCluster(objects.values(), revision)
   })
   return { cluster, others }
 }
 
-function follower<Decoded> (parts: FollowerDependencies, followed: Followed<Decoded>): StoreFollower<unknown> {
-  const { platform, health, clock, logger } = parts
+function createFollower<Decoded> (dependencies: FollowerDependencies, followed: FollowedKind<Decoded>): StoreFollower<unknown> {
+  const { platform, health, clock, logger } = dependencies
   return new StoreFollower<Decoded>({ store: platform.store, health, clock, logger, ...followed }) as StoreFollower<unknown>
 }
--- a/packages/ingress/src/runtime/store-gate.ts
+++ b/packages/ingress/src/runtime/store-gate.ts
@@ -1,66 +1,67 @@
-/** Lets followers read the store only while nobody else reads it for this instance. */
+/** Lets followers read the store only while this instance must read it itself. */
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { StoreFollower } from '../cluster-state/store-follower.js'
 
-const LOOK_MILLISECONDS = 250
+/** Interval between checks whether the store must be read. */
+const CHECK_MILLISECONDS = 250
 
 /**
- * Opens and closes for all followers. Each instance of a large fleet that watched the store for itself would make some calls a
- * second, and the store's rates do not grow with the fleet.
+ * Opens and closes for all followers at once. If each instance of a large fleet watched the store, each would make several calls
+ * per second, but the rate limits of the store do not grow with the fleet.
  */
 export class StoreGate {
   private readonly isNeeded: () => boolean
   private readonly clock: Clock
   private readonly logger: Logger
-  private closing = new AbortController()
+  private closed = new AbortController()
   private readonly waiting = new Set<() => void>()
 
-  /** @param isNeeded - whether this instance has to read the store */
+  /** @param isNeeded - whether this instance must read the store */
   constructor (isNeeded: () => boolean, clock: Clock, logger: Logger) {
     this.isNeeded = isNeeded
     this.clock = clock
     this.logger = logger
-    if (!isNeeded()) this.closing.abort()
+    if (!isNeeded()) this.closed.abort()
   }
 
-  /** Looks whether the store has to be read until the signal ends it. */
+  /** Checks periodically whether the store must be read, until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(LOOK_MILLISECONDS, signal)
+      await this.clock.sleep(CHECK_MILLISECONDS, signal)
       this.reevaluate()
     }
   }
 
-  /** Looks now: something has changed that may decide it. */
+  /** Checks whether the store must be read and opens or closes the gate; called after a change that may affect this. */
   reevaluate (): void {
-    const isOpen = !this.closing.signal.aborted
+    const isOpen = !this.closed.signal.aborted
     if (this.isNeeded() === isOpen) return
     if (isOpen) {
       this.logger.info('A hub reads the store for this instance.')
-      return this.closing.abort()
+      return this.closed.abort()
     }
     this.logger.info('This instance reads the store itself.')
-    this.closing = new AbortController()
-    for (const wake of [...this.waiting]) wake()
+    this.closed = new AbortController()
+    for (const resume of [...this.waiting]) resume()
   }
 
-  /** Runs the follower whenever the gate is open, until the signal ends it. */
+  /** Runs the follower whenever the gate is open, until the signal aborts. */
   async runWhileOpen (follower: StoreFollower<unknown>, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.closing.signal.aborted) await this.opened(signal)
-      else await follower.run(AbortSignal.any([signal, this.closing.signal]))
+      if (this.closed.signal.aborted) await this.untilOpen(signal)
+      else await follower.run(AbortSignal.any([signal, this.closed.signal]))
     }
   }
 
-  private async opened (signal: AbortSignal): Promise<void> {
+  private async untilOpen (signal: AbortSignal): Promise<void> {
     await new Promise<void>((resolve) => {
-      const wake = (): void => {
-        this.waiting.delete(wake)
-        signal.removeEventListener('abort', wake)
+      const resume = (): void => {
+        this.waiting.delete(resume)
+        signal.removeEventListener('abort', resume)
         resolve()
       }
-      this.waiting.add(wake)
-      signal.addEventListener('abort', wake)
+      this.waiting.add(resume)
+      signal.addEventListener('abort', resume)
     })
   }
 }
--- a/packages/ingress/src/runtime/store-reader.ts
+++ b/packages/ingress/src/runtime/store-reader.ts
@@ -1,36 +1,36 @@
-/** Reads the platform's store for one instance, while no hub does it for it. */
+/** Reads the platform's store for an instance while no hub does so. */
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { Supervisor } from '@limpetwinch/entry'
-import { makeFollowers } from './platform-followers.js'
+import { createFollowers } from './platform-followers.js'
 import type { FollowerDependencies, PlatformFollowers } from './platform-followers.js'
 import { StoreGate } from './store-gate.js'
 
-/** The listing of the members comes within some milliseconds; without it the rest is read all the same. */
+/** Longest wait at the start for the listing of members, which takes some milliseconds; after it, the other objects are read anyway. */
 const FIRST_LISTING_MILLISECONDS = 100
 
-/** Who decides whether the store is read. */
+/** Conditions that decide whether the store is read. */
 export interface StoreReaderConditions {
-  /** @returns whether nobody reads the store for this instance */
+  /** @returns whether this instance must read the store itself */
   readonly isNeeded: () => boolean
   /** @returns whether the members are known */
   readonly areMembersKnown: () => boolean
 }
 
-/** The followers of one instance and what starts and stops them. */
+/** Starts the followers of one instance and decides when they read. */
 export class StoreReader {
   private readonly followers: PlatformFollowers
   private readonly clusterGate: StoreGate
   private readonly gate: StoreGate
 
-  constructor (parts: FollowerDependencies, { isNeeded, areMembersKnown: knowsMembers }: StoreReaderConditions, clock: Clock, logger: Logger) {
-    this.followers = makeFollowers(parts)
+  constructor (dependencies: FollowerDependencies, { isNeeded, areMembersKnown }: StoreReaderConditions, clock: Clock, logger: Logger) {
+    this.followers = createFollowers(dependencies)
     this.clusterGate = new StoreGate(isNeeded, clock, logger)
     const startedAt = clock.now()
-    // Who the others are says whether a hub reads the rest for this instance.
-    this.gate = new StoreGate(() => isNeeded() && (knowsMembers() || clock.now() - startedAt > FIRST_LISTING_MILLISECONDS), clock, logger)
+    // The members decide whether a hub reads the other objects for this instance, so the members are read first.
+    this.gate = new StoreGate(() => isNeeded() && (areMembersKnown() || clock.now() - startedAt > FIRST_LISTING_MILLISECONDS), clock, logger)
   }
 
-  /** Starts the tasks that read. */
+  /** Starts the tasks that read the store. */
   start (supervisor: Supervisor): void {
     const { clusterGate, gate, followers } = this
     void supervisor.start('cluster gate', async (signal) => { await clusterGate.run(signal) })
@@ -39,13 +39,13 @@
     for (const [index, follower] of followers.others.entries()) void supervisor.start(`follower ${index}`, async (signal) => { await gate.runWhileOpen(follower, signal) })
   }
 
-  /** Something has changed that may decide whether the store is read. */
+  /** Checks again whether the store must be read, after a change that may affect this. */
   reevaluate (): void {
     this.clusterGate.reevaluate()
     this.gate.reevaluate()
   }
 
-  /** Lists everything again, after a pause in which anything may have been missed. */
+  /** Lists all objects again, after a process pause in which any change may have been missed. */
   refresh (): void {
     for (const follower of [this.followers.cluster, ...this.followers.others]) follower.refresh()
   }
--- a/packages/ingress/src/runtime/wait-at-most.ts
+++ b/packages/ingress/src/runtime/wait-at-most.ts
@@ -1,8 +1,10 @@
-/** Waits for something that may take too long. */
+/** Waits for work that may take too long. */
 
 /**
- * @param milliseconds - how long to wait at most; what still runs then runs on
- * @param work - what is waited for
+ * Resolves when the work is done or the time has passed, whichever is first. Work that fails within the time rejects.
+ *
+ * @param milliseconds - the longest time to wait; the work continues after it
+ * @param work - the work to wait for
  */
 export async function waitAtMost (milliseconds: number, work: Promise<unknown>): Promise<void> {
   let timer: NodeJS.Timeout | undefined
--- a/packages/ingress/test/log-lines.test.ts
+++ b/packages/ingress/test/log-lines.test.ts
@@ -1,17 +1,18 @@
-// On-call engineers read a failure from these lines alone. Each line that the program can write stands in the reference with
-// its level and fields; a line that is new, changed or gone fails here until the page says so.
+// On-call engineers analyse failures from the log lines alone, so a line that is missing or outdated in the reference misleads
+// them. The reference lists each line that the program can write with its level and fields; this test fails for a line that was
+// added, changed or removed until the page is updated.
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
 import { describe, expect, it } from 'vitest'
 
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url))
-/** Everything that an ingress instance runs and that logs in words of its own. */
+/** Sources of all log lines that an ingress instance writes with messages of its own. */
 const SOURCES = ['packages/ingress/src', 'packages/entry/src/peers', 'packages/entry/src/runtime', 'platform/src/bin/limpetwinch-ingress.ts']
 const PAGE = 'docs/reference/log-lines.md'
 const CALL = /(?:logger|log|this\.logger|this\.parts\.logger|around\.logger)\.(debug|info|warn|error)\(\s*('(?:[^'\\]|\\.)*'|[^,)]*)(?:,\s*\{([^}]*))?/g
 
-interface Line {
+interface LogLine {
   readonly level: string
   readonly message: string
   readonly fields: readonly string[]
@@ -23,15 +24,15 @@
   return readdirSync(full, { recursive: true, encoding: 'utf8' }).filter((file) => file.endsWith('.ts')).map((file) => join(full, file))
 }
 
-function linesOf (file: string): Line[] {
-  // Calls within a field's value would otherwise end the fields early.
+function linesOf (file: string): LogLine[] {
+  // The pattern would otherwise end the fields at a call within a field's value.
   const source = withoutNestedCalls(readFileSync(file, 'utf8'))
   return [...source.matchAll(CALL)].flatMap(([, level = '', text = '', fields = '']) => (
     messagesOf(text, source).map((message) => ({ level, message, fields: fieldsOf(fields) }))
   ))
 }
 
-/** A message stands in the call, or in a table of the same file that the call names. */
+/** @returns the messages of a log call: the literal of the call, or those of the table in the same file that the call names */
 function messagesOf (text: string, source: string): string[] {
   const table = /^([A-Z][A-Z_]+)\[/.exec(text)?.[1]
   const words = table === undefined ? text : new RegExp(`const ${table}[^{]*\\{([^}]*)\\}`).exec(source)?.[1] ?? ''
@@ -43,7 +44,7 @@
   return shorter === source ? source : withoutNestedCalls(shorter)
 }
 
-/** Names of the fields of an object in source; what is spread into it is named as it stands there. */
+/** @returns the names of the fields of an object literal; a spread expression is returned as written */
 function fieldsOf (text: string): string[] {
   return text.split(',').flatMap((part) => {
     const name = /^\s*(\.\.\.)?([\w.]+)/.exec(part)
@@ -51,12 +52,12 @@
   })
 }
 
-function row ({ level, message, fields }: Line): string {
+function row ({ level, message, fields }: LogLine): string {
   return `| ${message} | ${level} | ${fields.map((field) => `\`${field}\``).join(', ')} |`
 }
 
 describe('the reference of log lines', () => {
-  it('has a row for each line that an ingress instance can write, and no other', () => {
+  it('has a row for each line that an ingress instance can write, and no other row', () => {
     const written = [...new Set(SOURCES.flatMap(filesOf).flatMap(linesOf).map(row))].sort()
     const listed = readFileSync(join(ROOT, PAGE), 'utf8').split('\n').filter((line) => /^\| [A-Z].*\| (debug|info|warn|error) \|/.test(line)).sort()
     expect(listed).toEqual(written)
--- a/packages/ingress/test/store-gate.test.ts
+++ b/packages/ingress/test/store-gate.test.ts
@@ -1,13 +1,14 @@
-// The store counts each call, and its rates do not grow with the fleet. A follower that runs on while a hub reads for this
-// instance spends them for nothing; one that does not start again when the hub is lost leaves this instance without news.
+// The store limits the rate of calls, and the limits do not grow with the fleet. A follower that keeps running while a hub reads
+// the store for its instance wastes calls; a follower that does not restart when the hub is lost leaves its instance with
+// outdated state.
 import { describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
 import type { StoreFollower } from '../src/cluster-state/store-follower.js'
 import { StoreGate } from '../src/runtime/store-gate.js'
 import { ManualClock } from './support/manual-clock.js'
 
-describe('the gate before the store', () => {
-  it('runs a follower only while it is needed, and ends with its signal', async () => {
+describe('the store gate', () => {
+  it('runs a follower only while the store must be read, and ends when the signal aborts', async () => {
     const [clock, ending, runs] = [new ManualClock(), new AbortController(), [] as string[]]
     const follower = {
       run: async (signal: AbortSignal) => {
--- a/packages/ingress/test/support/manual-clock.ts
+++ b/packages/ingress/test/support/manual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until a test moves it on. */
+/** A clock that advances only when a test advances it. */
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import { Clock } from '@limpetwinch/core'
 
@@ -7,10 +7,10 @@
   readonly wake: () => void
 }
 
-/** Turns of the event loop in which what was woken may run on. */
+/** Turns of the event loop in which woken tasks may continue. */
 const TURNS = 5
 
-/** Time under a test's control; both clocks go alike. */
+/** Clock controlled by a test. The wall clock and the monotonic clock show the same time. */
 export class ManualClock extends Clock {
   private time = 1_000_000
   private sleepers: Sleeper[] = []
@@ -37,7 +37,7 @@
     })
   }
 
-  /** Moves on, step by step, so that tasks see every moment at which they wanted to wake. */
+  /** Advances the time in steps, so that each sleeping task wakes exactly at the time it asked for. */
   async advance (milliseconds: number): Promise<void> {
     const end = this.time + milliseconds
     for (;;) {
--- a/packages/ingress/test/support/memory-store.ts
+++ b/packages/ingress/test/support/memory-store.ts
@@ -1,10 +1,10 @@
-/** A store in memory, for one test. */
+/** An in-memory object store for a test. */
 import { DeletingObjectStore, LimpetwinchError } from '@limpetwinch/core'
 import type { ConditionalWrite, StoredObject, WatchStep } from '@limpetwinch/core'
 import { errAsync, okAsync } from 'neverthrow'
 import type { ResultAsync } from 'neverthrow'
 
-/** Objects in memory; it can be down. */
+/** Object store in memory. While `isDown` is set, all writes fail. */
 export class MemoryStore extends DeletingObjectStore {
   readonly objects = new Map<string, StoredObject>()
   isDown = false
--- a/packages/ingress/test/support/recording-logger.ts
+++ b/packages/ingress/test/support/recording-logger.ts
@@ -1,13 +1,13 @@
-/** A logger that keeps its lines for a test. */
+/** A logger that records its lines for a test. */
 import type { Logger } from '@limpetwinch/core'
 
-/** One line. */
+/** One recorded log line. */
 export interface RecordedLine {
   readonly message: string
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-/** @returns a logger that adds to the lines */
+/** @returns a logger that appends to the lines */
 export function recordingLogger (lines: RecordedLine[]): Logger {
   const record = (message: string, fields: Record<string, unknown> = {}): void => { lines.push({ message, fields }) }
   return { error: record, warn: record, info: record, debug: record, part: () => recordingLogger(lines) }
--- a/packages/ingress/test/wait-at-most.failure.test.ts
+++ b/packages/ingress/test/wait-at-most.failure.test.ts
@@ -1,14 +1,14 @@
-// An instance is told to stop while the store is silent. Its last call to the store is never answered; waiting for it, the
-// instance would be killed at the end of its grace, with its last log lines unwritten.
+// An instance stops while the store is unresponsive, so its last call to the store gets no response. If the instance waited for
+// it, it would be killed at the end of the grace period without writing its last log lines.
 import { describe, expect, it } from 'vitest'
 import { waitAtMost } from '../src/runtime/wait-at-most.js'
 
-describe('waiting for something that may take too long', () => {
-  it('ends with the work, or with its time when the work hangs', async () => {
+describe('waiting for work with a time limit', () => {
+  it('ends with the work, or when the time is over if the work hangs', async () => {
     const ended: string[] = []
     const work = Promise.resolve().then(() => { ended.push('work') })
     await waitAtMost(10_000, work)
-    await waitAtMost(20, new Promise(() => { /* Never settled, as a call to a silent store. */ }))
+    await waitAtMost(20, new Promise(() => { /* Never settled, like a call to an unresponsive store. */ }))
     ended.push('hung')
     expect(ended).toEqual(['work', 'hung'])
   })
