--- a/packages/entry/src/loads/coordinated-load-turns.ts
+++ b/packages/entry/src/loads/coordinated-load-turns.ts
@@ -48,7 +48,7 @@
     peers.onCall('load-turn-ask', async (from, frame, signal) => {
       const granted = await this.localCoordinator.acquire(from, frame.turn, frame.urgency, signal)
       if (granted) return { kind: 'accepted' }
-      return { kind: 'refused', error: 'overloaded', details: { reason: 'the load turn request was cancelled' }, outcome: 'not_run' }
+      return { kind: 'refused', error: 'overloaded', details: { reason: 'the turn lapsed' }, outcome: 'not_run' }
     })
   }
 
