--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -120,7 +120,7 @@
       list: this.instanceList,
       logger,
       clock,
-      pollMilliseconds: timing.instanceListMilliseconds,
+      pollIntervalMilliseconds: timing.instanceListMilliseconds,
       suspectAfterMilliseconds: timing.suspectMilliseconds
     })
     this.follower = this.parts.settings({
@@ -146,7 +146,7 @@
       ownership: this.ownership,
       engines: () => this.enginesHere(),
       clientOf: (engine) => this.clients.engine(engine),
-      granted: (endpoint, requestId) => this.owned.get(endpoint)?.scheduler.running.has(requestId) ?? false,
+      hasGranted: (endpoint, requestId) => this.owned.get(endpoint)?.scheduler.running.has(requestId) ?? false,
       longestRequestMilliseconds: () => 1000 * (this.follower.current()?.policy.longestRequestSeconds ?? Infinity),
       times: this.parts.recoveryTimes(),
       logger,
@@ -220,7 +220,7 @@
   /** New work is still taken until the balancer has had time to see that this instance is not ready any more. */
   private async drain (): Promise<void> {
     const enough = new AbortController()
-    const handedOver = this.handOvers.leave(AbortSignal.any([this.supervisor.signal, enough.signal]))
+    const handedOver = this.handOvers.handOverAll(AbortSignal.any([this.supervisor.signal, enough.signal]))
     await this.clock.sleep(LEAVING_MILLISECONDS)
     await Promise.allSettled([this.callerServer.close(), this.work.finished()])
     // Nobody may be left to hand over to, as when all instances stop; what is left is taken over as after a loss.
@@ -229,7 +229,7 @@
     clearTimeout(timer)
     if (left.length > 0) this.logger.warn('Endpoints are left for others to take over.', { endpoints: left })
     // With this word the others need not wait for the platform's list to say that nothing runs here any more.
-    this.membership.sayGoodbye()
+    this.membership.sendGoodbye()
     await this.clock.sleep(GOODBYE_MILLISECONDS)
   }
 
@@ -360,7 +360,7 @@
   }
 
   private describeHeartbeats (): void {
-    this.network.describeHeartbeat(() => ({
+    this.network.setHeartbeatBody(() => ({
       leaving: this.stopping,
       settingsHash: this.follower.settingsHash(),
       ownershipVersion: this.ownership.announcedVersion(),
@@ -374,7 +374,7 @@
     if (settings === undefined) return
     this.settingsSince ??= this.clock.now()
     this.routing.applySettings(settings.policy)
-    this.ownership.look()
+    this.ownership.reevaluate()
     this.owned.reconcile()
   }
 
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-parts.ts
@@ -6,7 +6,7 @@
 import { ListMembership } from './membership/list-membership.js'
 import type { ListMembershipOptions } from './membership/list-membership.js'
 import { IdempotencyClaims } from './outcomes/idempotency-claims.js'
-import { RECOVERY_TIMES } from './ownership/endpoint-recovery.js'
+import { DEFAULT_RECOVERY_TIMES } from './ownership/endpoint-recovery.js'
 import type { RecoveryTimes } from './ownership/endpoint-recovery.js'
 import { StoreOwnership } from './ownership/store-ownership.js'
 import type { StoreOwnershipOptions } from './ownership/store-ownership.js'
@@ -39,7 +39,7 @@
 
   /** @returns how long a new owner waits for what it may not have heard yet */
   recoveryTimes (): RecoveryTimes {
-    return RECOVERY_TIMES
+    return DEFAULT_RECOVERY_TIMES
   }
 
   /** @returns the schedulers of owned endpoints */
--- a/packages/entry/src/membership/leaving-endpoints.ts
+++ b/packages/entry/src/membership/leaving-endpoints.ts
@@ -19,10 +19,10 @@
     this.peers = peers
     this.clock = clock
     peers.onNotice('endpoints-leaving', (_from, frame) => {
-      if (this.take(frame.leaving, this.clock.now() - frame.readMillisecondsAgo)) for (const listener of this.listeners) listener()
+      if (this.apply(frame.leaving, this.clock.now() - frame.readMillisecondsAgo)) for (const listener of this.listeners) listener()
     })
     // One that comes back from a cut has missed the change.
-    peers.onConnected(({ instance }) => { if (this.endpoints.size > 0) this.tell(instance) })
+    peers.onConnected(({ instance }) => { if (this.endpoints.size > 0) this.sendTo(instance) })
   }
 
   /** @returns the endpoints that are leaving */
@@ -31,7 +31,7 @@
   }
 
   /** Calls the listener after a change that a peer told. */
-  onTold (listener: () => void): void {
+  onPeerUpdate (listener: () => void): void {
     this.listeners.push(listener)
   }
 
@@ -42,18 +42,18 @@
    * @returns whether anything changed
    */
   read (endpoints: readonly string[], began: number): boolean {
-    if (!this.take(endpoints, began)) return false
-    for (const instance of this.peers.connected()) this.tell(instance)
+    if (!this.apply(endpoints, began)) return false
+    for (const instance of this.peers.connected()) this.sendTo(instance)
     return true
   }
 
-  private tell (instance: InstanceId): void {
+  private sendTo (instance: InstanceId): void {
     const readMillisecondsAgo = Math.max(0, this.clock.now() - this.readAt)
     this.peers.notify(instance, { kind: 'endpoints-leaving', leaving: [...this.endpoints], readMillisecondsAgo })
   }
 
   /** An older reading may arrive after a newer one; taking it up would send work to an endpoint that is leaving. */
-  private take (endpoints: readonly string[], readAt: number): boolean {
+  private apply (endpoints: readonly string[], readAt: number): boolean {
     if (readAt < this.readAt) return false
     this.readAt = readAt
     const same = endpoints.length === this.endpoints.size && endpoints.every((endpoint) => this.endpoints.has(endpoint))
--- a/packages/entry/src/membership/cut-off.ts
+++ b/packages/entry/src/membership/reachable-majority.ts
@@ -3,7 +3,7 @@
 import { rendezvousRank } from '../placement/rendezvous.js'
 
 /** Another member of the data centre as it is heard here. */
-export interface HeardMember {
+export interface ObservedMember {
   readonly instance: InstanceId
   readonly heard: boolean
   /** Whether its address refused a connection: it has ended, while one that is cut off gives no such answer. */
@@ -17,7 +17,7 @@
  * @param others - the other members of its data centre that are not gone
  * @returns whether this instance hears more than half of all; of two equal halves the one with the first by hashing
  */
-export function hearsMajority (self: InstanceId, others: readonly HeardMember[]): boolean {
+export function reachesMajority (self: InstanceId, others: readonly ObservedMember[]): boolean {
   const counted = others.filter((member) => member.heard || !member.refused)
   const side = [self, ...counted.filter((member) => member.heard).map((member) => member.instance)]
   const all = counted.length + 1
--- a/packages/entry/src/membership/remote-choice.ts
+++ b/packages/entry/src/membership/remote-peers.ts
@@ -3,10 +3,10 @@
 import { rendezvousRank } from '../placement/rendezvous.js'
 
 /** Two, so that one may fail; all of them would be 953 connections at 990 instances in 27 data centres. */
-const KEPT_PER_DATA_CENTRE = 2
+const PEERS_PER_DATA_CENTRE = 2
 
 /** An instance that may be chosen. */
-export interface Candidate {
+export interface RemoteCandidate {
   readonly instance: InstanceId
   readonly dataCentre: DataCentreId
 }
@@ -19,7 +19,7 @@
  * @param candidates - instances that are not gone
  * @returns at most two instances of each other data centre
  */
-export function chooseRemotes (chooser: InstanceId, dataCentre: DataCentreId, candidates: Iterable<Candidate>): ReadonlySet<InstanceId> {
+export function chooseRemotePeers (chooser: InstanceId, dataCentre: DataCentreId, candidates: Iterable<RemoteCandidate>): ReadonlySet<InstanceId> {
   const byDataCentre = new Map<DataCentreId, InstanceId[]>()
   for (const candidate of candidates) {
     if (candidate.dataCentre === dataCentre) continue
@@ -27,6 +27,6 @@
     if (group === undefined) byDataCentre.set(candidate.dataCentre, [candidate.instance])
     else group.push(candidate.instance)
   }
-  const chosen = [...byDataCentre.values()].flatMap((instances) => rendezvousRank(chooser, instances).slice(0, KEPT_PER_DATA_CENTRE))
+  const chosen = [...byDataCentre.values()].flatMap((instances) => rendezvousRank(chooser, instances).slice(0, PEERS_PER_DATA_CENTRE))
   return new Set(chosen)
 }
--- a/packages/entry/src/ownership/earlier-pins.ts
+++ b/packages/entry/src/ownership/earlier-pins.ts
@@ -36,7 +36,7 @@
    * @param known - whether a request was granted by the present owner
    * @param living - whether a member still runs and will say itself when its request ends
    */
-  takeReport (report: EngineReport, known: (requestId: RequestId) => boolean, living: (instance: InstanceId) => boolean): void {
+  applyReport (report: EngineReport, known: (requestId: RequestId) => boolean, living: (instance: InstanceId) => boolean): void {
     const running = new Set(report.running.map((request) => request.requestId))
     for (const pin of this.pins.values()) {
       const owned = pin.instance !== undefined && living(pin.instance)
@@ -50,7 +50,7 @@
   }
 
   /** Ends what no living member answers for, once the longest request time has passed. */
-  expire (living: (instance: InstanceId) => boolean): void {
+  removeOrphans (living: (instance: InstanceId) => boolean): void {
     for (const pin of this.pins.values()) {
       if (pin.instance === undefined || !living(pin.instance)) this.pins.delete(pin.requestId)
     }
--- a/packages/entry/src/ownership/endpoint-recoveries.ts
+++ b/packages/entry/src/ownership/endpoint-recoveries.ts
@@ -6,13 +6,13 @@
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 import type { EarlierPin } from './earlier-pins.js'
-import { EndpointRecovery, RECOVERY_TIMES } from './endpoint-recovery.js'
+import { EndpointRecovery, DEFAULT_RECOVERY_TIMES } from './endpoint-recovery.js'
 import type { RecoveryTimes } from './endpoint-recovery.js'
 import type { HandOverState } from './hand-over-source.js'
 import type { OwnershipRecord } from './ownership.js'
-import type { RecoveryGate, StoreOwnership } from './store-ownership.js'
+import type { RecoveryStatus, StoreOwnership } from './store-ownership.js'
 
-const LOOK_AGAIN_MILLISECONDS = 1_000
+const CHECK_INTERVAL_MILLISECONDS = 1_000
 
 /** What the recoveries are made of. */
 export interface EndpointRecoveriesOptions {
@@ -23,7 +23,7 @@
   readonly engines: () => readonly EngineSettings[] | undefined
   readonly clientOf: (engine: EngineSettings) => EngineClient
   /** Whether this instance, as owner of the endpoint, granted a request itself. */
-  readonly granted: (endpoint: EndpointId, requestId: RequestId) => boolean
+  readonly hasGranted: (endpoint: EndpointId, requestId: RequestId) => boolean
   readonly longestRequestMilliseconds: () => number
   readonly logger: Logger
   readonly clock?: Clock
@@ -37,7 +37,7 @@
 interface Running {
   readonly recovery: EndpointRecovery
   readonly stopping: AbortController
-  readonly arrived: Wake
+  readonly handOverArrived: Wake
 }
 
 /** Starts a recovery for each record that becomes this instance's and answers what may be done meanwhile. */
@@ -55,16 +55,16 @@
     this.clock = options.clock ?? new SystemClock()
     this.logger = options.logger.part('recovery')
     this.tasks = new TaskGroup(this.logger)
-    options.ownership.useRecovery((record) => this.gate(record))
+    options.ownership.setRecoveryStatus((record) => this.statusOf(record))
     options.ownership.onChange(() => this.wake.notify())
-    options.peers.onNotice('admission-done', (_, frame) => this.running.get(frame.endpoint)?.recovery.pinEnded(frame.requestId))
+    options.peers.onNotice('admission-done', (_, frame) => this.running.get(frame.endpoint)?.recovery.endPin(frame.requestId))
   }
 
   /** Follows ownership until the signal ends it. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.follow()
-      await this.wake.wait(LOOK_AGAIN_MILLISECONDS, signal)
+      this.syncWithOwnership()
+      await this.wake.wait(CHECK_INTERVAL_MILLISECONDS, signal)
     }
     for (const { stopping } of this.running.values()) stopping.abort()
     await this.tasks.settle()
@@ -81,20 +81,20 @@
   }
 
   /** Takes up a hand-over; the record must be in force here. */
-  handedOver (record: OwnershipRecord, state: HandOverState, recovered: boolean): void {
+  applyHandOver (record: OwnershipRecord, state: HandOverState, recovered: boolean): void {
     const running = this.start(record)
     if (running === undefined) return
-    running.recovery.handedOver(state.pins, recovered)
-    running.arrived.notify()
+    running.recovery.applyHandOver(state.pins, recovered)
+    running.handOverArrived.notify()
   }
 
-  private gate (record: OwnershipRecord): RecoveryGate {
+  private statusOf (record: OwnershipRecord): RecoveryStatus {
     const recovery = this.running.get(record.endpoint)?.recovery
     if (recovery === undefined || recovery.record.token !== record.token) return { fenced: false, recovered: false }
     return recovery
   }
 
-  private follow (): void {
+  private syncWithOwnership (): void {
     const owned = new Map(this.options.ownership.owned().map((record) => [record.endpoint, record]))
     for (const [endpoint, { recovery, stopping }] of this.running) {
       if (owned.get(endpoint)?.token === recovery.record.token) continue
@@ -110,21 +110,21 @@
     const engine = this.options.engines()?.find((candidate) => candidate.endpoint === record.endpoint)
     if (engine === undefined) return undefined
     present?.stopping.abort()
-    const running: Running = { recovery: this.recoveryOf(record, engine), stopping: new AbortController(), arrived: new Wake() }
+    const running: Running = { recovery: this.createRecovery(record, engine), stopping: new AbortController(), handOverArrived: new Wake() }
     this.running.set(record.endpoint, running)
     this.tasks.spawn('recovery', async () => await this.recover(running))
     return running
   }
 
   /** A clean hand-over brings the pins; when it does not come, its sender was lost on the way. */
-  private async recover ({ recovery, stopping, arrived }: Running): Promise<void> {
+  private async recover ({ recovery, stopping, handOverArrived: arrived }: Running): Promise<void> {
     if (recovery.record.handedOverFrom !== undefined && !recovery.recovered) {
       await arrived.wait(this.options.handOverWaitMilliseconds ?? 2_000, stopping.signal)
     }
     await recovery.run(stopping.signal)
   }
 
-  private recoveryOf (record: OwnershipRecord, engine: EngineSettings): EndpointRecovery {
+  private createRecovery (record: OwnershipRecord, engine: EngineSettings): EndpointRecovery {
     return new EndpointRecovery({
       record,
       engine,
@@ -134,8 +134,8 @@
       clock: this.clock,
       logger: this.logger,
       random: this.options.random ?? Math.random,
-      times: this.options.times ?? RECOVERY_TIMES,
-      granted: (requestId) => this.options.granted(record.endpoint, requestId),
+      times: this.options.times ?? DEFAULT_RECOVERY_TIMES,
+      hasGranted: (requestId) => this.options.hasGranted(record.endpoint, requestId),
       longestRequestMilliseconds: this.options.longestRequestMilliseconds
     })
   }
--- a/packages/entry/src/ownership/endpoint-recovery.ts
+++ b/packages/entry/src/ownership/endpoint-recovery.ts
@@ -9,22 +9,22 @@
 import type { OwnershipRecord } from './ownership.js'
 
 const BACKOFF = { first: 100, largest: 2_000 }
-const ASKS_AT_ONCE = 32
+const MAXIMUM_CONCURRENT_CALLS = 32
 
 /** Times of a recovery, milliseconds. */
 export interface RecoveryTimes {
   /** How long one ask may take. */
-  readonly ask: number
+  readonly callTimeout: number
   /** How long no new member may appear after all have answered: the list lags, and so does who is known here. */
   readonly settle: number
   /** How far the engine's wall clock may be from this one. */
-  readonly clockMargin: number
+  readonly maximumClockSkew: number
   /** Between reads of the engine's report. */
-  readonly report: number
+  readonly reportInterval: number
 }
 
 /** The times in use unless told otherwise. */
-export const RECOVERY_TIMES: RecoveryTimes = { ask: 2_000, settle: 5_000, clockMargin: 2_000, report: 1_000 }
+export const DEFAULT_RECOVERY_TIMES: RecoveryTimes = { callTimeout: 2_000, settle: 5_000, maximumClockSkew: 2_000, reportInterval: 1_000 }
 
 /** What a recovery is made of. */
 export interface EndpointRecoveryOptions {
@@ -38,7 +38,7 @@
   readonly random: () => number
   readonly times: RecoveryTimes
   /** Whether this instance granted a request under the record. */
-  readonly granted: (requestId: RequestId) => boolean
+  readonly hasGranted: (requestId: RequestId) => boolean
   readonly longestRequestMilliseconds: () => number
 }
 
@@ -59,15 +59,15 @@
   private readonly pins = new EarlierPins()
   private readonly answered = new Set<InstanceId>()
   /** When every member had answered or was gone; what ran before that ends within the longest request time of it. */
-  private settled: { readonly monotonic: number, readonly wall: number } | undefined
+  private membersSettledAt: { readonly monotonic: number, readonly wall: number } | undefined
   /** The longest request time that was in force since the recovery began: a request keeps the one that it came with. */
-  private longestMilliseconds: number
+  private maximumRequestMilliseconds: number
 
   /** @param options - record and surroundings */
   constructor (options: EndpointRecoveryOptions) {
     this.options = options
     this.record = options.record
-    this.longestMilliseconds = options.longestRequestMilliseconds()
+    this.maximumRequestMilliseconds = options.longestRequestMilliseconds()
     // Names that carry the token do the work of fencing where the engine ignores tokens.
     this.fenced = options.engine.fencing === 'ignores'
   }
@@ -78,7 +78,7 @@
   }
 
   /** Takes up what the earlier owner handed over; nothing is left to ask when it knew all pins itself. */
-  handedOver (pins: readonly EarlierPin[], recovered: boolean): void {
+  applyHandOver (pins: readonly EarlierPin[], recovered: boolean): void {
     this.pins.add(pins)
     if (!recovered) return
     this.fenced = true
@@ -91,7 +91,7 @@
   }
 
   /** Ends a pin by its member's word. */
-  pinEnded (requestId: RequestId): void {
+  endPin (requestId: RequestId): void {
     this.pins.end(requestId)
   }
 
@@ -116,19 +116,19 @@
 
   private async recover (signal: AbortSignal): Promise<void> {
     if (!this.recovered) {
-      await this.askAll(signal)
-      await this.takeFirstReport(signal)
+      await this.collectPins(signal)
+      await this.awaitConclusiveReport(signal)
     }
-    if (this.settled === undefined) this.settle()
+    if (this.membersSettledAt === undefined) this.settle()
     // A member that is gone later leaves its pins to the report as well.
     while (!signal.aborted && this.pins.all().length > 0) {
-      await this.options.clock.sleep(this.options.times.report, signal)
-      if (this.pins.hasOrphans(this.living)) await this.youngReport()
+      await this.options.clock.sleep(this.options.times.reportInterval, signal)
+      if (this.pins.hasOrphans(this.isLiving)) await this.applyFreshReport()
     }
   }
 
   /** Asks until every member has answered or is gone, and no new one has appeared for a while. */
-  private async askAll (signal: AbortSignal): Promise<void> {
+  private async collectPins (signal: AbortSignal): Promise<void> {
     const { clock, times, random } = this.options
     const backoff = new Backoff(BACKOFF, random)
     let settledAt = clock.now()
@@ -139,7 +139,7 @@
         await clock.sleep(Math.min(times.settle / 4, BACKOFF.largest), signal)
         continue
       }
-      await forEachLimited(waiting, ASKS_AT_ONCE, async (instance) => await this.ask(instance, signal))
+      await forEachLimited(waiting, MAXIMUM_CONCURRENT_CALLS, async (instance) => await this.collectPinsFrom(instance, signal))
       settledAt = clock.now()
       if (this.unanswered().length > 0) await clock.sleep(backoff.next(), signal)
       else backoff.reset()
@@ -148,7 +148,7 @@
 
   private settle (): void {
     const { clock } = this.options
-    this.settled = { monotonic: clock.now(), wall: clock.wallTime() }
+    this.membersSettledAt = { monotonic: clock.now(), wall: clock.wallTime() }
   }
 
   private unanswered (): readonly InstanceId[] {
@@ -156,10 +156,10 @@
     return membership.members().map((member) => member.instance).filter((instance) => !this.answered.has(instance))
   }
 
-  private async ask (instance: InstanceId, signal: AbortSignal): Promise<void> {
+  private async collectPinsFrom (instance: InstanceId, signal: AbortSignal): Promise<void> {
     const { peers, times } = this.options
     const { endpoint, token } = this.record
-    const answer = await peers.call(instance, { kind: 'pins-ask', endpoint, token }, times.ask, signal)
+    const answer = await peers.call(instance, { kind: 'pins-ask', endpoint, token }, times.callTimeout, signal)
     if (answer.isErr() || answer.value.kind !== 'pins-report') return
     this.pins.add(answer.value.pins.map((pin) => ({ ...pin, instance })))
     this.answered.add(instance)
@@ -169,38 +169,38 @@
    * Requests of members that are gone show only in the engine's report: one made after all else was settled, since an
    * earlier one may lack what such a member started last, and with nothing queued, since the queue has no names.
    */
-  private async takeFirstReport (signal: AbortSignal): Promise<void> {
+  private async awaitConclusiveReport (signal: AbortSignal): Promise<void> {
     const { clock, times, logger } = this.options
     while (!signal.aborted && !this.recovered) {
-      const report = await this.youngReport()
-      if ((report !== undefined && report.queued === 0) || this.longestPassed()) {
+      const report = await this.applyFreshReport()
+      if ((report !== undefined && report.queued === 0) || this.hasLongestRequestTimePassed()) {
         this.recovered = true
         logger.info('An endpoint is recovered.', { endpoint: this.record.endpoint, earlierPins: this.pins.all().length })
         return
       }
-      await clock.sleep(times.report, signal)
+      await clock.sleep(times.reportInterval, signal)
     }
   }
 
-  private async youngReport (): Promise<EngineReport | undefined> {
-    if (this.longestPassed()) {
-      this.pins.expire(this.living)
+  private async applyFreshReport (): Promise<EngineReport | undefined> {
+    if (this.hasLongestRequestTimePassed()) {
+      this.pins.removeOrphans(this.isLiving)
       return undefined
     }
     const report = await this.options.client.report()
-    if (report.isErr() || this.settled === undefined) return undefined
-    if (report.value.madeAt <= this.settled.wall + this.options.times.clockMargin) return undefined
-    this.pins.takeReport(report.value, this.options.granted, this.living)
+    if (report.isErr() || this.membersSettledAt === undefined) return undefined
+    if (report.value.madeAt <= this.membersSettledAt.wall + this.options.times.maximumClockSkew) return undefined
+    this.pins.applyReport(report.value, this.options.hasGranted, this.isLiving)
     return report.value
   }
 
-  private longestPassed (): boolean {
-    this.longestMilliseconds = Math.max(this.longestMilliseconds, this.options.longestRequestMilliseconds())
-    if (this.settled === undefined) return false
-    return this.options.clock.now() - this.settled.monotonic > this.longestMilliseconds
+  private hasLongestRequestTimePassed (): boolean {
+    this.maximumRequestMilliseconds = Math.max(this.maximumRequestMilliseconds, this.options.longestRequestMilliseconds())
+    if (this.membersSettledAt === undefined) return false
+    return this.options.clock.now() - this.membersSettledAt.monotonic > this.maximumRequestMilliseconds
   }
 
-  private readonly living = (instance: InstanceId): boolean => {
+  private readonly isLiving = (instance: InstanceId): boolean => {
     const member = this.options.membership.member(instance)
     return member !== undefined && member.state !== 'gone'
   }
--- a/packages/entry/src/ownership/hand-over-source.ts
+++ b/packages/entry/src/ownership/hand-over-source.ts
@@ -20,10 +20,10 @@
 /** The scheduler's side of a hand-over. */
 export abstract class HandOverSource {
   /** Stops orders and waits for the answers of those under way; grants for what is loaded go on. */
-  abstract freeze (endpoint: EndpointId): Promise<void>
+  abstract pauseOrders (endpoint: EndpointId): Promise<void>
 
   /** Gives orders again, after a hand-over that was not written. */
-  abstract resume (endpoint: EndpointId): void
+  abstract resumeOrders (endpoint: EndpointId): void
 
   /** Stops grants, lets asks wait and tells what is loaded and pinned. */
   abstract state (endpoint: EndpointId): HandOverState
--- a/packages/entry/src/ownership/confirmation.ts
+++ b/packages/entry/src/ownership/ownership-confirmation.ts
@@ -1,18 +1,18 @@
 /** Whether this instance's picture of the owners was still the newest a moment ago. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
-import type { Moment } from './ownership-writer.js'
+import type { ClockReading } from './ownership-writer.js'
 
-interface PeerWord {
+interface PeerSequence {
   readonly sequence: number
-  readonly saidAfter: Moment
+  readonly statedAfter: ClockReading
 }
 
 /** Collects what proves that nobody else has written. */
-export class Confirmation {
+export class OwnershipConfirmation {
   private readonly clock: Clock
   private readonly validMilliseconds: number
-  private readonly words = new Map<InstanceId, PeerWord>()
-  private store: Moment | undefined
+  private readonly peerSequences = new Map<InstanceId, PeerSequence>()
+  private store: ClockReading | undefined
 
   /**
    * @param clock - dates the proofs
@@ -24,18 +24,18 @@
   }
 
   /** Notes that the store held nothing newer at a moment. */
-  byStore (moment: Moment): void {
+  confirmByStore (moment: ClockReading): void {
     this.store = moment
   }
 
   /** Notes the newest sequence that a peer knew or was writing after a moment. */
-  byPeer (instance: InstanceId, sequence: number, saidAfter: Moment): void {
-    this.words.set(instance, { sequence, saidAfter })
+  recordPeerSequence (instance: InstanceId, sequence: number, saidAfter: ClockReading): void {
+    this.peerSequences.set(instance, { sequence, statedAfter: saidAfter })
   }
 
   /** @returns whether the store itself was seen in time */
-  storeFresh (): boolean {
-    return this.fresh(this.store)
+  isConfirmedByStore (): boolean {
+    return this.isRecent(this.store)
   }
 
   /**
@@ -44,21 +44,21 @@
    * @returns whether store or peers prove that there was none
    */
   holds (sequence: number, others: readonly InstanceId[]): boolean {
-    return this.storeFresh() || this.heldByPeers(sequence, others)
+    return this.isConfirmedByStore() || this.isConfirmedByPeers(sequence, others)
   }
 
   /** @returns whether every one of the others has said in time that it knows nothing newer */
-  heldByPeers (sequence: number, others: readonly InstanceId[]): boolean {
+  isConfirmedByPeers (sequence: number, others: readonly InstanceId[]): boolean {
     return others.every((instance) => {
-      const word = this.words.get(instance)
-      return word !== undefined && word.sequence <= sequence && this.fresh(word.saidAfter)
+      const word = this.peerSequences.get(instance)
+      return word !== undefined && word.sequence <= sequence && this.isRecent(word.statedAfter)
     })
   }
 
   /** Forgets instances that are gone. */
   keepOnly (instances: ReadonlySet<InstanceId>): void {
-    for (const instance of this.words.keys()) {
-      if (!instances.has(instance)) this.words.delete(instance)
+    for (const instance of this.peerSequences.keys()) {
+      if (!instances.has(instance)) this.peerSequences.delete(instance)
     }
   }
 
@@ -66,7 +66,7 @@
    * Both clocks must agree that the proof is young: the monotonic one stands still while a virtual machine is
    * suspended, and the wall clock may be set back. A pause of any kind therefore makes every proof old at once.
    */
-  private fresh (moment: Moment | undefined): boolean {
+  private isRecent (moment: ClockReading | undefined): boolean {
     if (moment === undefined) return false
     const monotonicAge = this.clock.now() - moment.monotonic
     const wallAge = Math.abs(this.clock.wallTime() - moment.wall)
--- a/packages/entry/src/ownership/ownership-plan.ts
+++ b/packages/entry/src/ownership/ownership-plan.ts
@@ -5,10 +5,10 @@
 import type { OwnershipRecord } from './ownership.js'
 
 /** An owner may hold this much more than an even share before endpoints are moved away from it. */
-const SHARE_BOUND = 1.25
+const MAXIMUM_SHARE_FACTOR = 1.25
 
 /** What a plan is made from. */
-export interface PlanGround {
+export interface PlanInput {
   /** The data centre's endpoints by the settings in force. */
   readonly endpoints: readonly EndpointId[]
   /** Instances that may be given endpoints. */
@@ -16,7 +16,7 @@
   /** Whether an owner has been lost, so that its endpoints are to be taken over. */
   readonly lost: (owner: InstanceId) => boolean
   /** No token below this is given: guards against a store restored after all memory was lost. */
-  readonly tokenFloor: number
+  readonly minimumToken: number
 }
 
 /** What a write changes of an ownership object. */
@@ -30,7 +30,7 @@
  * @param ground - what to plan from
  * @returns the change, or undefined when there is nothing to change
  */
-export function planTakeOver (object: OwnershipObject, ground: PlanGround): OwnershipChange | undefined {
+export function planTakeOver (object: OwnershipObject, ground: PlanInput): OwnershipChange | undefined {
   const known = new Set<string>(ground.endpoints)
   const kept = object.records.filter((record) => known.has(record.endpoint) && !ground.lost(record.owner))
   const owned = new Set<string>(kept.map((record) => record.endpoint))
@@ -38,7 +38,7 @@
   if (ground.candidates.length === 0) return undefined
   if (open.length === 0 && kept.length === object.records.length) return undefined
   const placed = place(open, kept, ground)
-  let nextToken = Math.max(object.nextToken, ground.tokenFloor)
+  let nextToken = Math.max(object.nextToken, ground.minimumToken)
   const records = placed.map(({ endpoint, owner }): OwnershipRecord => {
     const token = nextToken as FencingToken
     nextToken += 1
@@ -56,7 +56,7 @@
  * @param ground - what to plan from
  * @returns the change, or undefined when nothing can be moved
  */
-export function planHandOver (object: OwnershipObject, owner: InstanceId, endpoints: readonly EndpointId[], ground: PlanGround): OwnershipChange | undefined {
+export function planHandOver (object: OwnershipObject, owner: InstanceId, endpoints: readonly EndpointId[], ground: PlanInput): OwnershipChange | undefined {
   const others = ground.candidates.filter((candidate) => candidate !== owner)
   if (others.length === 0) return undefined
   const moving = new Set<string>(endpoints)
@@ -64,7 +64,7 @@
   if (moved.length === 0) return undefined
   const kept = object.records.filter((record) => !moved.includes(record))
   const earlier = new Map(moved.map((record) => [record.endpoint, record.token]))
-  let nextToken = Math.max(object.nextToken, ground.tokenFloor)
+  let nextToken = Math.max(object.nextToken, ground.minimumToken)
   const records = place([...earlier.keys()], kept, { ...ground, candidates: others }).map(({ endpoint, owner: next }): OwnershipRecord => {
     const token = nextToken as FencingToken
     nextToken += 1
@@ -74,24 +74,24 @@
 }
 
 /** @returns which of an owner's endpoints it should hand over because it holds far more than its share */
-export function surplusOf (object: OwnershipObject, owner: InstanceId, ground: PlanGround): readonly EndpointId[] {
+export function surplusOf (object: OwnershipObject, owner: InstanceId, ground: PlanInput): readonly EndpointId[] {
   const owned = object.records.filter((record) => record.owner === owner).map((record) => record.endpoint)
-  const surplus = owned.length - shareBound(ground)
+  const surplus = owned.length - maximumShare(ground)
   if (surplus <= 0 || ground.candidates.length < 2) return []
   // Those that hashing would place elsewhere go first, so that they need not move again.
   const misplaced = (endpoint: EndpointId): number => rendezvousRank(endpoint, ground.candidates)[0] === owner ? 1 : 0
   return [...owned].sort((one, other) => misplaced(one) - misplaced(other)).slice(0, surplus)
 }
 
-function shareBound (ground: PlanGround): number {
-  return Math.ceil(SHARE_BOUND * ground.endpoints.length / ground.candidates.length)
+function maximumShare (ground: PlanInput): number {
+  return Math.ceil(MAXIMUM_SHARE_FACTOR * ground.endpoints.length / ground.candidates.length)
 }
 
 /** Rendezvous hashing with bounded load: the first choice that is not full. */
-function place (endpoints: readonly EndpointId[], kept: readonly OwnershipRecord[], ground: PlanGround): { endpoint: EndpointId, owner: InstanceId }[] {
+function place (endpoints: readonly EndpointId[], kept: readonly OwnershipRecord[], ground: PlanInput): { endpoint: EndpointId, owner: InstanceId }[] {
   const load = new Map<InstanceId, number>()
   for (const record of kept) load.set(record.owner, (load.get(record.owner) ?? 0) + 1)
-  const bound = shareBound(ground)
+  const bound = maximumShare(ground)
   return endpoints.map((endpoint) => {
     const ranked = rendezvousRank(endpoint, ground.candidates)
     const owner = ranked.find((candidate) => (load.get(candidate) ?? 0) < bound) ?? ranked[0]
--- a/packages/entry/src/ownership/ownership-writer.ts
+++ b/packages/entry/src/ownership/ownership-writer.ts
@@ -10,23 +10,23 @@
 import type { OwnershipChange } from './ownership-plan.js'
 
 const BACKOFF = { first: 100, largest: 5_000 }
-const MOST_CONFLICTS = 8
+const MAXIMUM_CONFLICTS = 8
 
 /** When a state of the store was certainly in force. */
-export interface Moment {
+export interface ClockReading {
   readonly monotonic: number
   readonly wall: number
 }
 
 /** What the writer needs from the ownership that it works for. */
-export interface WriterSurroundings {
+export interface OwnershipWriterDependencies {
   readonly store: ObjectStore
   readonly clock: Clock
   readonly random: () => number
   /** The newest state known here. */
-  readonly known: () => OwnershipObject
+  readonly latestKnown: () => OwnershipObject
   /** Takes up a state; the moment says when the store held nothing newer. */
-  readonly adopt: (object: OwnershipObject, confirmedAt: Moment) => void
+  readonly adopt: (object: OwnershipObject, confirmedAt: ClockReading) => void
 }
 
 interface ReadState {
@@ -38,13 +38,13 @@
 export class OwnershipWriter {
   /** Whether the last call to the store was answered. */
   storeReachable = true
-  private readonly surroundings: WriterSurroundings
+  private readonly dependencies: OwnershipWriterDependencies
   private pending: OwnershipObject | undefined
-  private last: Promise<unknown> = Promise.resolve()
+  private lastOperation: Promise<unknown> = Promise.resolve()
 
-  /** @param surroundings - store, clock and what is known */
-  constructor (surroundings: WriterSurroundings) {
-    this.surroundings = surroundings
+  /** @param dependencies - store, clock and what is known */
+  constructor (dependencies: OwnershipWriterDependencies) {
+    this.dependencies = dependencies
   }
 
   /** @returns the sequence of a write whose fate is open, 0 when there is none */
@@ -54,7 +54,7 @@
 
   /** Reads the object and takes it up. */
   async read (): Promise<Result<void, LimpetwinchError>> {
-    return await this.inTurn(async () => (await this.readOnce()).map(() => undefined))
+    return await this.runExclusively(async () => (await this.readOnce()).map(() => undefined))
   }
 
   /**
@@ -65,24 +65,24 @@
    * @returns the newest state after it, or the store's error when nothing was written
    */
   async update (change: (newest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
-    return await this.inTurn(async () => await this.updateInTurn(change, signal))
+    return await this.runExclusively(async () => await this.updateExclusively(change, signal))
   }
 
-  private async updateInTurn (change: (newest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
+  private async updateExclusively (change: (newest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
     let unsettled = false
-    for (let conflicts = 0; conflicts < MOST_CONFLICTS; conflicts += 1) {
+    for (let conflicts = 0; conflicts < MAXIMUM_CONFLICTS; conflicts += 1) {
       const read = unsettled ? await this.readUntilAnswered(signal) : await this.readOnce()
       if (read.isErr()) return err(read.error)
       const { stored, storeVersion } = read.value
-      if (this.pending !== undefined && stored?.writeId === this.pending.writeId) return ok(this.settled(this.pending))
-      const newest = this.surroundings.known()
+      if (this.pending !== undefined && stored?.writeId === this.pending.writeId) return ok(this.clearPending(this.pending))
+      const newest = this.dependencies.latestKnown()
       const restored = isNewer(newest, stored ?? emptyOwnership(newest.dataCentre))
       // A write that was lost may still arrive, as it names the version that is still there. Another write on the same
       // version settles it: the store lets only one of the two through.
       const wanted = change(newest) ?? (restored || unsettled ? newest : undefined)
       if (wanted === undefined) return ok(newest)
       const written = await this.write(newest, wanted, storeVersion)
-      if (written.isOk()) return ok(this.settled(written.value))
+      if (written.isOk()) return ok(this.clearPending(written.value))
       if (written.error.kind === 'store-answer-lost') unsettled = true
       else if (written.error.kind !== 'version-conflict') return this.failed(written.error, unsettled)
     }
@@ -90,7 +90,7 @@
   }
 
   private async write (newest: OwnershipObject, change: OwnershipChange, storeVersion: number): Promise<Result<OwnershipObject, LimpetwinchError>> {
-    const { store, known } = this.surroundings
+    const { store, latestKnown: known } = this.dependencies
     const { dataCentre } = newest
     const object: OwnershipObject = {
       dataCentre,
@@ -100,11 +100,11 @@
       records: change.records
     }
     this.pending = object
-    const began = this.moment()
+    const began = this.readClocks()
     const answer = await store.put({ path: ownershipPath(dataCentre), ifVersion: storeVersion, value: object })
     this.storeReachable = answer.isOk() || answer.error.kind === 'version-conflict'
     return answer.map(() => {
-      this.surroundings.adopt(object, began)
+      this.dependencies.adopt(object, began)
       return object
     })
   }
@@ -115,45 +115,45 @@
     return err(error)
   }
 
-  private settled (object: OwnershipObject): OwnershipObject {
+  private clearPending (object: OwnershipObject): OwnershipObject {
     this.pending = undefined
     return object
   }
 
   private async readUntilAnswered (signal: AbortSignal): Promise<Result<ReadState, LimpetwinchError>> {
-    const backoff = new Backoff(BACKOFF, this.surroundings.random)
+    const backoff = new Backoff(BACKOFF, this.dependencies.random)
     for (;;) {
       const read = await this.readOnce()
       if (read.isOk() || signal.aborted) return read
-      await this.surroundings.clock.sleep(backoff.next(), signal)
+      await this.dependencies.clock.sleep(backoff.next(), signal)
     }
   }
 
   private async readOnce (): Promise<Result<ReadState, LimpetwinchError>> {
-    const began = this.moment()
-    const { dataCentre } = this.surroundings.known()
-    const answer = await this.surroundings.store.get(ownershipPath(dataCentre))
+    const began = this.readClocks()
+    const { dataCentre } = this.dependencies.latestKnown()
+    const answer = await this.dependencies.store.get(ownershipPath(dataCentre))
     this.storeReachable = answer.isOk()
-    return answer.map((object) => this.takeRead(object, began))
+    return answer.map((object) => this.applyRead(object, began))
   }
 
-  private takeRead (object: StoredObject | undefined, began: Moment): ReadState {
+  private applyRead (object: StoredObject | undefined, began: ClockReading): ReadState {
     const stored = object === undefined ? undefined : parseOwnership(object.value)
-    this.surroundings.adopt(stored ?? emptyOwnership(this.surroundings.known().dataCentre), began)
+    this.dependencies.adopt(stored ?? emptyOwnership(this.dependencies.latestKnown().dataCentre), began)
     return { storeVersion: object?.version ?? 0, stored }
   }
 
-  private moment (): Moment {
-    return { monotonic: this.surroundings.clock.now(), wall: this.surroundings.clock.wallTime() }
+  private readClocks (): ClockReading {
+    return { monotonic: this.dependencies.clock.now(), wall: this.dependencies.clock.wallTime() }
   }
 
-  private async inTurn<Value> (work: () => Promise<Value>): Promise<Value> {
-    const before = this.last
+  private async runExclusively<Value> (work: () => Promise<Value>): Promise<Value> {
+    const before = this.lastOperation
     const mine = (async () => {
       await before
       return await work()
     })()
-    this.last = mine.catch(() => undefined)
+    this.lastOperation = mine.catch(() => undefined)
     return await mine
   }
 }
--- a/packages/entry/src/ownership/remote-ownership.ts
+++ b/packages/entry/src/ownership/remote-ownership.ts
@@ -4,7 +4,7 @@
 import type { OwnershipObject } from './ownership-object.js'
 import type { OwnershipRecord } from './ownership.js'
 
-const READ_AGAIN_MILLISECONDS = 10_000
+const READ_INTERVAL_MILLISECONDS = 10_000
 
 /** Objects of other data centres; stale by up to ten seconds, which the owner asked answers with `not-owner`. */
 export class RemoteOwnership {
@@ -29,7 +29,7 @@
   }
 
   /** @returns whether an object that a peer passed on was newer */
-  take (object: OwnershipObject): boolean {
+  applyIfNewer (object: OwnershipObject): boolean {
     const present = this.objects.get(object.dataCentre)
     if (present !== undefined && !isNewer(object, present)) return false
     this.objects.set(object.dataCentre, object)
@@ -38,7 +38,7 @@
 
   private refresh (dataCentre: DataCentreId): void {
     const now = this.clock.now()
-    if (now - (this.readAt.get(dataCentre) ?? -Infinity) < READ_AGAIN_MILLISECONDS) return
+    if (now - (this.readAt.get(dataCentre) ?? -Infinity) < READ_INTERVAL_MILLISECONDS) return
     this.readAt.set(dataCentre, now)
     this.readOnce(dataCentre)
   }
@@ -47,6 +47,6 @@
     const stored = await this.store.get(ownershipPath(dataCentre))
     // Through an outage the last state stays; its owners answer for themselves.
     const object = stored.isOk() ? parseOwnership(stored.value?.value) : undefined
-    if (object !== undefined) this.take(object)
+    if (object !== undefined) this.applyIfNewer(object)
   }
 }
--- a/packages/entry/src/peers/connection-table.ts
+++ b/packages/entry/src/peers/connection-table.ts
@@ -27,7 +27,7 @@
   /** Takes a connection out after its end. */
   remove (connection: PeerConnection): void {
     const { instance } = connection.peer
-    this.heard.set(instance, Math.max(connection.lastHeard, this.heard.get(instance) ?? -Infinity))
+    this.heard.set(instance, Math.max(connection.lastContactAt, this.heard.get(instance) ?? -Infinity))
     const left = (this.connections.get(instance) ?? []).filter((other) => other !== connection)
     if (left.length === 0) this.connections.delete(instance)
     else this.connections.set(instance, left)
@@ -45,8 +45,8 @@
   }
 
   /** @returns when the last frame of a peer came in on any connection, monotonic milliseconds */
-  lastHeard (instance: InstanceId): number | undefined {
-    const live = (this.connections.get(instance) ?? []).map((connection) => connection.lastHeard)
+  lastContactAt (instance: InstanceId): number | undefined {
+    const live = (this.connections.get(instance) ?? []).map((connection) => connection.lastContactAt)
     const ended = this.heard.get(instance)
     const times = ended === undefined ? live : [...live, ended]
     return times.length === 0 ? undefined : Math.max(...times)
--- a/packages/entry/src/peers/frame-codec.ts
+++ b/packages/entry/src/peers/frame-codec.ts
@@ -7,7 +7,7 @@
 import { FRAME_FIELDS, FRAME_KINDS, FRAME_SCHEMAS } from './frame-schemas.js'
 
 /** Largest body of a frame, bytes: above the platform's largest value, a megabyte, with room for its wrapping. */
-export const LARGEST_FRAME_BYTES = 4 * 1024 * 1024
+export const MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
 
 const LENGTH_BYTES = 4
 
@@ -28,7 +28,7 @@
 export function encodeFrame (frame: PeerFrame): Result<Buffer, LimpetwinchError> {
   const fields = frame as unknown as Record<string, unknown>
   const body = codec.encode([FRAME_KINDS.indexOf(frame.kind), ...FRAME_FIELDS[frame.kind].map((field) => fields[field])])
-  if (body.length > LARGEST_FRAME_BYTES) return err(badFrame(`${frame.kind} of ${body.length} bytes is too large`))
+  if (body.length > MAXIMUM_FRAME_BYTES) return err(badFrame(`${frame.kind} of ${body.length} bytes is too large`))
   const bytes = Buffer.allocUnsafe(LENGTH_BYTES + body.length)
   bytes.writeUInt32BE(body.length, 0)
   body.copy(bytes, LENGTH_BYTES)
@@ -71,7 +71,7 @@
     if (this.waiting.length < LENGTH_BYTES) return ok(undefined)
     const length = this.waiting.readUInt32BE(0)
     // Refused before it is buffered: a wrong length would otherwise hold memory until the connection ends.
-    if (length > LARGEST_FRAME_BYTES) return err(badFrame(`a length of ${length} bytes`))
+    if (length > MAXIMUM_FRAME_BYTES) return err(badFrame(`a length of ${length} bytes`))
     this.needed = LENGTH_BYTES + length
     if (this.waiting.length < this.needed) return ok(undefined)
     const bytes = this.needed
--- a/packages/entry/src/peers/frame-dispatcher.ts
+++ b/packages/entry/src/peers/frame-dispatcher.ts
@@ -46,7 +46,7 @@
   }
 
   /** Delivers a notice. */
-  notice (from: InstanceId, frame: NoticeFrame): void {
+  deliverNotice (from: InstanceId, frame: NoticeFrame): void {
     for (const handler of this.notices.get(frame.kind) ?? []) {
       try {
         handler(from, frame)
--- a/packages/entry/src/peers/handshake.ts
+++ b/packages/entry/src/peers/handshake.ts
@@ -12,7 +12,7 @@
 import type { PeerIdentity } from './peer-links.js'
 
 /** A socket on which both have said who they are. */
-export interface Handshaken {
+export interface HandshakeResult {
   readonly hello: HelloFrame
   /** What comes after the hello. */
   readonly frames: AsyncGenerator<DecodedFrame, void>
@@ -53,7 +53,7 @@
  * @param counter - counts the hellos
  * @returns the peer's hello, or `bad-frame`; the socket is destroyed then
  */
-export async function handshake (socket: Socket, self: PeerIdentity, dialled: boolean, timeoutMilliseconds: number, counter: FrameCounter): Promise<Result<Handshaken, LimpetwinchError>> {
+export async function handshake (socket: Socket, self: PeerIdentity, dialled: boolean, timeoutMilliseconds: number, counter: FrameCounter): Promise<Result<HandshakeResult, LimpetwinchError>> {
   const frames = framesOf(socket)
   const timer = setTimeout(() => { socket.destroy() }, timeoutMilliseconds)
   try {
--- a/packages/entry/src/peers/outstanding-calls.ts
+++ b/packages/entry/src/peers/outstanding-calls.ts
@@ -41,8 +41,8 @@
     this.lastNumber += 1
     const number = this.lastNumber
     return await new Promise<CallResult>((resolve) => {
-      const timer = setTimeout(() => this.giveUp(number, 'no answer in time'), limits.timeoutMilliseconds)
-      const abandon = (): void => this.giveUp(number, 'given up')
+      const timer = setTimeout(() => this.fail(number, 'no answer in time'), limits.timeoutMilliseconds)
+      const abandon = (): void => this.fail(number, 'given up')
       const call: OutstandingCall = {
         written: false,
         settle: (result) => {
@@ -54,8 +54,8 @@
       }
       this.calls.set(number, call)
       limits.signal?.addEventListener('abort', abandon)
-      if (limits.signal?.aborted === true) return this.giveUp(number, 'given up')
-      if (!write(number, () => { call.written = true })) this.giveUp(number, 'its send queue is full')
+      if (limits.signal?.aborted === true) return this.fail(number, 'given up')
+      if (!write(number, () => { call.written = true })) this.fail(number, 'its send queue is full')
     })
   }
 
@@ -66,11 +66,11 @@
   }
 
   /** Ends all calls because the connection has ended. */
-  connectionEnded (reason: string): void {
-    for (const number of [...this.calls.keys()]) this.giveUp(number, reason)
+  failAll (reason: string): void {
+    for (const number of [...this.calls.keys()]) this.fail(number, reason)
   }
 
-  private giveUp (number: number, reason: string): void {
+  private fail (number: number, reason: string): void {
     const call = this.calls.get(number)
     if (call === undefined) return
     // What was handed to the socket may have been read by the peer, whatever became of the connection.
--- a/packages/entry/src/peers/peer-connection.ts
+++ b/packages/entry/src/peers/peer-connection.ts
@@ -8,24 +8,24 @@
 import type { FrameCounter } from './frame-counter.js'
 import { isCall, isReply } from './frame-dispatcher.js'
 import type { FrameDispatcher } from './frame-dispatcher.js'
-import { HeartbeatBook } from './heartbeat-book.js'
+import { HeartbeatTracker } from './heartbeat-tracker.js'
 import { OutstandingCalls } from './outstanding-calls.js'
 import type { CallLimits, CallResult } from './outstanding-calls.js'
-import type { HeardHeartbeat, HeartbeatBody, PeerIdentity } from './peer-links.js'
+import type { ReceivedHeartbeat, HeartbeatBody, PeerIdentity } from './peer-links.js'
 import type { CallBody, CallFrame, NoticeFrame } from './peer-network.js'
 import { SendQueue } from './send-queue.js'
 
 /** Heartbeat intervals without any frame after which a connection is silent. */
-export const SILENT_AFTER_INTERVALS = 3
+export const UNRESPONSIVE_AFTER_INTERVALS = 3
 
 /** What a connection needs from the network that it belongs to. */
-export interface ConnectionSurroundings {
+export interface ConnectionDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly counter: FrameCounter
   readonly dispatcher: FrameDispatcher
-  readonly describe: () => HeartbeatBody
-  readonly onHeartbeat: (peer: PeerIdentity, heartbeat: HeardHeartbeat) => void
+  readonly heartbeatBody: () => HeartbeatBody
+  readonly onHeartbeat: (peer: PeerIdentity, heartbeat: ReceivedHeartbeat) => void
 }
 
 /** A connection whose peer has said who it is. */
@@ -34,15 +34,15 @@
   /** Whether this instance dialled it. */
   readonly dialled: boolean
   /** Monotonic time of the last frame. */
-  lastHeard: number
+  lastContactAt: number
   /** Monotonic time of the last call or notice sent, for connections on demand. */
-  lastUsed: number
+  lastUsedAt: number
   private readonly socket: Socket
   private readonly frames: AsyncIterator<DecodedFrame>
-  private readonly surroundings: ConnectionSurroundings
+  private readonly dependencies: ConnectionDependencies
   private readonly queue: SendQueue
   private readonly calls: OutstandingCalls
-  private readonly heartbeats: HeartbeatBook
+  private readonly heartbeats: HeartbeatTracker
   private readonly intervalMilliseconds: number
   private readonly ending = withManyListeners(new AbortController())
 
@@ -52,20 +52,20 @@
    * @param hello - the peer's hello
    * @param dialled - whether this instance dialled
    * @param intervalMilliseconds - between heartbeats
-   * @param surroundings - what the network lends
+   * @param dependencies - what the network lends
    */
-  constructor (socket: Socket, frames: AsyncIterator<DecodedFrame>, hello: HelloFrame, dialled: boolean, intervalMilliseconds: number, surroundings: ConnectionSurroundings) {
+  constructor (socket: Socket, frames: AsyncIterator<DecodedFrame>, hello: HelloFrame, dialled: boolean, intervalMilliseconds: number, dependencies: ConnectionDependencies) {
     this.socket = socket
     this.frames = frames
     this.peer = { instance: hello.instance, dataCentre: hello.dataCentre, address: hello.address }
     this.dialled = dialled
     this.intervalMilliseconds = intervalMilliseconds
-    this.surroundings = surroundings
-    this.lastHeard = surroundings.clock.now()
-    this.lastUsed = this.lastHeard
-    this.queue = new SendQueue(socket, surroundings.counter)
+    this.dependencies = dependencies
+    this.lastContactAt = dependencies.clock.now()
+    this.lastUsedAt = this.lastContactAt
+    this.queue = new SendQueue(socket, dependencies.counter)
     this.calls = new OutstandingCalls(hello.instance)
-    this.heartbeats = new HeartbeatBook(surroundings.clock)
+    this.heartbeats = new HeartbeatTracker(dependencies.clock)
   }
 
   /** Whether it has ended and only waits to be taken out of the table. */
@@ -75,11 +75,11 @@
 
   /** Serves the connection until it ends; what waits on it is settled then. */
   async run (): Promise<void> {
-    const beating = this.beat()
+    const beating = this.sendHeartbeats()
     try {
       await this.receive()
     } catch (cause) {
-      this.note(cause)
+      this.reportBadFrame(cause)
     }
     this.end('the connection ended')
     await beating
@@ -90,24 +90,24 @@
     if (this.ending.signal.aborted) return
     this.ending.abort()
     this.socket.destroy()
-    this.calls.connectionEnded(reason)
+    this.calls.failAll(reason)
   }
 
   /** Sends a notice, or drops it when too much waits. */
   notify (frame: NoticeFrame): void {
-    this.lastUsed = this.surroundings.clock.now()
-    if (!this.send(frame)) this.surroundings.counter.droppedNotices += 1
+    this.lastUsedAt = this.dependencies.clock.now()
+    if (!this.send(frame)) this.dependencies.counter.droppedNotices += 1
   }
 
   /** Sends a notice that is encoded already, or drops it when too much waits. */
   notifyEncoded (kind: NoticeFrame['kind'], bytes: Buffer): void {
-    this.lastUsed = this.surroundings.clock.now()
-    if (this.ending.signal.aborted || !this.queue.add(kind, bytes)) this.surroundings.counter.droppedNotices += 1
+    this.lastUsedAt = this.dependencies.clock.now()
+    if (this.ending.signal.aborted || !this.queue.add(kind, bytes)) this.dependencies.counter.droppedNotices += 1
   }
 
   /** Asks the peer. */
   async call (body: CallBody, limits: CallLimits): Promise<CallResult> {
-    this.lastUsed = this.surroundings.clock.now()
+    this.lastUsedAt = this.dependencies.clock.now()
     return await this.calls.open(limits, (call, onWritten) => this.send({ ...body, call } as CallFrame, onWritten))
   }
 
@@ -115,7 +115,7 @@
     if (this.ending.signal.aborted) return false
     const encoded = encodeFrame(frame)
     if (encoded.isErr()) {
-      this.surroundings.logger.error('A frame cannot be sent.', { reason: encoded.error.message })
+      this.dependencies.logger.error('A frame cannot be sent.', { reason: encoded.error.message })
       return false
     }
     return this.queue.add(frame.kind, encoded.value, onWritten)
@@ -125,37 +125,37 @@
     for (;;) {
       const next = await this.frames.next()
       if (next.done === true) return
-      this.lastHeard = this.surroundings.clock.now()
-      this.surroundings.counter.received(next.value.frame.kind, next.value.bytes)
-      this.take(next.value.frame)
+      this.lastContactAt = this.dependencies.clock.now()
+      this.dependencies.counter.received(next.value.frame.kind, next.value.bytes)
+      this.handleFrame(next.value.frame)
     }
   }
 
-  private take (frame: PeerFrame): void {
-    if (frame.kind !== 'heartbeat') this.lastUsed = this.lastHeard
+  private handleFrame (frame: PeerFrame): void {
+    if (frame.kind !== 'heartbeat') this.lastUsedAt = this.lastContactAt
     if (isReply(frame)) return this.calls.answered(frame)
     if (isCall(frame)) {
       this.answer(frame)
       return
     }
     if (frame.kind === 'hello') throw new LimpetwinchError('bad-frame', { reason: 'a second hello' })
-    if (frame.kind === 'heartbeat') this.surroundings.onHeartbeat(this.peer, this.heartbeats.heard(frame))
-    this.surroundings.dispatcher.notice(this.peer.instance, frame)
+    if (frame.kind === 'heartbeat') this.dependencies.onHeartbeat(this.peer, this.heartbeats.heard(frame))
+    this.dependencies.dispatcher.deliverNotice(this.peer.instance, frame)
   }
 
   private async answer (frame: CallFrame): Promise<void> {
-    const body = await this.surroundings.dispatcher.call(this.peer.instance, frame, this.ending.signal)
+    const body = await this.dependencies.dispatcher.call(this.peer.instance, frame, this.ending.signal)
     const sent = this.send({ ...body, call: frame.call } as PeerFrame)
     // An answer that cannot be queued would leave the asker waiting; the end of the connection tells it.
     if (!sent) this.end('its send queue is full')
   }
 
   /** Sends heartbeats and ends the connection when the peer has gone silent. */
-  private async beat (): Promise<void> {
-    const { clock, counter } = this.surroundings
+  private async sendHeartbeats (): Promise<void> {
+    const { clock, counter } = this.dependencies
     let lastTick = clock.now()
     while (!this.ending.signal.aborted) {
-      const encoded = encodeFrame(this.heartbeats.next(this.surroundings.describe()))
+      const encoded = encodeFrame(this.heartbeats.next(this.dependencies.heartbeatBody()))
       if (encoded.isOk()) this.queue.addUrgent('heartbeat', encoded.value)
       await clock.sleep(this.intervalMilliseconds, this.ending.signal)
       const now = clock.now()
@@ -164,17 +164,17 @@
       const paused = now - lastTick > 2 * this.intervalMilliseconds
       lastTick = now
       if (paused || this.ending.signal.aborted) continue
-      if (now - this.lastHeard <= SILENT_AFTER_INTERVALS * this.intervalMilliseconds) continue
+      if (now - this.lastContactAt <= UNRESPONSIVE_AFTER_INTERVALS * this.intervalMilliseconds) continue
       counter.silentConnections += 1
-      this.surroundings.logger.warn('A connection went silent and is replaced.', { peer: this.peer.instance })
+      this.dependencies.logger.warn('A connection went silent and is replaced.', { peer: this.peer.instance })
       this.end('the connection went silent')
     }
   }
 
-  private note (cause: unknown): void {
+  private reportBadFrame (cause: unknown): void {
     if (!(cause instanceof LimpetwinchError)) return
-    this.surroundings.counter.badFrames += 1
-    this.surroundings.logger.warn('A frame was refused and its connection closed.', { peer: this.peer.instance, reason: cause.message })
+    this.dependencies.counter.badFrames += 1
+    this.dependencies.logger.warn('A frame was refused and its connection closed.', { peer: this.peer.instance, reason: cause.message })
   }
 }
 
--- a/packages/entry/src/peers/peer-links.ts
+++ b/packages/entry/src/peers/peer-links.ts
@@ -26,7 +26,7 @@
 export type HeartbeatBody = Omit<HeartbeatFrame, 'kind' | 'sequence' | 'echo'>
 
 /** A heartbeat with the times that say what it proves, both in milliseconds. */
-export interface HeardHeartbeat {
+export interface ReceivedHeartbeat {
   readonly frame: HeartbeatFrame
   /**
    * When this instance sent the heartbeat that the frame echoes; undefined when it echoes none. The frame was made
@@ -44,10 +44,10 @@
   abstract setTargets (targets: readonly PeerTarget[]): void
 
   /** Sets what goes into each heartbeat. */
-  abstract describeHeartbeat (describe: () => HeartbeatBody): void
+  abstract setHeartbeatBody (describe: () => HeartbeatBody): void
 
   /** @returns monotonic time at which the last frame of a peer came in, or undefined */
-  abstract lastHeard (instance: InstanceId): number | undefined
+  abstract lastContactAt (instance: InstanceId): number | undefined
 
   /** Calls the listener with each new connection's peer. */
   abstract onConnected (listener: (peer: PeerIdentity) => void): void
@@ -70,10 +70,10 @@
    * @param origin - who made it
    * @param bytes - the frame as its maker encoded it; one that cannot be read is dropped and counted
    */
-  abstract takePassedOn (origin: InstanceId, bytes: Uint8Array): void
+  abstract deliverForwarded (origin: InstanceId, bytes: Uint8Array): void
 
   /** Calls the listener with each heartbeat. */
-  abstract onHeartbeat (listener: (from: InstanceId, heartbeat: HeardHeartbeat) => void): void
+  abstract onHeartbeat (listener: (from: InstanceId, heartbeat: ReceivedHeartbeat) => void): void
 
   /** Calls the listener when a dial shows that an instance no longer listens at its address. */
   abstract onEndEvidence (listener: (instance: InstanceId, evidence: EndEvidence) => void): void
--- a/packages/entry/src/peers/send-queue.ts
+++ b/packages/entry/src/peers/send-queue.ts
@@ -4,7 +4,7 @@
 import type { FrameCounter } from './frame-counter.js'
 
 /** Bytes that may wait for one peer; beyond it notices are dropped and calls refused. */
-export const LARGEST_QUEUE_BYTES = 8 * 1024 * 1024
+export const MAXIMUM_QUEUE_BYTES = 8 * 1024 * 1024
 
 interface Waiting {
   readonly kind: FrameKind
@@ -36,7 +36,7 @@
    * @returns whether there was room
    */
   add (kind: FrameKind, bytes: Buffer, onWritten?: () => void): boolean {
-    if (this.waitingBytes + bytes.length > LARGEST_QUEUE_BYTES) return false
+    if (this.waitingBytes + bytes.length > MAXIMUM_QUEUE_BYTES) return false
     this.waiting.push({ kind, bytes, onWritten })
     this.waitingBytes += bytes.length
     this.flush()
@@ -45,7 +45,7 @@
 
   /** Writes a frame past the queue: a heartbeat behind megabytes of other frames would look like silence. */
   addUrgent (kind: FrameKind, bytes: Buffer): void {
-    if (this.socket.writableLength < LARGEST_QUEUE_BYTES) this.write({ kind, bytes, onWritten: undefined })
+    if (this.socket.writableLength < MAXIMUM_QUEUE_BYTES) this.write({ kind, bytes, onWritten: undefined })
   }
 
   private flush (): void {
--- a/packages/entry/src/peers/tcp-peer-network.ts
+++ b/packages/entry/src/peers/tcp-peer-network.ts
@@ -14,18 +14,18 @@
 import { OutstandingCalls } from './outstanding-calls.js'
 import type { CallResult } from './outstanding-calls.js'
 import { PeerConnection } from './peer-connection.js'
-import type { ConnectionSurroundings } from './peer-connection.js'
-import { PeerDialler, unreachable } from './peer-dialler.js'
+import type { ConnectionDependencies } from './peer-connection.js'
+import { PeerDialler, unreachableError } from './peer-dialler.js'
 import { PeerLinks } from './peer-links.js'
-import type { EndEvidence, HeardHeartbeat, HeartbeatBody, PeerIdentity, PeerTarget } from './peer-links.js'
+import type { EndEvidence, ReceivedHeartbeat, HeartbeatBody, PeerIdentity, PeerTarget } from './peer-links.js'
 import type { CallBody, CallFrame, FrameCounts, NoticeFrame, ReplyBody, ReplyFrame } from './peer-network.js'
 
 /** Heartbeats to another data centre are this much rarer by default: nobody there takes this instance's endpoints over. */
-const DEFAULT_REMOTE_INTERVALS = 5
-const LARGEST_WAITING_NOTICES = 1_000
-const NEVER = new AbortController().signal
+const DEFAULT_REMOTE_HEARTBEAT_FACTOR = 5
+const MAXIMUM_WAITING_NOTICES = 1_000
+const NEVER_ABORTED = new AbortController().signal
 // Calls to oneself share it.
-setMaxListeners(0, NEVER)
+setMaxListeners(0, NEVER_ABORTED)
 
 /** What a network is made of. */
 export interface TcpPeerNetworkOptions {
@@ -40,10 +40,10 @@
   /** Between heartbeats inside the data centre; a connection is silent after three. */
   readonly heartbeatMilliseconds?: number
   /** How many times rarer heartbeats to other data centres are; 1 where they may take duties over from each other. */
-  readonly remoteIntervals?: number
+  readonly remoteHeartbeatFactor?: number
 }
 
-const NOTHING_TO_SAY: HeartbeatBody = { leaving: false, settingsHash: '', ownershipVersion: 0, storeReachable: true }
+const INITIAL_HEARTBEAT_BODY: HeartbeatBody = { leaving: false, settingsHash: '', ownershipVersion: 0, storeReachable: true }
 
 /** A {@link PeerLinks} over TCP. */
 export class TcpPeerNetwork extends PeerLinks {
@@ -53,7 +53,7 @@
   private readonly logger: Logger
   private readonly random: () => number
   private readonly heartbeatMilliseconds: number
-  private readonly remoteIntervals: number
+  private readonly remoteHeartbeatFactor: number
   private readonly dispatcher: FrameDispatcher
   private readonly table = new ConnectionTable()
   private readonly diallers = new Map<InstanceId, PeerDialler>()
@@ -63,10 +63,10 @@
   private readonly sockets = new Set<Socket>()
   private readonly connectedListeners: ((peer: PeerIdentity) => void)[] = []
   private readonly disconnectedListeners: ((instance: InstanceId) => void)[] = []
-  private readonly heartbeatListeners: ((from: InstanceId, heartbeat: HeardHeartbeat) => void)[] = []
+  private readonly heartbeatListeners: ((from: InstanceId, heartbeat: ReceivedHeartbeat) => void)[] = []
   private readonly evidenceListeners: ((instance: InstanceId, evidence: EndEvidence) => void)[] = []
-  private readonly surroundings: ConnectionSurroundings
-  private describe = (): HeartbeatBody => NOTHING_TO_SAY
+  private readonly connectionDependencies: ConnectionDependencies
+  private heartbeatBody = (): HeartbeatBody => INITIAL_HEARTBEAT_BODY
   private targets: readonly PeerTarget[] = []
   private waitingNotices = 0
   private running = false
@@ -79,17 +79,17 @@
     this.clock = options.clock ?? new SystemClock()
     this.random = options.random ?? Math.random
     this.heartbeatMilliseconds = options.heartbeatMilliseconds ?? 1_000
-    this.remoteIntervals = options.remoteIntervals ?? DEFAULT_REMOTE_INTERVALS
+    this.remoteHeartbeatFactor = options.remoteHeartbeatFactor ?? DEFAULT_REMOTE_HEARTBEAT_FACTOR
     this.dispatcher = new FrameDispatcher(this.logger)
     this.tasks = new TaskGroup(this.logger)
     this.ownCalls = new OutstandingCalls(options.instance)
     this.server = createServer({ noDelay: true }, (socket) => { this.tasks.spawn('accept', async () => await this.accept(socket)) })
-    this.surroundings = {
+    this.connectionDependencies = {
       clock: this.clock,
       logger: this.logger,
       counter: this.counter,
       dispatcher: this.dispatcher,
-      describe: () => this.describe(),
+      heartbeatBody: () => this.heartbeatBody(),
       onHeartbeat: (peer, heartbeat) => { for (const listener of this.heartbeatListeners) listener(peer.instance, heartbeat) }
     }
   }
@@ -128,12 +128,12 @@
     for (const target of wanted.values()) this.dialTarget(target)
   }
 
-  override describeHeartbeat (describe: () => HeartbeatBody): void {
-    this.describe = describe
+  override setHeartbeatBody (heartbeatBody: () => HeartbeatBody): void {
+    this.heartbeatBody = heartbeatBody
   }
 
-  override lastHeard (instance: InstanceId): number | undefined {
-    return this.table.lastHeard(instance)
+  override lastContactAt (instance: InstanceId): number | undefined {
+    return this.table.lastContactAt(instance)
   }
 
   override onConnected (listener: (peer: PeerIdentity) => void): void {
@@ -162,13 +162,13 @@
     }
   }
 
-  override takePassedOn (origin: InstanceId, bytes: Uint8Array): void {
+  override deliverForwarded (origin: InstanceId, bytes: Uint8Array): void {
     const decoded = decodeFrame(bytes)
-    if (decoded.isOk() && isNotice(decoded.value)) return this.dispatcher.notice(origin, decoded.value)
+    if (decoded.isOk() && isNotice(decoded.value)) return this.dispatcher.deliverNotice(origin, decoded.value)
     this.counter.badFrames += 1
   }
 
-  override onHeartbeat (listener: (from: InstanceId, heartbeat: HeardHeartbeat) => void): void {
+  override onHeartbeat (listener: (from: InstanceId, heartbeat: ReceivedHeartbeat) => void): void {
     this.heartbeatListeners.push(listener)
   }
 
@@ -177,16 +177,16 @@
   }
 
   override notify (to: InstanceId, frame: NoticeFrame): void {
-    if (to === this.self.instance) return queueMicrotask(() => this.dispatcher.notice(to, frame))
+    if (to === this.self.instance) return queueMicrotask(() => this.dispatcher.deliverNotice(to, frame))
     const connection = this.table.newest(to)
     if (connection !== undefined) return connection.notify(frame)
-    if (!this.diallers.has(to) || this.waitingNotices >= LARGEST_WAITING_NOTICES) {
+    if (!this.diallers.has(to) || this.waitingNotices >= MAXIMUM_WAITING_NOTICES) {
       this.counter.droppedNotices += 1
       return
     }
     this.waitingNotices += 1
     this.tasks.spawn('notify', async () => {
-      const made = await this.demand(to, this.heartbeatMilliseconds)
+      const made = await this.waitForConnection(to, this.heartbeatMilliseconds)
       this.waitingNotices -= 1
       if (made === undefined) this.counter.droppedNotices += 1
       else made.notify(frame)
@@ -194,7 +194,7 @@
   }
 
   override call (to: InstanceId, body: CallBody, timeoutMilliseconds: number, signal?: AbortSignal): ResultAsync<ReplyBody, LimpetwinchError> {
-    return new ResultAsync(this.ask(to, body, timeoutMilliseconds, signal))
+    return new ResultAsync(this.callPeer(to, body, timeoutMilliseconds, signal))
   }
 
   override onNotice<Kind extends NoticeFrame['kind']> (kind: Kind, handler: (from: InstanceId, frame: FrameOf<Kind>) => void): void {
@@ -231,14 +231,14 @@
     const present = this.diallers.get(target.instance)
     if (present !== undefined) {
       present.target = target
-      present.look()
+      present.reevaluate()
       return
     }
     const dialler = new PeerDialler(target, {
       self: this.self,
       table: this.table,
       counter: this.counter,
-      connection: this.surroundings,
+      connection: this.connectionDependencies,
       random: this.random,
       intervalMilliseconds: this.intervalFor(target.dataCentre),
       serve: (connection) => { this.tasks.spawn('connection', async () => await this.serve(connection)) },
@@ -259,39 +259,39 @@
       return
     }
     const { hello, frames } = greeted.value
-    const connection = new PeerConnection(socket, frames, hello, false, this.intervalFor(hello.dataCentre), this.surroundings)
+    const connection = new PeerConnection(socket, frames, hello, false, this.intervalFor(hello.dataCentre), this.connectionDependencies)
     await this.serve(connection)
   }
 
   private async serve (connection: PeerConnection): Promise<void> {
     this.table.add(connection)
     for (const listener of this.connectedListeners) listener(connection.peer)
-    this.diallers.get(connection.peer.instance)?.look()
+    this.diallers.get(connection.peer.instance)?.reevaluate()
     try {
       await connection.run()
     } finally {
       const { instance } = connection.peer
       this.table.remove(connection)
-      this.diallers.get(instance)?.look()
+      this.diallers.get(instance)?.reevaluate()
       if (!this.isConnected(instance)) for (const listener of this.disconnectedListeners) listener(instance)
     }
   }
 
-  private async ask (to: InstanceId, body: CallBody, timeoutMilliseconds: number, signal: AbortSignal | undefined): Promise<CallResult> {
-    if (to === this.self.instance) return await this.askSelf(body, timeoutMilliseconds, signal)
+  private async callPeer (to: InstanceId, body: CallBody, timeoutMilliseconds: number, signal: AbortSignal | undefined): Promise<CallResult> {
+    if (to === this.self.instance) return await this.callSelf(body, timeoutMilliseconds, signal)
     const started = this.clock.now()
     const wait = Math.min(timeoutMilliseconds, this.heartbeatMilliseconds)
-    const connection = this.table.newest(to) ?? await this.demand(to, wait, signal)
-    if (connection === undefined) return err(unreachable(to, 'no connection'))
+    const connection = this.table.newest(to) ?? await this.waitForConnection(to, wait, signal)
+    if (connection === undefined) return err(unreachableError(to, 'no connection'))
     const left = Math.max(0, timeoutMilliseconds - (this.clock.now() - started))
     return await connection.call(body, { timeoutMilliseconds: left, signal })
   }
 
   /** Waits for a connection that is being dialled. */
-  private async demand (to: InstanceId, milliseconds: number, signal?: AbortSignal): Promise<PeerConnection | undefined> {
+  private async waitForConnection (to: InstanceId, milliseconds: number, signal?: AbortSignal): Promise<PeerConnection | undefined> {
     const dialler = this.diallers.get(to)
     if (dialler === undefined) return undefined
-    dialler.demand()
+    dialler.requestConnection()
     const until = this.clock.now() + milliseconds
     for (;;) {
       const connection = this.table.newest(to)
@@ -302,13 +302,13 @@
   }
 
   private intervalFor (dataCentre: DataCentreId): number {
-    return dataCentre === this.self.dataCentre ? this.heartbeatMilliseconds : this.remoteIntervals * this.heartbeatMilliseconds
+    return dataCentre === this.self.dataCentre ? this.heartbeatMilliseconds : this.remoteHeartbeatFactor * this.heartbeatMilliseconds
   }
 
-  private async askSelf (body: CallBody, timeoutMilliseconds: number, signal: AbortSignal | undefined): Promise<CallResult> {
+  private async callSelf (body: CallBody, timeoutMilliseconds: number, signal: AbortSignal | undefined): Promise<CallResult> {
     return await this.ownCalls.open({ timeoutMilliseconds, signal }, (call, onWritten) => {
       onWritten()
-      this.dispatcher.call(this.self.instance, { ...body, call } as CallFrame, signal ?? NEVER)
+      this.dispatcher.call(this.self.instance, { ...body, call } as CallFrame, signal ?? NEVER_ABORTED)
         .then((reply) => this.ownCalls.answered({ ...reply, call } as ReplyFrame))
       return true
     })
--- a/packages/entry/src/scheduling/scheduler-hand-over.ts
+++ b/packages/entry/src/scheduling/scheduler-hand-over.ts
@@ -20,11 +20,11 @@
     this.earlierPins = earlierPins
   }
 
-  override async freeze (endpoint: EndpointId): Promise<void> {
+  override async pauseOrders (endpoint: EndpointId): Promise<void> {
     await this.owned.stopOrders(endpoint)
   }
 
-  override resume (endpoint: EndpointId): void {
+  override resumeOrders (endpoint: EndpointId): void {
     this.owned.resumeOrders(endpoint)
   }
 
--- a/packages/entry/test/connections.failure.test.ts
+++ b/packages/entry/test/connections.failure.test.ts
@@ -4,7 +4,7 @@
 import { encodeFrame } from '@limpetwinch/entry'
 import { afterEach, describe, expect, it } from 'vitest'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { Cluster, HEARTBEAT, JumpingClock, until } from './support/cluster.js'
+import { Cluster, HEARTBEAT_MILLISECONDS, JumpingClock, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
 
 const ASK = { kind: 'load-turn-ask', turn: 'a', urgency: 1 } as const
@@ -31,7 +31,7 @@
     two.peers.onCall('load-turn-ask', async () => await new Promise(() => {}))
     const asked = one.peers.call(two.id, ASK, 50_000)
     await until(() => (two.peers.counts()['load-turn-ask']?.received ?? 0) === 1)
-    for (const relay of [...cluster.relays.between('one', 'two'), ...cluster.relays.between('two', 'one')]) relay.silenceOpen()
+    for (const relay of [...cluster.relays.between('one', 'two'), ...cluster.relays.between('two', 'one')]) relay.blackholeOpenConnections()
     expect((await asked)._unsafeUnwrapErr().kind).toBe('peer-silent')
     // Whichever end notices first dials anew, which ends the old connection at the other end as well.
     expect(one.peers.counter.silentConnections + two.peers.counter.silentConnections).toBeGreaterThan(0)
@@ -47,7 +47,7 @@
     cluster.relays.cut('one', 'two')
     await until(() => stateOf(one, two) === 'suspect' && stateOf(two, one) === 'suspect')
     expect((await one.peers.call(two.id, ASK, 100))._unsafeUnwrapErr().kind).toBe('peer-unreachable')
-    cluster.relays.mend('one', 'two')
+    cluster.relays.restore('one', 'two')
     await until(() => stateOf(one, two) === 'alive' && stateOf(two, one) === 'alive')
   })
 
@@ -82,7 +82,7 @@
     const evidence: string[] = []
     one.peers.onEndEvidence((instance, kind) => { if (instance === two.id) evidence.push(kind) })
     await until(() => one.peers.isConnected(next.id))
-    await sleep(10 * HEARTBEAT)
+    await sleep(10 * HEARTBEAT_MILLISECONDS)
     expect(evidence.filter((kind) => kind === 'replaced').length).toBeLessThanOrEqual(1)
   })
 
@@ -120,10 +120,10 @@
     const notice = { kind: 'load-refused', endpoint: 'e0' as EndpointId, key: 'x', reason: '' } as const
     one.peers.notifyAll([two.id, three.id], notice)
     await until(() => heard.length === 2)
-    two.peers.takePassedOn(three.id, encodeFrame({ ...notice, key: 'y' })._unsafeUnwrap())
+    two.peers.deliverForwarded(three.id, encodeFrame({ ...notice, key: 'y' })._unsafeUnwrap())
     const before = two.peers.counter.badFrames
-    two.peers.takePassedOn(three.id, Buffer.from([0, 0, 0, 1, 0xff]))
-    two.peers.takePassedOn(three.id, encodeFrame({ kind: 'hello', instance: one.id, dataCentre: one.peers.self.dataCentre, address: 'a' })._unsafeUnwrap())
+    two.peers.deliverForwarded(three.id, Buffer.from([0, 0, 0, 1, 0xff]))
+    two.peers.deliverForwarded(three.id, encodeFrame({ kind: 'hello', instance: one.id, dataCentre: one.peers.self.dataCentre, address: 'a' })._unsafeUnwrap())
     expect({ heard: heard.toSorted(), bad: two.peers.counter.badFrames - before }).toEqual({
       heard: [`${three.id} from ${one.id}: x`, `${two.id} from ${one.id}: x`, `${two.id} from ${three.id}: y`].toSorted(), bad: 2
     })
@@ -162,7 +162,7 @@
 
   it('takes a goodbye for the end', async () => {
     const [one, two] = await pair()
-    two.membership.sayGoodbye()
+    two.membership.sendGoodbye()
     await until(() => stateOf(one, two) === 'gone')
   })
 
--- a/packages/entry/test/frame-codec.test.ts
+++ b/packages/entry/test/frame-codec.test.ts
@@ -1,7 +1,7 @@
 import type { PeerFrame } from '@limpetwinch/core'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { encodeFrame, FrameReader, LARGEST_FRAME_BYTES } from '../src/peers/frame-codec.js'
+import { encodeFrame, FrameReader, MAXIMUM_FRAME_BYTES } from '../src/peers/frame-codec.js'
 
 const heartbeat = fc.record({
   kind: fc.constant('heartbeat' as const),
@@ -32,7 +32,7 @@
 
   it('that announce more than the bound are refused before anything is buffered', () => {
     const length = Buffer.alloc(4)
-    length.writeUInt32BE(LARGEST_FRAME_BYTES + 1)
+    length.writeUInt32BE(MAXIMUM_FRAME_BYTES + 1)
     expect(new FrameReader().read(length)._unsafeUnwrapErr().kind).toBe('bad-frame')
   })
 
--- a/packages/entry/test/fuzz/peer-frames.test.ts
+++ b/packages/entry/test/fuzz/peer-frames.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { PeerFrame } from '@limpetwinch/core'
-import { encodeFrame, FrameReader, LARGEST_FRAME_BYTES } from '../../src/peers/frame-codec.js'
+import { encodeFrame, FrameReader, MAXIMUM_FRAME_BYTES } from '../../src/peers/frame-codec.js'
 
 const RUNS = { seed: 61_205, numRuns: 300 }
 
@@ -68,7 +68,7 @@
 
   it.each([
     ['a length beyond the bound', [0xff, 0xff, 0xff, 0xff]],
-    ['a length just beyond the bound', [...lengthBytes(LARGEST_FRAME_BYTES + 1)]],
+    ['a length just beyond the bound', [...lengthBytes(MAXIMUM_FRAME_BYTES + 1)]],
     ['an array that claims more than it has', [...lengthBytes(5), 0x9a, 0x01, 0xff, 0xff, 0xff]],
     ['a text that claims more than it has', [...lengthBytes(5), 0x7a, 0x7f, 0xff, 0xff, 0xff]],
     ['arrays in arrays', [...lengthBytes(100_000), ...new Array<number>(100_000).fill(0x81)]]
--- a/packages/entry/test/hand-over.failure.test.ts
+++ b/packages/entry/test/hand-over.failure.test.ts
@@ -1,6 +1,6 @@
 import type { EndpointId, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 import { afterEach, describe, expect, it } from 'vitest'
-import { agreed, Cluster, until } from './support/cluster.js'
+import { ownAllAndAgree, Cluster, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
 
 const E0 = 'e0' as EndpointId
@@ -15,7 +15,7 @@
   cluster = new Cluster()
   const all = await cluster.startAll(['one', 'two', 'three'])
   cluster.setEngines(1)
-  await until(() => agreed(cluster, all))
+  await until(() => ownAllAndAgree(cluster, all))
   const owner = all.find((instance) => instance.ownership.owned().length === 1) as TestInstance
   owner.scheduler.loaded.set(E0, [LOADED])
   owner.scheduler.pins.set(E0, [PIN])
@@ -34,7 +34,7 @@
     const { owner, others } = await started()
     await until(() => mayEvict(owner))
     owner.membership.startLeaving()
-    const left = await owner.handOvers.leave(AbortSignal.timeout(30_000))
+    const left = await owner.handOvers.handOverAll(AbortSignal.timeout(30_000))
     expect(left).toEqual([])
     const next = others.find((instance) => instance.ownership.owned().length === 1) as TestInstance
     expect(owner.scheduler.events).toEqual(['freeze e0', 'state e0', 'release e0'])
@@ -56,7 +56,7 @@
     const [second, third] = one.ownership.owned().length === 1 ? [one, two] : [two, one]
     await until(() => second.ownership.rights(second.ownership.owned()[0] as never).mayAdmit)
     second.membership.startLeaving()
-    await second.handOvers.leave(AbortSignal.timeout(30_000))
+    await second.handOvers.handOverAll(AbortSignal.timeout(30_000))
     expect(third.ownership.owned().length).toBe(1)
     await until(() => third.ownership.rights(third.ownership.owned()[0] as never).mayAdmit)
     expect(third.recoveries.recovered(E0)).toBe(false)
@@ -73,7 +73,7 @@
     await until(() => owner.ownership.owned().length === 1)
     owner.membership.startLeaving()
     const limit = AbortSignal.timeout(30_000)
-    expect(await owner.handOvers.leave(limit)).toEqual([E0])
+    expect(await owner.handOvers.handOverAll(limit)).toEqual([E0])
     expect(limit.aborted).toBe(false)
   })
 
@@ -84,7 +84,7 @@
     await until(() => mayEvict(owner))
     owner.membership.startLeaving()
     cluster.store.faults.outage = true
-    const leaving = owner.handOvers.leave(AbortSignal.timeout(30_000))
+    const leaving = owner.handOvers.handOverAll(AbortSignal.timeout(30_000))
     await until(() => owner.scheduler.events.includes('resume e0'))
     expect(owner.ownership.rights(owner.ownership.owned()[0] as never).mayAdmit).toBe(true)
     cluster.store.faults.outage = false
@@ -97,11 +97,11 @@
   it('does the same to even out with an instance that joined', async () => {
     cluster = new Cluster()
     cluster.setEngines(6)
-    const one = await cluster.start('one', { evenOutMilliseconds: 50 })
+    const one = await cluster.start('one', { rebalanceIntervalMilliseconds: 50 })
     await until(() => one.ownership.owned().length === 6)
-    const two = await cluster.start('two', { evenOutMilliseconds: 50 })
+    const two = await cluster.start('two', { rebalanceIntervalMilliseconds: 50 })
     const count = (instance: TestInstance, event: string): number => instance.scheduler.events.filter((line) => line.startsWith(event)).length
-    await until(() => count(one, 'release') === 2 && agreed(cluster, [one, two]))
+    await until(() => count(one, 'release') === 2 && ownAllAndAgree(cluster, [one, two]))
     expect(two.ownership.owned().length).toBe(2)
     expect(count(two, 'adopt')).toBe(2)
   })
--- a/packages/entry/test/ownership-basics.test.ts
+++ b/packages/entry/test/ownership-basics.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, describe, expect, it } from 'vitest'
-import { agreed, Cluster, until } from './support/cluster.js'
+import { ownAllAndAgree, Cluster, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
 
 let cluster: Cluster
@@ -11,7 +11,7 @@
     cluster = new Cluster()
     const [one, two] = await cluster.startAll(['one', 'two']) as [TestInstance, TestInstance]
     cluster.setEngines(6)
-    await until(() => agreed(cluster, [one, two]))
+    await until(() => ownAllAndAgree(cluster, [one, two]))
     const owners = cluster.engines.map((engine) => one.ownership.recordOf(engine.endpoint))
     expect(cluster.engines.map((engine) => two.ownership.recordOf(engine.endpoint))).toEqual(owners)
     expect(new Set(owners.map((record) => record?.owner)).size).toBe(2)
--- a/packages/entry/test/recovery.failure.test.ts
+++ b/packages/entry/test/recovery.failure.test.ts
@@ -2,7 +2,7 @@
 import { loadedNameOf } from '@limpetwinch/core'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
-import { agreed, Cluster, until } from './support/cluster.js'
+import { ownAllAndAgree, Cluster, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
 import type { EngineInMemory } from './support/engine-in-memory.js'
 
@@ -17,7 +17,7 @@
   cluster = new Cluster()
   const all = await cluster.startAll(['one', 'two', 'three'])
   cluster.setEngines(1, fencing)
-  await until(() => agreed(cluster, all))
+  await until(() => ownAllAndAgree(cluster, all))
   const owner = all.find((instance) => instance.ownership.owned().length === 1) as TestInstance
   await until(() => owner.recoveries.recovered(E0))
   const engine = cluster.engineClients.get('e0') as EngineInMemory
@@ -129,7 +129,7 @@
     await engine.load({ name, token: record.token })
     await engine.unload({ name: earlierName, token: earlier.token })
     expect(engine.loaded).toContain(name)
-    cluster.rejoin(owner.id)
+    cluster.reconnect(owner.id)
     await until(() => rightsOf(next).mayEvict)
     await until(() => !rightsOf(owner).mayAdmit)
   })
--- a/packages/entry/test/store.failure.test.ts
+++ b/packages/entry/test/store.failure.test.ts
@@ -1,7 +1,7 @@
 import type { EndpointId } from '@limpetwinch/core'
 import { rendezvousRank } from '@limpetwinch/entry'
 import { afterEach, describe, expect, it } from 'vitest'
-import { agreed, Cluster, JumpingClock, until } from './support/cluster.js'
+import { ownAllAndAgree, Cluster, JumpingClock, until } from './support/cluster.js'
 import type { TestInstance } from './support/cluster.js'
 
 const E0 = 'e0' as EndpointId
@@ -22,7 +22,7 @@
   cluster = new Cluster()
   const all = await cluster.startAll(ids)
   cluster.setEngines(engines)
-  await until(() => agreed(cluster, all))
+  await until(() => ownAllAndAgree(cluster, all))
   await until(() => all.every((instance) => instance.ownership.owned().every((record) => instance.ownership.rights(record).mayEvict)))
   return all
 }
@@ -53,7 +53,7 @@
     await until(() => !rights(owner).mayEvict)
     expect(rights(owner).mayAdmit).toBe(true)
     await until(() => other.membership.member(owner.id)?.state === 'suspect')
-    cluster.rejoin(owner.id)
+    cluster.reconnect(owner.id)
     await until(() => rights(owner).mayEvict && all.every((instance) => instance.membership.members().every((member) => member.state === 'alive')))
     const refused = cluster.store.calls.writes - writes
     cluster.store.faults.outage = false
@@ -69,7 +69,7 @@
     const all = await cluster.startAll(['one', 'two'])
     cluster.store.faults.loseAnswers = 1
     cluster.setEngines(4)
-    await until(() => agreed(cluster, all))
+    await until(() => ownAllAndAgree(cluster, all))
     await someHeartbeats(all[0] as TestInstance)
     expect((await stored()).sequence).toBe(1)
     expect(cluster.store.calls.writes).toBe(1)
@@ -109,7 +109,7 @@
     const [killed, ...left] = all as [TestInstance, ...TestInstance[]]
     await killed.kill()
     cluster.list.remove(killed.id)
-    await until(() => agreed(cluster, left))
+    await until(() => ownAllAndAgree(cluster, left))
     const after = await stored()
     cluster.store.restore(snapshot)
     expect((await stored()).sequence).toBe(before.sequence)
@@ -129,8 +129,8 @@
     const all = await cluster.startAll(['one', 'two', 'three', 'four'], { rankDelayMilliseconds: 0 })
     cluster.store.faults.slowness = 20
     cluster.setEngines(8)
-    for (const instance of all) instance.ownership.look()
-    await until(() => agreed(cluster, all))
+    for (const instance of all) instance.ownership.reevaluate()
+    await until(() => ownAllAndAgree(cluster, all))
     await someHeartbeats(all[0] as TestInstance)
     expect(cluster.store.calls.writes).toBeGreaterThan(1)
     const won = await stored()
@@ -147,7 +147,7 @@
     const clock = new JumpingClock()
     const all = await cluster.startAll(['one', 'two'], { clock })
     cluster.setEngines(1)
-    await until(() => agreed(cluster, all))
+    await until(() => ownAllAndAgree(cluster, all))
     const owner = all.find((instance) => instance.ownership.owned().length === 1) as TestInstance
     await until(() => rights(owner).mayEvict)
     clock.jump(60_000)
@@ -168,15 +168,15 @@
       const before = most
       cut.ownership.onChange(() => { most = Math.max(most, cut.ownership.owned().length) })
       cluster.isolate(cut.id)
-      await until(() => cut.ownership.owned().length === 0 && agreed(cluster, [killed, ...left]))
+      await until(() => cut.ownership.owned().length === 0 && ownAllAndAgree(cluster, [killed, ...left]))
       await someHeartbeats(killed)
-      cluster.rejoin(cut.id)
-      await until(() => cut.membership.members().every((member) => member.state === 'alive') && cut.membership.hearsEnough())
+      cluster.reconnect(cut.id)
+      await until(() => cut.membership.members().every((member) => member.state === 'alive') && cut.membership.mayTreatOthersAsLost())
       await someHeartbeats(cut)
       expect(most).toBe(before)
-      expect(agreed(cluster, [killed, ...left])).toBe(true)
+      expect(ownAllAndAgree(cluster, [killed, ...left])).toBe(true)
     }
     await killed.kill()
-    await until(() => agreed(cluster, [cut, ...left]))
+    await until(() => ownAllAndAgree(cluster, [cut, ...left]))
   })
 })
--- a/packages/entry/test/support/cluster.ts
+++ b/packages/entry/test/support/cluster.ts
@@ -10,8 +10,8 @@
 import { Relays } from './relay.js'
 import { SchedulerInMemory } from './scheduler-in-memory.js'
 
-export const HEARTBEAT = 100
-const PLACE = 'place' as DataCentreId
+export const HEARTBEAT_MILLISECONDS = 100
+const DATA_CENTRE = 'place' as DataCentreId
 
 /** The platform's list, under the test's control. */
 export class ListInMemory extends InstanceList {
@@ -25,7 +25,7 @@
     return okAsync(structuredClone(this.lines))
   }
 
-  add (id: string, address: string, dataCentre: DataCentreId = PLACE): void {
+  add (id: string, address: string, dataCentre: DataCentreId = DATA_CENTRE): void {
     this.lines.push({ id, kind: 'entry', address, dataCentre, state: 'live' })
   }
 
@@ -35,7 +35,7 @@
 
   /** Lists an endpoint as leaving. */
   leave (endpoint: string): void {
-    this.lines.push({ id: endpoint, kind: 'endpoint', address: '', dataCentre: PLACE, state: 'leaving' })
+    this.lines.push({ id: endpoint, kind: 'endpoint', address: '', dataCentre: DATA_CENTRE, state: 'leaving' })
   }
 }
 
@@ -86,10 +86,10 @@
 }
 
 /** What one instance may have of its own. */
-export interface InstanceChoice {
+export interface TestInstanceOptions {
   readonly clock?: Clock
   readonly address?: string
-  readonly evenOutMilliseconds?: number
+  readonly rebalanceIntervalMilliseconds?: number
   readonly rankDelayMilliseconds?: number
 }
 
@@ -111,7 +111,7 @@
     this.engines = Array.from({ length: count }, (_, index): EngineSettings => ({
       endpoint: `e${index}` as EndpointId,
       url: 'http://127.0.0.1:1',
-      dataCentre: PLACE,
+      dataCentre: DATA_CENTRE,
       baseModel: 'base',
       slots: 2,
       batchCapacity: 16,
@@ -119,16 +119,16 @@
     }))
   }
 
-  async start (id: string, choice: InstanceChoice = {}): Promise<TestInstance> {
+  async start (id: string, choice: TestInstanceOptions = {}): Promise<TestInstance> {
     const { logger } = this
     const clock = choice.clock ?? new SystemClock()
     const engines = (): EngineSettings[] => this.engines
-    const peers = new TcpPeerNetwork({ instance: id as InstanceId, dataCentre: PLACE, address: choice.address ?? '127.0.0.1:0', logger, clock, heartbeatMilliseconds: HEARTBEAT })
+    const peers = new TcpPeerNetwork({ instance: id as InstanceId, dataCentre: DATA_CENTRE, address: choice.address ?? '127.0.0.1:0', logger, clock, heartbeatMilliseconds: HEARTBEAT_MILLISECONDS })
     const address = (await peers.listen())._unsafeUnwrap()
     this.list.add(id, address)
     const list = new RoutedList(this.list, this.relays, id)
-    const membership = new ListMembership({ peers, list, logger, clock, pollMilliseconds: HEARTBEAT, suspectAfterMilliseconds: 3 * HEARTBEAT })
-    const ownership = new StoreOwnership({ peers, membership, store: this.store, engines, logger, clock, lostDelayMilliseconds: 2 * HEARTBEAT, checkStoreMilliseconds: 10 * HEARTBEAT, rankDelayMilliseconds: choice.rankDelayMilliseconds ?? 50, confirmedMilliseconds: 5 * HEARTBEAT })
+    const membership = new ListMembership({ peers, list, logger, clock, pollIntervalMilliseconds: HEARTBEAT_MILLISECONDS, suspectAfterMilliseconds: 3 * HEARTBEAT_MILLISECONDS })
+    const ownership = new StoreOwnership({ peers, membership, store: this.store, engines, logger, clock, takeOverDelayMilliseconds: 2 * HEARTBEAT_MILLISECONDS, storeCheckIntervalMilliseconds: 10 * HEARTBEAT_MILLISECONDS, rankDelayMilliseconds: choice.rankDelayMilliseconds ?? 50, confirmationValidMilliseconds: 5 * HEARTBEAT_MILLISECONDS })
     const scheduler = new SchedulerInMemory(peers)
     const recoveries = new EndpointRecoveries({
       peers,
@@ -136,14 +136,14 @@
       ownership,
       engines,
       clientOf: (engine) => this.engineClients.get(engine.endpoint) as EngineInMemory,
-      granted: () => false,
+      hasGranted: () => false,
       longestRequestMilliseconds: () => this.longestRequestMilliseconds,
       logger,
       clock,
-      times: { ask: 4 * HEARTBEAT, settle: HEARTBEAT, clockMargin: 0, report: HEARTBEAT }
+      times: { callTimeout: 4 * HEARTBEAT_MILLISECONDS, settle: HEARTBEAT_MILLISECONDS, maximumClockSkew: 0, reportInterval: HEARTBEAT_MILLISECONDS }
     })
-    const handOvers = new HandOvers({ peers, ownership, recoveries, source: scheduler, logger, clock, evenOutMilliseconds: choice.evenOutMilliseconds ?? 3_600_000 })
-    peers.describeHeartbeat(() => ({ leaving: false, settingsHash: '', ownershipVersion: ownership.announcedVersion(), storeReachable: ownership.storeReachable() }))
+    const handOvers = new HandOvers({ peers, ownership, recoveries, source: scheduler, logger, clock, rebalanceIntervalMilliseconds: choice.rebalanceIntervalMilliseconds ?? 3_600_000 })
+    peers.setHeartbeatBody(() => ({ leaving: false, settingsHash: '', ownershipVersion: ownership.announcedVersion(), storeReachable: ownership.storeReachable() }))
     const ending = new AbortController()
     const running = Promise.all([peers, membership, ownership, recoveries, handOvers].map(async (part) => await part.run(ending.signal)))
     const kill = async (): Promise<void> => {
@@ -156,7 +156,7 @@
   }
 
   /** Starts instances and waits until all are connected; engines set after that are shared among them. */
-  async startAll (ids: readonly string[], choice: InstanceChoice = {}): Promise<TestInstance[]> {
+  async startAll (ids: readonly string[], choice: TestInstanceOptions = {}): Promise<TestInstance[]> {
     const started = await Promise.all(ids.map(async (id) => await this.start(id, choice)))
     await until(() => started.every((instance) => instance.peers.connected().length === ids.length - 1))
     // Each has read the list with all on it by then; one that was never seen there counts as too new for it.
@@ -173,10 +173,10 @@
     }
   }
 
-  rejoin (id: string): void {
+  reconnect (id: string): void {
     for (const { id: other } of this.instances) {
-      this.relays.mend(id, other)
-      this.relays.mend(other, id)
+      this.relays.restore(id, other)
+      this.relays.restore(other, id)
     }
   }
 
@@ -187,7 +187,7 @@
 }
 
 /** @returns whether the instances own all engines between them and agree on it */
-export function agreed (cluster: Cluster, instances: readonly TestInstance[]): boolean {
+export function ownAllAndAgree (cluster: Cluster, instances: readonly TestInstance[]): boolean {
   const [first] = instances
   if (first === undefined) return false
   const owned = instances.reduce((sum, instance) => sum + instance.ownership.owned().length, 0)
--- a/packages/entry/test/support/relay.ts
+++ b/packages/entry/test/support/relay.ts
@@ -9,7 +9,7 @@
 export class Relay {
   /** Connections taken so far. */
   accepted = 0
-  private silentBefore = 0
+  private blackholedBefore = 0
   private readonly server: Server
   private readonly sockets = new Set<Socket>()
 
@@ -29,8 +29,8 @@
   }
 
   /** Connections that are open now go silent for good; new ones work. */
-  silenceOpen (): void {
-    this.silentBefore = this.accepted + 1
+  blackholeOpenConnections (): void {
+    this.blackholedBefore = this.accepted + 1
   }
 
   /** Breaks open connections and refuses new ones for so many milliseconds; resolves when it listens again. */
@@ -48,7 +48,7 @@
 
   private join (from: Socket, to: Socket, direction: Direction, number: number): void {
     this.sockets.add(from)
-    const silent = (): boolean => number < this.silentBefore || this.isLost(direction)
+    const silent = (): boolean => number < this.blackholedBefore || this.isLost(direction)
     from.on('data', (chunk) => { if (!silent()) to.write(chunk) })
     from.on('error', () => {})
     from.on('close', () => {
@@ -87,7 +87,7 @@
     this.cuts.add(`${from} ${to}`)
   }
 
-  mend (from: string, to: string): void {
+  restore (from: string, to: string): void {
     this.cuts.delete(`${from} ${to}`)
   }
 
--- a/packages/entry/test/support/running-entry.ts
+++ b/packages/entry/test/support/running-entry.ts
@@ -20,7 +20,7 @@
 const TEAM = { adapters: { essays: { baseModel: 'base-1', versions: ['v1', 'v2'], current: 'v2' } } }
 
 /** An answer of the caller API. */
-export interface Answer {
+export interface CallerResponse {
   readonly status: number
   readonly headers: Record<string, string | string[] | undefined>
   readonly text: string
@@ -77,7 +77,7 @@
   }
 
   /** Calls the caller API. */
-  async call (path: string, body: string | Buffer, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<Answer> {
+  async call (path: string, body: string | Buffer, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<CallerResponse> {
     const response = await request(this.url + path, {
       method: 'POST',
       headers: { authorization: `Bearer ${KEY}`, 'content-type': 'application/json', ...headers },
@@ -88,7 +88,7 @@
   }
 
   /** Asks for a text completion. */
-  async complete (fields: Record<string, unknown> = {}, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<Answer> {
+  async complete (fields: Record<string, unknown> = {}, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<CallerResponse> {
     return await this.call('/v1/completions', JSON.stringify({ model: 'history/essays', prompt: 'Why?', max_tokens: 8, seed: 7, ...fields }), headers, signal)
   }
 
--- a/packages/entry/test/support/scheduler-in-memory.ts
+++ b/packages/entry/test/support/scheduler-in-memory.ts
@@ -24,11 +24,11 @@
     })
   }
 
-  override async freeze (endpoint: EndpointId): Promise<void> {
+  override async pauseOrders (endpoint: EndpointId): Promise<void> {
     this.events.push(`freeze ${endpoint}`)
   }
 
-  override resume (endpoint: EndpointId): void {
+  override resumeOrders (endpoint: EndpointId): void {
     this.events.push(`resume ${endpoint}`)
   }
 
--- a/packages/ingress/src/overlay/notice-router.ts
+++ b/packages/ingress/src/overlay/notice-router.ts
@@ -102,7 +102,7 @@
     for (const [index, [origin, to, hops, frame]] of items.entries()) {
       // A notice for all leaves is also sent back to the leaf that created it.
       if (origin === self) continue
-      if (to === ALL || to === self) this.network.takePassedOn(origin, frame)
+      if (to === ALL || to === self) this.network.deliverForwarded(origin, frame)
       if (to === self || hops >= MAXIMUM_HOPS) continue
       const next: QueuedItem = { item: [origin, to, hops + 1, frame], urgency: isPatient.has(index) ? 'patient' : 'urgent' }
       if (to === ALL) this.forward(next, isFromLeaf)
--- a/packages/ingress/src/overlay/peer-overlay.ts
+++ b/packages/ingress/src/overlay/peer-overlay.ts
@@ -155,7 +155,7 @@
   /** @returns monotonic time at which an unreachable instance was last known to be reachable; undefined when it never was */
   lastReachableAt (instance: InstanceId): number | undefined {
     this.reachableInstances()
-    const lastContact = this.dependencies.network.lastHeard(instance)
+    const lastContact = this.dependencies.network.lastContactAt(instance)
     const lost = this.lostAt.get(instance)
     if (lastContact === undefined || lost === undefined) return lastContact ?? lost
     return Math.max(lastContact, lost)
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -122,7 +122,7 @@
       logger,
       clock: this.clock,
       heartbeatMilliseconds: HEARTBEAT_MILLISECONDS,
-      remoteIntervals: 1
+      remoteHeartbeatFactor: 1
     })
     this.health = new StoreHealth(logger.part('store'))
     const self = { name: settings.name, instance: this.instance, address: settings.peerAddress, dataCentre: settings.dataCentre, cores: settings.cores }
@@ -380,7 +380,7 @@
   }
 
   private connectComponents (): void {
-    this.network.describeHeartbeat(() => ({
+    this.network.setHeartbeatBody(() => ({
       leaving: this.stopping, settingsHash: '', ownershipVersion: 0, storeReachable: this.health.reachable
     }))
     this.directory.onChange((endpoint, change) => this.endpointChanged(endpoint, change))
--- a/packages/ingress/test/support/simulated-links.ts
+++ b/packages/ingress/test/support/simulated-links.ts
@@ -2,7 +2,7 @@
 import { LimpetwinchError, silentLogger } from '@limpetwinch/core'
 import type { DataCentreId, FrameOf, InstanceId, PeerFrame } from '@limpetwinch/core'
 import { decodeFrame, encodeFrame, PeerLinks } from '@limpetwinch/entry'
-import type { EndEvidence, FrameCounts, HeardHeartbeat, NoticeFrame, PeerIdentity, PeerTarget, ReplyBody } from '@limpetwinch/entry'
+import type { EndEvidence, FrameCounts, ReceivedHeartbeat, NoticeFrame, PeerIdentity, PeerTarget, ReplyBody } from '@limpetwinch/entry'
 import { err, ResultAsync } from 'neverthrow'
 import type { Member } from '../../src/members/cluster-objects.js'
 import { PeerOverlay } from '../../src/overlay/peer-overlay.js'
@@ -46,7 +46,7 @@
     for (const instance of to) this.notify(instance, frame)
   }
 
-  override takePassedOn (origin: InstanceId, bytes: Uint8Array): void {
+  override deliverForwarded (origin: InstanceId, bytes: Uint8Array): void {
     const decoded = decodeFrame(bytes)
     if (decoded.isOk()) this.dispatch(origin, decoded.value)
   }
@@ -85,9 +85,9 @@
     for (const { instance } of targets) this.network.dial(this, instance)
   }
 
-  override describeHeartbeat (): void {}
+  override setHeartbeatBody (): void {}
 
-  override lastHeard (instance: InstanceId): number | undefined {
+  override lastContactAt (instance: InstanceId): number | undefined {
     return this.peers.has(instance) ? this.network.clock.now() : this.lastHeardAt.get(instance)
   }
 
@@ -99,7 +99,7 @@
     this.disconnectedListeners.push(listener)
   }
 
-  override onHeartbeat (_listener: (from: InstanceId, heartbeat: HeardHeartbeat) => void): void {}
+  override onHeartbeat (_listener: (from: InstanceId, heartbeat: ReceivedHeartbeat) => void): void {}
 
   override onEndEvidence (listener: (instance: InstanceId, evidence: EndEvidence) => void): void {
     this.evidenceListeners.push(listener)
--- a/packages/load/src/faults/fault-run-parts.ts
+++ b/packages/load/src/faults/fault-run-parts.ts
@@ -7,6 +7,6 @@
  */
 export class FaultRunParts extends EntryParts {
   override recoveryTimes (): ReturnType<EntryParts['recoveryTimes']> {
-    return { ask: 500, settle: 600, clockMargin: 50, report: 100 }
+    return { callTimeout: 500, settle: 600, maximumClockSkew: 50, reportInterval: 100 }
   }
 }
