--- a/packages/ingress/src/routing/endpoint-work-tracker.ts
+++ b/packages/ingress/src/routing/endpoint-work-tracker.ts
@@ -1,72 +1,77 @@
-/** Work in hand on each endpoint: this instance's own, exactly, and that of its peers, as told some hundred milliseconds ago. */
+/** Tracks the outstanding work on each endpoint: exactly for this instance, and for its peers as of their reports, which are some hundred milliseconds old. */
 import type { EndpointId, InstanceId, RelayedLoad } from '@limpetwinch/core'
 import type { AdapterKey } from '../routes/configuration.js'
 
-/** A peer's word counts for so long; one that stopped speaking must not weigh on an endpoint for ever. */
+/** A report of a peer expires after this time, so that the work of an unresponsive peer does not count for ever. */
 const PEER_REPORT_MILLISECONDS = 5_000
 
-/** What an endpoint has in hand. */
+/** Outstanding work of an endpoint. */
 export interface OutstandingWork {
   readonly requests: number
-  /** Prompt tokens that wait to be read. */
+  /** Prompt tokens that are still to be read. */
   readonly prefillTokens: number
-  /** Memory taken by prompts and output, tokens. */
+  /** Memory used by prompts and output, tokens. */
   readonly memoryTokens: number
 }
 
-/** One request's share of an endpoint's work. */
+/** Work that one request adds to an endpoint. */
 export interface RequestWork {
   readonly prefillTokens: number
   readonly memoryTokens: number
   readonly adapter: AdapterKey | undefined
 }
 
+/** Work of this instance on one endpoint. */
 interface OwnWork {
   requests: number
   prefillTokens: number
   memoryTokens: number
+  /** Number of running requests by adapter. */
   readonly running: Map<AdapterKey, number>
+  /** Number of requests sent since the last digest, by adapter. */
   readonly sent: Map<AdapterKey, number>
 }
 
+/** The latest report of one peer. */
 interface PeerReport {
+  /** Monotonic time. */
   readonly receivedAt: number
   readonly loads: readonly RelayedLoad[]
 }
 
-/** What all peers together have on one endpoint. */
+/** Total work of all peers on one endpoint. */
 interface PeerTotals {
   requests: number
   prefillTokens: number
   memoryTokens: number
-  /** Requests that run, by adapter. */
+  /** Number of running requests by adapter. */
   readonly running: Map<string, number>
 }
 
-/** A request's work on an endpoint, to be told of its progress and its end. */
+/** Handle to report the progress and the end of a request on an endpoint. */
 export interface WorkTicket {
-  /** The prompt is read: the first event has come. */
+  /** To be called when the first event has arrived, so the prompt has been read. */
   prefilled: () => void
-  /** The request no longer runs there. */
+  /** To be called when the request no longer runs on the endpoint. */
   ended: () => void
 }
 
-/** Work in hand by endpoint. */
+/** Outstanding work by endpoint. */
 export class EndpointWorkTracker {
   private readonly own = new Map<EndpointId, OwnWork>()
-  /** By who said it, the oldest word first. */
+  /** The latest report of each peer, the oldest report first. */
   private readonly peers = new Map<InstanceId, PeerReport>()
-  /** Kept up with each word: a router asks for every engine at each request, and there may be hundreds of peers. */
+  /** Updated with each report instead of computed when asked: a router asks for every engine at each request, and there may be hundreds of peers. */
   private readonly peerTotals = new Map<EndpointId, PeerTotals>()
   private readonly releaseListeners: ((endpoint: EndpointId) => void)[] = []
   private readonly useListeners: ((endpoint: EndpointId, key: AdapterKey, uses: number) => void)[] = []
 
-  /** Calls the listener with uses of adapters, own and those told by peers. */
+  /** Calls the listener with each use of adapters, by requests of this instance or as reported by peers. */
   onUse (listener: (endpoint: EndpointId, key: AdapterKey, uses: number) => void): void {
     this.useListeners.push(listener)
   }
 
-  /** Counts a request on an endpoint. */
+  /** Adds the work of a request that is sent to an endpoint. */
   begin (endpoint: EndpointId, work: RequestWork): WorkTicket {
     const own = this.ownWork(endpoint)
     own.requests += 1
@@ -77,16 +82,16 @@
       own.sent.set(work.adapter, (own.sent.get(work.adapter) ?? 0) + 1)
       for (const listener of this.useListeners) listener(endpoint, work.adapter, 1)
     }
-    let reading = true
-    let running = true
+    let isReading = true
+    let isRunning = true
     const prefilled = (): void => {
-      if (!reading) return
-      reading = false
+      if (!isReading) return
+      isReading = false
       own.prefillTokens -= work.prefillTokens
     }
     const ended = (): void => {
-      if (!running) return
-      running = false
+      if (!isRunning) return
+      isRunning = false
       prefilled()
       own.requests -= 1
       own.memoryTokens -= work.memoryTokens
@@ -97,7 +102,7 @@
     return { prefilled, ended }
   }
 
-  /** @returns the work of all instances on an endpoint */
+  /** @returns the outstanding work of all instances on an endpoint */
   outstanding (endpoint: EndpointId, now: number): OutstandingWork {
     this.dropExpiredReports(now)
     const own = this.own.get(endpoint)
@@ -109,12 +114,12 @@
     }
   }
 
-  /** @returns requests of this instance that use the adapter on the endpoint now */
+  /** @returns number of requests of this instance that use the adapter on the endpoint now */
   ownRunning (endpoint: EndpointId, key: AdapterKey): number {
     return this.own.get(endpoint)?.running.get(key) ?? 0
   }
 
-  /** @returns requests of all instances that use the adapter on the endpoint now */
+  /** @returns number of requests of all instances that use the adapter on the endpoint now */
   running (endpoint: EndpointId, key: AdapterKey, now: number): number {
     this.dropExpiredReports(now)
     return (this.own.get(endpoint)?.running.get(key) ?? 0) + (this.peerTotals.get(endpoint)?.running.get(key) ?? 0)
@@ -130,7 +135,7 @@
     return count
   }
 
-  /** Takes a peer's digest. */
+  /** Replaces the report of a peer by a newer one. */
   applyPeerReport (from: InstanceId, loads: readonly RelayedLoad[], now: number): void {
     this.forgetPeer(from)
     this.peers.set(from, { receivedAt: now, loads })
@@ -142,25 +147,25 @@
     }
   }
 
-  /** Forgets a peer that is gone. */
+  /** Removes the report of a peer that has left. */
   forgetPeer (instance: InstanceId): void {
     for (const load of this.peers.get(instance)?.loads ?? []) this.addToTotals(load, -1)
     this.peers.delete(instance)
   }
 
-  /** Calls the listener when the last own run of an adapter on an endpoint has ended: its slot may be free. */
+  /** Calls the listener when the last request of this instance for an adapter has ended on an endpoint, so the slot of the adapter may be free. */
   onReleased (listener: (endpoint: EndpointId) => void): void {
     this.releaseListeners.push(listener)
   }
 
-  /** @returns the own work as it is, for one peer; what was sent is left to the next digest for all */
+  /** @returns the current work of this instance, for one peer; requests sent since the last digest remain for the next digest for all peers */
   present (): RelayedLoad[] {
     return [...this.own].filter(([, own]) => own.requests > 0).map(([endpoint, own]) => ({
-      ...sums(endpoint, own), adapters: [...own.running].map(([key, running]): [string, number, number] => [key, running, 0])
+      ...ownTotals(endpoint, own), adapters: [...own.running].map(([key, running]): [string, number, number] => [key, running, 0])
     }))
   }
 
-  /** @returns the own work for peers; what was sent since the last digest is counted once */
+  /** @returns the current work of this instance, for all peers; the requests sent since the last digest are reset, so each one is reported once */
   digest (): RelayedLoad[] {
     const loads: RelayedLoad[] = []
     for (const [endpoint, own] of this.own) {
@@ -168,19 +173,20 @@
       const keys = new Set([...own.running.keys(), ...own.sent.keys()])
       const adapters = [...keys].map((key): [string, number, number] => [key, own.running.get(key) ?? 0, own.sent.get(key) ?? 0])
       own.sent.clear()
-      loads.push({ ...sums(endpoint, own), adapters })
+      loads.push({ ...ownTotals(endpoint, own), adapters })
     }
     return loads
   }
 
+  /** Removes expired reports. Reports are kept in order of their age, so it stops at the first one that has not expired. */
   private dropExpiredReports (now: number): void {
-    for (const [instance, { receivedAt: heardAt }] of this.peers) {
-      if (now - heardAt < PEER_REPORT_MILLISECONDS) return
+    for (const [instance, { receivedAt }] of this.peers) {
+      if (now - receivedAt < PEER_REPORT_MILLISECONDS) return
       this.forgetPeer(instance)
     }
   }
 
-  /** @param sign - 1 to add, -1 to take away */
+  /** @param sign - 1 to add, -1 to subtract */
   private addToTotals (load: RelayedLoad, sign: 1 | -1): void {
     const peerTotals = this.peerTotals.get(load.endpoint) ?? { requests: 0, prefillTokens: 0, memoryTokens: 0, running: new Map() }
     this.peerTotals.set(load.endpoint, peerTotals)
@@ -204,7 +210,7 @@
   }
 }
 
-function sums (endpoint: EndpointId, own: OwnWork): Omit<RelayedLoad, 'adapters'> {
+function ownTotals (endpoint: EndpointId, own: OwnWork): Omit<RelayedLoad, 'adapters'> {
   return { endpoint, requests: own.requests, prefillTokens: Math.round(own.prefillTokens), memoryTokens: Math.round(own.memoryTokens) }
 }
 
--- a/packages/ingress/src/routing/engine-router.ts
+++ b/packages/ingress/src/routing/engine-router.ts
@@ -1,4 +1,4 @@
-/** Picks the engine for a request: one that holds the adapter and reaches its first event soonest; else one to load it. */
+/** Chooses engines: for a request the engine that holds its adapter and has the earliest first event, or else the engine that should load the adapter. */
 import { rendezvousWeight } from '@limpetwinch/decisions'
 import type { EngineSpeeds, OutlierEjection } from '@limpetwinch/decisions'
 import type { EndpointId } from '@limpetwinch/core'
@@ -10,82 +10,85 @@
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 import type { PrefixCacheEstimate } from './prefix-cache-estimate.js'
 
-/** Bytes between data centres are priced and slower; two equal engines are told apart by this. */
+/** Added to engines in other data centres, where bytes are slower and cost money; it decides between engines that are otherwise equal. */
 const REMOTE_MILLISECONDS = 12
-/** An engine that has just failed is taken up again slowly. */
+/** Added to an engine that has just failed, so that it gets requests again gradually. */
 const PENALTY_MILLISECONDS = 300
-/** A load from the copy that an engine caches. */
+/** Time of a load from the copy that an engine has cached. */
 const CACHED_LOAD_MILLISECONDS = 40
 /**
- * What a load from the weight store costs beyond its time: the store hands out a limited number of adapters a second to all
- * engines, so each fetch takes one from another request. An engine that caches the adapter is worth waiting for.
+ * Cost of a load from the weight store in addition to its time. The store delivers a limited number of adapters a second to all engines
+ * together, so each fetch delays the load of another request, and it is worth waiting for an engine that has cached the adapter.
  */
 const STORE_LOAD_COST_MILLISECONDS = 400
-/** A slot in use is free again in about this time: the run of a short answer. */
+/** Time after which a slot in use becomes free again: about the duration of a short response. */
 const RUN_MILLISECONDS = 600
-/** Spreads adapters that lie nowhere yet, the same way on all instances. */
+/** Weight of the rendezvous hash, which spreads adapters that no engine holds yet over the engines, in the same way on all instances. */
 const HOME_MILLISECONDS = 150
-/** A further copy takes a slot and a load: it is asked for only when it saves a request this much. */
+/** A further copy of an adapter takes a slot and a load, so it is requested only when it saves a request at least this time. */
 const COPY_GAIN_MILLISECONDS = 400
-/** Further copies of one adapter are asked for at most so often: the last one shows its effect before. */
+/** Shortest interval between requests for further copies of one adapter, so that the previous copy has taken effect before. */
 const COPY_INTERVAL_MILLISECONDS = 500
 /**
- * While an engine reads a long prompt its streams stand still; above their longest pause each of them is late, which costs
- * its caller as much as half a second or more of waiting would. Not all of them see the pause: some end before it.
+ * Cost for each stream on an engine that is paused for longer than callers accept, while the engine reads a long prompt. Each such stream is
+ * late, which costs its caller as much as half a second or more of waiting would. The cost is lower than that because not all streams
+ * see the pause: some end before it.
  */
 const PAUSED_STREAM_MILLISECONDS = 200
-/** Part of the longest pause that a prompt may take alone; what is read besides it comes on top. */
+/** Share of the longest accepted pause that reading one prompt may take; prompts that are read at the same time add to the pause. */
 const PAUSE_SHARE = 0.9
 /**
- * A prompt that does no harm alone does so with another one right before or behind it. The fuller the pause is by what is to be
- * read there already, the likelier that is: the share of the pause counts squared, and for half, since it may also go well.
+ * Cost for each stream when a prompt that is short enough alone may exceed the longest pause together with a prompt that is read right
+ * before or after it. The more prompts are still to be read, the likelier that is, so the share of the pause counts squared, and
+ * half as much as a certain pause, since the prompts may also not be read together.
  */
 const JOINT_PAUSE_MILLISECONDS = PAUSED_STREAM_MILLISECONDS / 2
-/** Prompts that take less than this part of the longest pause are read between two events. */
+/** Prompts that take less than this share of the longest accepted pause are read between two events, without a noticeable pause. */
 const SHORT_PROMPT_SHARE = 0.1
 /**
- * A few popular adapters gather a crowd on the engine that came first to hold them, while others have room: streams there
- * take half as long again, and hold their slots for as long. An engine is crowded above this multiple of the mean of its
- * service, and from this part of its batch on; below, steps are as short as elsewhere. What it buys: answers and slots of the
- * crowd end sooner, and the engines that had room are used.
+ * An engine is crowded when its requests reach this multiple of the mean of its service and this share of its batch. Below that share,
+ * batch steps are as short as on other engines. A few popular adapters gather requests on the engine that held them first while other
+ * engines have capacity; streams on the crowded engine take half as long again, and hold their slots for half as long again. With
+ * further copies of these adapters, the streams end and free their slots sooner, and the capacity of the other engines is used.
  */
 const CROWDED_SHARE_OF_MEAN = 1.4
 const CROWDED_SHARE_OF_BATCH = 0.3
-/** An adapter with fewer runs there than this is no part of the crowd. */
+/** An adapter with fewer running requests than this on a crowded engine is not a cause of the crowding. */
 const CROWDED_RUNS = 4
-/** Each request that runs on an engine makes another one's answer that much longer; it tells holders of one adapter apart. */
+/** Time by which each running request on an engine lengthens the response of another one; it decides between engines that hold the same adapter. */
 const RUNNING_MILLISECONDS = 3
-/** A run that a crash of the engine would end costs its caller a whole answer. */
+/** Cost of each running request that a crash of the engine would end: its caller would lose the complete response. */
 const CRASH_RISK_MILLISECONDS = 1_000
-/** Adapters with a copy asked for that are remembered. */
+/** Largest number of adapters for which the time of the last copy request is kept. */
 const MAXIMUM_COPY_TIMES = 5_000
 
-/** What an engine is looked for. */
+/** What an engine is chosen for. */
 export interface EngineQuery {
   readonly service: Service
   readonly facts: RequestFacts
-  /** The longest pause that streams bear. */
+  /** The longest pause between two events that callers accept. */
   readonly gapMilliseconds: number
-  /** Engines that are not asked: tried before, or refusing. */
+  /** Engines that must not be chosen, such as those that were attempted before or refused the request. */
   readonly excluded: ReadonlySet<EndpointId>
-  /** Whether the request may end the runs beside it, so that an engine with few is best. */
+  /** Whether the request is suspected of crashing its engine, so that an engine with few running requests is best. */
   readonly isolated?: boolean
 }
 
-/** An engine for a request. */
+/** An engine chosen for a request. */
 export interface EngineChoice {
   readonly endpoint: Endpoint
   readonly forecastMilliseconds: number
+  /** Prompt tokens that the engine has to read. */
   readonly uncachedTokens: number
 }
 
-/** An engine that should load an adapter. */
+/** An engine chosen to load an adapter. */
 export interface LoadChoice {
   readonly endpoint: Endpoint
   readonly costMilliseconds: number
 }
 
-/** What the router looks at. */
+/** Dependencies of the router. */
 export interface EngineRouterDependencies {
   readonly directory: EndpointDirectory
   readonly locations: AdapterLocations
@@ -95,15 +98,15 @@
   readonly prefixes: PrefixCacheEstimate
   readonly ejection: OutlierEjection
   readonly dataCentre: string
-  /** @returns the least adapter version that a new request may begin on */
+  /** @returns the lowest adapter version on which a new request may start */
   readonly leastVersion: (key: AdapterKey, now: number) => number
-  /** @returns milliseconds that a load from the weight store takes now */
+  /** @returns current duration of a load from the weight store, milliseconds */
   readonly loadMilliseconds: () => number
-  /** @returns whether somebody is there to order the engine's loads */
+  /** @returns whether the engine has a load owner, without which it loads nothing */
   readonly hasLoadOwner: (endpoint: EndpointId) => boolean
 }
 
-/** Chooses engines. */
+/** Chooses engines for requests and for loads. */
 export class EngineRouter {
   private readonly parts: EngineRouterDependencies
   private readonly copyRequestTimes = new Map<AdapterKey, number>()
@@ -112,16 +115,16 @@
     this.parts = parts
   }
 
-  /** @returns the engine that holds the adapter and is fastest; undefined when none holds it */
-  choose (question: EngineQuery, now: number): EngineChoice | undefined {
-    const shape = question.service.engine
-    if (shape === undefined || question.facts.adapter === undefined) return undefined
+  /** @returns the engine that holds the adapter and has the lowest cost; undefined when no engine holds it */
+  choose (query: EngineQuery, now: number): EngineChoice | undefined {
+    const shape = query.service.engine
+    if (shape === undefined || query.facts.adapter === undefined) return undefined
     let best: EngineChoice | undefined
     let least = Infinity
-    for (const endpoint of this.holders(question, now)) {
-      const choice = this.estimate(endpoint, shape, question.facts, now)
-      const running = this.parts.workTracker.outstanding(endpoint.id, now).requests * (question.isolated === true ? CRASH_RISK_MILLISECONDS : RUNNING_MILLISECONDS)
-      const cost = choice.forecastMilliseconds + running + this.pauseCost(endpoint, choice.uncachedTokens, question.gapMilliseconds, now)
+    for (const endpoint of this.holders(query, now)) {
+      const choice = this.estimate(endpoint, shape, query.facts, now)
+      const running = this.parts.workTracker.outstanding(endpoint.id, now).requests * (query.isolated === true ? CRASH_RISK_MILLISECONDS : RUNNING_MILLISECONDS)
+      const cost = choice.forecastMilliseconds + running + this.pauseCost(endpoint, choice.uncachedTokens, query.gapMilliseconds, now)
       if (cost >= least) continue
       best = choice
       least = cost
@@ -130,20 +133,21 @@
   }
 
   /**
-   * Picks the engine that should load the adapter. All instances pick the same one while they believe the same, so
-   * that requests that come to several instances share one load.
+   * Chooses the engine that should load the adapter. All instances with the same state choose the same engine, so that requests that
+   * arrive at several instances share one load.
    *
-   * @param bias - milliseconds by which an engine seems slower or faster to the asker than to all others
+   * @param bias - returns milliseconds that are added to the cost of an engine, by which the caller rates it differently from other instances
+   * @returns the engine; undefined when no engine can load the adapter
    */
-  chooseForLoad (question: EngineQuery, bias: (endpoint: EndpointId) => number, now: number): LoadChoice | undefined {
-    const { locations, hasLoadOwner: isOrdered } = this.parts
-    const { service, facts, excluded, gapMilliseconds } = question
+  chooseForLoad (query: EngineQuery, bias: (endpoint: EndpointId) => number, now: number): LoadChoice | undefined {
+    const { locations, hasLoadOwner } = this.parts
+    const { service, facts, excluded, gapMilliseconds } = query
     const shape = service.engine
     if (shape === undefined || facts.adapter === undefined) return undefined
     const { key, model } = facts.adapter
     const usable = this.usableEngines(service, excluded, now)
-      .filter((endpoint) => isOrdered(endpoint.id) && endpoint.models.includes(model as ModelName) && !locations.holders(key).has(endpoint.id))
-    // Counted over all engines, so it is asked once and not for each of them.
+      .filter((endpoint) => hasLoadOwner(endpoint.id) && endpoint.models.includes(model as ModelName) && !locations.holders(key).has(endpoint.id))
+    // The duration is computed over all engines, so it is read once and not for each engine.
     const storeMilliseconds = this.parts.loadMilliseconds()
     let best: LoadChoice | undefined
     for (const endpoint of usable) {
@@ -155,26 +159,26 @@
     return best
   }
 
-  /** @returns an engine for a further copy when the best holder is slow and another would be faster; undefined mostly */
-  chooseForCopy (question: EngineQuery, best: EngineChoice, now: number): LoadChoice | undefined {
-    const { facts } = question
+  /** @returns an engine for a further copy of the adapter, when the best holder is slow or crowded and another engine would be better; else undefined */
+  chooseForCopy (query: EngineQuery, best: EngineChoice, now: number): LoadChoice | undefined {
+    const { facts } = query
     const { adapter } = facts
-    const shape = question.service.engine
+    const shape = query.service.engine
     if (adapter === undefined || adapter.name === undefined || shape === undefined) return undefined
-    const crowded = this.isCrowded(question, best.endpoint, shape, now)
+    const crowded = this.isCrowded(query, best.endpoint, shape, now)
     if (!crowded && best.forecastMilliseconds < COPY_GAIN_MILLISECONDS + this.parts.loadMilliseconds()) return undefined
     if (now - (this.copyRequestTimes.get(adapter.key) ?? -Infinity) < COPY_INTERVAL_MILLISECONDS) return undefined
-    const load = this.chooseForLoad({ ...question, excluded: NONE }, unbiased, now)
+    const load = this.chooseForLoad({ ...query, excluded: NONE }, unbiased, now)
     if (load === undefined) return undefined
-    const there = this.estimate(load.endpoint, shape, facts, now).forecastMilliseconds + this.parts.loadMilliseconds()
-    const relieves = crowded && !this.isAboveMean(question.service, load.endpoint, now)
-    if (!relieves && there + COPY_GAIN_MILLISECONDS > best.forecastMilliseconds) return undefined
+    const copyMilliseconds = this.estimate(load.endpoint, shape, facts, now).forecastMilliseconds + this.parts.loadMilliseconds()
+    const relieves = crowded && !this.isAboveMean(query.service, load.endpoint, now)
+    if (!relieves && copyMilliseconds + COPY_GAIN_MILLISECONDS > best.forecastMilliseconds) return undefined
     if (this.copyRequestTimes.size > MAXIMUM_COPY_TIMES) this.copyRequestTimes.clear()
     this.copyRequestTimes.set(adapter.key, now)
     return load
   }
 
-  /** @returns milliseconds until a load that is asked for now could be there, on the engine with the shortest line */
+  /** @returns milliseconds until a load that is requested now could be complete, on the engine with the shortest load queue */
   shortestWait (service: Service, now: number): number {
     let least = Infinity
     for (const { id } of this.usableEngines(service, NONE, now)) {
@@ -183,12 +187,13 @@
     return least + this.parts.loadMilliseconds()
   }
 
+  /** @returns whether the engine is crowded and the adapter of the request is a cause of that */
   private isCrowded ({ service, facts }: EngineQuery, endpoint: Endpoint, shape: EngineShape, now: number): boolean {
-    const { workTracker: board } = this.parts
-    const { requests } = board.outstanding(endpoint.id, now)
+    const { workTracker } = this.parts
+    const { requests } = workTracker.outstanding(endpoint.id, now)
     if (facts.adapter === undefined || requests < shape.batchSlots * CROWDED_SHARE_OF_BATCH) return false
     if (requests < this.meanRequests(service, now) * CROWDED_SHARE_OF_MEAN) return false
-    return board.running(endpoint.id, facts.adapter.key, now) >= CROWDED_RUNS
+    return workTracker.running(endpoint.id, facts.adapter.key, now) >= CROWDED_RUNS
   }
 
   private isAboveMean (service: Service, endpoint: Endpoint, now: number): boolean {
@@ -211,54 +216,58 @@
     return engines.filter((endpoint) => (holders.get(endpoint.id) ?? -1) >= least)
   }
 
-  /** Ejection looks at all engines of the service: among the holders of one adapter its floor would keep a failing one. */
+  /**
+   * @returns servable engines that are neither ejected nor excluded. Ejection is applied to all engines of the service: applied to the
+   *   few holders of one adapter, its lower bound on the remaining engines would keep a failing holder in use.
+   */
   private usableEngines (service: Service, excluded: ReadonlySet<EndpointId>, now: number): Endpoint[] {
     const engines = this.parts.directory.servable(service.name).map((endpoint) => ({ endpoint: endpoint.id, entry: endpoint }))
     return this.parts.ejection.usable(engines, now).map(({ entry }) => entry).filter((endpoint) => !excluded.has(endpoint.id))
   }
 
+  /** @returns the engine with the forecast of the first event, penalties included */
   private estimate (endpoint: Endpoint, shape: EngineShape, facts: RequestFacts, now: number): EngineChoice {
-    const { workTracker: board, forecast, prefixes, ejection, dataCentre } = this.parts
+    const { workTracker, forecast, prefixes, ejection, dataCentre } = this.parts
     const key = facts.adapter?.key
-    const kept = key === undefined ? 0 : prefixes.cachedTokens(endpoint.id, key, facts.promptParts)
-    const uncachedTokens = Math.max(0, facts.promptTokens - kept)
-    const inHand = board.outstanding(endpoint.id, now)
+    const cachedTokens = key === undefined ? 0 : prefixes.cachedTokens(endpoint.id, key, facts.promptParts)
+    const uncachedTokens = Math.max(0, facts.promptTokens - cachedTokens)
+    const outstanding = workTracker.outstanding(endpoint.id, now)
     const memoryTokens = facts.promptTokens + facts.outputTokens
-    const expected = forecast.milliseconds(endpoint.id, shape, inHand, uncachedTokens, memoryTokens)
+    const expected = forecast.milliseconds(endpoint.id, shape, outstanding, uncachedTokens, memoryTokens)
     const remote = endpoint.dataCentre === dataCentre ? 0 : REMOTE_MILLISECONDS
     const penalty = ejection.penalty(endpoint.id, now) * PENALTY_MILLISECONDS
     return { endpoint, forecastMilliseconds: expected + remote + penalty, uncachedTokens }
   }
 
-  /** @returns what it costs others on the engine that a prompt of so many tokens is read there now, in milliseconds of waiting */
+  /** @returns the cost for the running streams of the engine when it reads a prompt of this length now, expressed as milliseconds of waiting */
   private pauseCost (endpoint: Endpoint, tokens: number, gapMilliseconds: number, now: number): number {
-    const { speeds, workTracker: board } = this.parts
+    const { speeds, workTracker } = this.parts
     const alone = speeds.prefillMilliseconds(endpoint.id, tokens) / gapMilliseconds
     if (alone < SHORT_PROMPT_SHARE) return 0
-    const { requests, prefillTokens } = board.outstanding(endpoint.id, now)
+    const { requests, prefillTokens } = workTracker.outstanding(endpoint.id, now)
     if (alone >= PAUSE_SHARE) return requests * PAUSED_STREAM_MILLISECONDS
     const joint = Math.min(1, speeds.prefillMilliseconds(endpoint.id, prefillTokens + tokens) / gapMilliseconds)
     return requests * JOINT_PAUSE_MILLISECONDS * joint ** 2
   }
 
-  /** @returns milliseconds until the adapter could be used there, with what the load takes from others on top */
+  /** @returns milliseconds until the adapter could be used on the engine, plus the cost of the load for other requests */
   private loadCost (endpoint: Endpoint, shape: EngineShape, key: AdapterKey, storeMilliseconds: number, now: number): number {
-    const { workTracker: board, forecast, locations, dataCentre, ejection, leastVersion } = this.parts
-    const reading = forecast.milliseconds(endpoint.id, shape, board.outstanding(endpoint.id, now), 0, 0)
-    const line = locations.line(endpoint.id)
-    // Joining a load that others wait for takes nothing more from the weight store.
-    const joins = line?.waiting.has(key) === true
-    const storeWorth = joins ? 0 : STORE_LOAD_COST_MILLISECONDS
-    const travel = locations.isCached(endpoint.id, key, leastVersion(key, now)) ? CACHED_LOAD_MILLISECONDS : storeMilliseconds + storeWorth
-    const idleSlots = shape.adapterSlots - board.adaptersInUse(endpoint.id, now) - locations.inFlight.countFor(endpoint.id)
-    const slots = idleSlots > 0 ? 0 : RUN_MILLISECONDS / shape.adapterSlots * (1 - idleSlots)
-    const turn = Math.max(slots, line?.waitMilliseconds ?? 0)
-    // It runs there and is not offered there: it is on its way out or being replaced, which waits for those runs.
-    const leaving = board.running(endpoint.id, key, now) > 0 ? RUN_MILLISECONDS : 0
+    const { workTracker, forecast, locations, dataCentre, ejection, leastVersion } = this.parts
+    const reading = forecast.milliseconds(endpoint.id, shape, workTracker.outstanding(endpoint.id, now), 0, 0)
+    const queue = locations.line(endpoint.id)
+    // Joining a load that is already pending takes nothing more from the weight store.
+    const joinsPendingLoad = queue?.waiting.has(key) === true
+    const storeCost = joinsPendingLoad ? 0 : STORE_LOAD_COST_MILLISECONDS
+    const loadMilliseconds = locations.isCached(endpoint.id, key, leastVersion(key, now)) ? CACHED_LOAD_MILLISECONDS : storeMilliseconds + storeCost
+    const idleSlots = shape.adapterSlots - workTracker.adaptersInUse(endpoint.id, now) - locations.inFlight.countFor(endpoint.id)
+    const slotWait = idleSlots > 0 ? 0 : RUN_MILLISECONDS / shape.adapterSlots * (1 - idleSlots)
+    const queueWait = Math.max(slotWait, queue?.waitMilliseconds ?? 0)
+    // Requests still run with the adapter although the engine does not offer it: it is being evicted or replaced there, which waits for these runs.
+    const evictionWait = workTracker.running(endpoint.id, key, now) > 0 ? RUN_MILLISECONDS : 0
     const remote = endpoint.dataCentre === dataCentre ? 0 : REMOTE_MILLISECONDS
     const penalty = ejection.penalty(endpoint.id, now) * PENALTY_MILLISECONDS
     const home = HOME_MILLISECONDS * (1 - rendezvousWeight(key, endpoint.id))
-    return reading + travel + turn + leaving + remote + penalty + home
+    return reading + loadMilliseconds + queueWait + evictionWait + remote + penalty + home
   }
 }
 
--- a/packages/ingress/src/routing/first-event-forecast.ts
+++ b/packages/ingress/src/routing/first-event-forecast.ts
@@ -1,54 +1,63 @@
-/** Forecasts how long an engine takes to the first event of a request, from the work that it has in hand. */
+/** Forecasts the time until an engine produces the first event of a request, from the outstanding work of the engine. */
 import type { EndpointId } from '@limpetwinch/core'
 import type { EngineSpeeds } from '@limpetwinch/decisions'
 import type { EngineShape } from '../routes/configuration.js'
 import type { OutstandingWork } from './endpoint-work-tracker.js'
 
-/** Taking up a request, the first step of the batch and the way back. */
+/** Time that every request takes: accepting it, the first step of its batch and the network round trip. */
 const BASE_MILLISECONDS = 60
-/** A request that finds the batch or the memory full waits about as long as a running one still takes. */
+/** Expected wait when the batch or the memory of the engine is full: about the remaining time of a running request. */
 const FULL_ENGINE_WAIT_MILLISECONDS = 600
-/** Part of the memory that may be filled before new requests are taken to wait. */
+/** Share of the memory above which new requests are expected to wait. */
 const FULL_MEMORY_SHARE = 0.92
-/** Weight of the newest observation. */
+/** Weight of the latest observation in the slowness of an engine. */
 const SMOOTHING = 0.15
+/** Bounds of the slowness, the ratio of observed to forecast time. */
 const MAXIMUM_SLOWNESS = 10
 const MINIMUM_SLOWNESS = 0.5
 
-/** Forecasts for all engines. */
+/** Forecasts the first event for all engines, corrected by the observed slowness of each engine. */
 export class FirstEventForecast {
   private readonly slowness = new Map<EndpointId, number>()
   private readonly speeds: EngineSpeeds
 
-  /** @param speeds - of all engines */
+  /** @param speeds - reading speeds of all engines */
   constructor (speeds: EngineSpeeds) {
     this.speeds = speeds
   }
 
   /**
-   * @param endpoint - which engine
-   * @param shape - what its service's engines are
-   * @param inHand - work of all instances there
-   * @param uncachedTokens - of this prompt
-   * @param memoryTokens - that the request takes
-   * @returns milliseconds to the first event
+   * Forecasts the first event of a request.
+   *
+   * @param endpoint - the engine
+   * @param shape - capacity of the engines of the service
+   * @param outstanding - outstanding work of all instances on the engine
+   * @param uncachedTokens - tokens of the prompt that the engine has to read
+   * @param memoryTokens - engine memory that the request needs, tokens
+   * @returns milliseconds until the first event
    */
-  milliseconds (endpoint: EndpointId, shape: EngineShape, inHand: OutstandingWork, uncachedTokens: number, memoryTokens: number): number {
-    const reading = this.speeds.prefillMilliseconds(endpoint, inHand.prefillTokens + uncachedTokens)
-    const full = inHand.requests >= shape.batchSlots || inHand.memoryTokens + memoryTokens > shape.memoryTokens * FULL_MEMORY_SHARE
+  milliseconds (endpoint: EndpointId, shape: EngineShape, outstanding: OutstandingWork, uncachedTokens: number, memoryTokens: number): number {
+    const reading = this.speeds.prefillMilliseconds(endpoint, outstanding.prefillTokens + uncachedTokens)
+    const full = outstanding.requests >= shape.batchSlots || outstanding.memoryTokens + memoryTokens > shape.memoryTokens * FULL_MEMORY_SHARE
     const expected = BASE_MILLISECONDS + reading + (full ? FULL_ENGINE_WAIT_MILLISECONDS : 0)
     return expected * (this.slowness.get(endpoint) ?? 1)
   }
 
-  /** Compares a forecast with what came. @param readTokens - of the prompt and of those before it */
+  /**
+   * Learns the speed and the slowness of an engine from a first event.
+   *
+   * @param forecast - forecast time, milliseconds
+   * @param observed - observed time, milliseconds
+   * @param readTokens - tokens that the engine read until then: those of the prompt and of the prompts before it
+   */
   observe (endpoint: EndpointId, forecast: number, observed: number, readTokens: number): void {
     this.speeds.recordPrefill(endpoint, readTokens, observed - BASE_MILLISECONDS)
-    const before = this.slowness.get(endpoint) ?? 1
-    const ratio = Math.min(MAXIMUM_SLOWNESS, Math.max(MINIMUM_SLOWNESS, observed / Math.max(1, forecast / before)))
-    this.slowness.set(endpoint, before + SMOOTHING * (ratio - before))
+    const previous = this.slowness.get(endpoint) ?? 1
+    const ratio = Math.min(MAXIMUM_SLOWNESS, Math.max(MINIMUM_SLOWNESS, observed / Math.max(1, forecast / previous)))
+    this.slowness.set(endpoint, previous + SMOOTHING * (ratio - previous))
   }
 
-  /** The engine is gone or started again. */
+  /** Forgets an engine that has left or was restarted. */
   forget (endpoint: EndpointId): void {
     this.slowness.delete(endpoint)
     this.speeds.forget(endpoint)
--- a/packages/ingress/src/routing/prefix-cache-estimate.ts
+++ b/packages/ingress/src/routing/prefix-cache-estimate.ts
@@ -1,46 +1,50 @@
-/** Which parts of prompts an engine probably still keeps, guessed from what was sent there. */
+/** Estimates which parts of prompts an engine has cached, from the prompts that were sent to it. */
 import { LRUCache } from 'lru-cache'
 import type { EndpointId } from '@limpetwinch/core'
 import type { PromptPart } from '../relay/request-codec.js'
 import type { AdapterKey } from '../routes/configuration.js'
 
-/** Part of an engine's memory that kept prompts are taken to have; the rest is in use by running requests. */
+/** Share of the engine's memory that is assumed to hold cached prompts; running requests use the rest. */
 const CACHE_SHARE = 0.6
 
-/** Guesses by engine. A wrong guess costs the reading of a part, not an answer. */
+/** Estimates for all engines. When an estimate is wrong, the engine has to read a part of the prompt again; no response is lost. */
 export class PrefixCacheEstimate {
   private readonly byEndpoint = new Map<EndpointId, LRUCache<string, true>>()
 
-  /** Notes that an engine has read a prompt. */
+  /**
+   * Records that an engine has read a prompt.
+   *
+   * @param memoryTokens - memory of the engine, tokens
+   */
   recordPrompt (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[], memoryTokens: number): void {
     if (memoryTokens <= 0) return
-    let kept = this.byEndpoint.get(endpoint)
-    if (kept === undefined) {
-      kept = new LRUCache({ maxSize: Math.max(1, Math.floor(memoryTokens * CACHE_SHARE)) })
-      this.byEndpoint.set(endpoint, kept)
+    let cached = this.byEndpoint.get(endpoint)
+    if (cached === undefined) {
+      cached = new LRUCache({ maxSize: Math.max(1, Math.floor(memoryTokens * CACHE_SHARE)) })
+      this.byEndpoint.set(endpoint, cached)
     }
-    let chain: string = adapter
+    let prefixKey: string = adapter
     for (const part of parts) {
-      chain = `${chain} ${part.id}`
-      kept.set(chain, true, { size: Math.max(1, Math.ceil(part.tokens)) })
+      prefixKey = `${prefixKey} ${part.id}`
+      cached.set(prefixKey, true, { size: Math.max(1, Math.ceil(part.tokens)) })
     }
   }
 
-  /** @returns tokens of the prompt's beginning that need not be read again */
+  /** @returns number of tokens at the beginning of the prompt that the engine probably need not read again */
   cachedTokens (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[]): number {
-    const kept = this.byEndpoint.get(endpoint)
-    if (kept === undefined) return 0
-    let chain: string = adapter
+    const cached = this.byEndpoint.get(endpoint)
+    if (cached === undefined) return 0
+    let prefixKey: string = adapter
     let tokens = 0
     for (const part of parts) {
-      chain = `${chain} ${part.id}`
-      if (!kept.has(chain)) break
+      prefixKey = `${prefixKey} ${part.id}`
+      if (!cached.has(prefixKey)) break
       tokens += part.tokens
     }
     return tokens
   }
 
-  /** The engine is gone or started again: it keeps nothing. */
+  /** Forgets an engine that has left or was restarted, so its cache is empty. */
   forget (endpoint: EndpointId): void {
     this.byEndpoint.delete(endpoint)
   }
--- a/packages/ingress/src/routing/service-router.ts
+++ b/packages/ingress/src/routing/service-router.ts
@@ -1,38 +1,41 @@
-/** Picks the endpoint of a plain service: the one with the most room, the near one among equals. */
+/** Chooses the endpoint of a plain service: the least loaded one, and among equals one in the same data centre. */
 import type { ErrorRates, OutlierEjection } from '@limpetwinch/decisions'
 import type { EndpointId } from '@limpetwinch/core'
 import type { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import type { Endpoint, ServiceName } from '../routes/configuration.js'
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 
-/** Part of a slot that nearness is worth: an endpoint elsewhere is taken when it has that much more room. */
+/** Slots that are added to the load of an endpoint in another data centre. */
 const REMOTE_SLOTS = 0.6
-/** Slots by which an endpoint that has just failed seems fuller. */
+/** Slots that are added to the load of an endpoint that has just failed. */
 const PENALTY_SLOTS = 3
-/** Slots by which one seems fuller that answers with errors more often than its peers: it is the last to be taken. */
+/** Slots that are added to the load of an endpoint that responds with errors more often than its peers, so that it is chosen last. */
 const CONSPICUOUS_SLOTS = 12
 
-/** Chooses endpoints of plain services. */
+/** Chooses endpoints of plain services by their load. */
 export class ServiceRouter {
   private readonly directory: EndpointDirectory
-  private readonly board: EndpointWorkTracker
+  private readonly workTracker: EndpointWorkTracker
   private readonly ejection: OutlierEjection
   private readonly errors: ErrorRates
   private readonly dataCentre: string
 
-  constructor (directory: EndpointDirectory, board: EndpointWorkTracker, ejection: OutlierEjection, errors: ErrorRates, dataCentre: string) {
+  constructor (directory: EndpointDirectory, workTracker: EndpointWorkTracker, ejection: OutlierEjection, errors: ErrorRates, dataCentre: string) {
     this.directory = directory
-    this.board = board
+    this.workTracker = workTracker
     this.ejection = ejection
     this.errors = errors
     this.dataCentre = dataCentre
   }
 
   /**
-   * @param service - whose endpoints
-   * @param excluded - endpoints tried before
-   * @param random - uniform in 0 to 1, to tell equals apart
-   * @returns the endpoint, or undefined when there is none left
+   * Chooses an endpoint for a request.
+   *
+   * @param service - the service
+   * @param excluded - endpoints that must not be chosen, such as those that were attempted before
+   * @param random - returns a number from 0 to 1, which decides between equally loaded endpoints
+   * @param now - monotonic time
+   * @returns the endpoint; undefined when there is none left
    */
   choose (service: ServiceName, excluded: ReadonlySet<EndpointId>, random: () => number, now: number): Endpoint | undefined {
     const all = this.directory.servable(service).map(({ id }) => id)
@@ -50,10 +53,11 @@
     return best
   }
 
+  /** @returns the load of an endpoint as a share of its slots, with the added slots */
   private fullness (endpoint: Endpoint, all: readonly EndpointId[], now: number): number {
     const remote = endpoint.dataCentre === this.dataCentre ? 0 : REMOTE_SLOTS
     const penalty = PENALTY_SLOTS * this.ejection.penalty(endpoint.id, now)
     const conspicuous = this.errors.isOutlier(endpoint.id, all) ? CONSPICUOUS_SLOTS : 0
-    return (this.board.outstanding(endpoint.id, now).requests + remote + penalty + conspicuous) / endpoint.slots
+    return (this.workTracker.outstanding(endpoint.id, now).requests + remote + penalty + conspicuous) / endpoint.slots
   }
 }
--- a/packages/ingress/src/routing/work-digests.ts
+++ b/packages/ingress/src/routing/work-digests.ts
@@ -1,44 +1,45 @@
-/** Tells peers what this instance has in hand on each endpoint. */
+/** Reports the outstanding work of this instance on each endpoint to its peers. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 
-/** Routing by the work of peers is this old. */
+/** Interval between digests, and so the age of the peers' work on which routing is based. */
 const DIGEST_MILLISECONDS = 150
 /**
- * Beyond so many instances digests become rarer in proportion, so that what each reads stays the same; each then holds a
- * smaller part of the work, and its own share of the picture can be older.
+ * Above this number of instances, the interval between digests grows in proportion, so that the digests that each instance receives
+ * stay about as many. Each instance then holds a smaller share of the work, so its digest may be older.
  */
 const MEMBERS_AT_FULL_RATE = 20
 
 /**
- * Between two words to one peer out of turn. Where loads wait for a slot, a run that has ended is told at once to the one
- * that orders the engine: by the next digest the slot would stand empty for half a digest's time, a tenth of a short run.
+ * Time in which calls of `sendSoon` for one peer are combined. While loads wait for a slot, the end of a run is reported to the load
+ * owner of the engine without waiting for the next digest: until then the slot would stay empty for half a digest interval on
+ * average, a tenth of a short run.
  */
 const SEND_SOON_MILLISECONDS = 20
 
-/** Digests of one instance. */
+/** Sends the digests of this instance. */
 export class WorkDigests {
   private readonly peers: Pick<PeerOverlay, 'notify' | 'broadcast'>
-  private readonly board: EndpointWorkTracker
+  private readonly workTracker: EndpointWorkTracker
   private readonly members: () => number
   private readonly clock: Clock
   private readonly soon = new Set<InstanceId>()
 
-  /** @param members - how many instances there are */
-  constructor (peers: Pick<PeerOverlay, 'notify' | 'broadcast'>, board: EndpointWorkTracker, members: () => number, clock: Clock) {
+  /** @param members - returns the number of instances */
+  constructor (peers: Pick<PeerOverlay, 'notify' | 'broadcast'>, workTracker: EndpointWorkTracker, members: () => number, clock: Clock) {
     this.peers = peers
-    this.board = board
+    this.workTracker = workTracker
     this.members = members
     this.clock = clock
   }
 
-  /** Tells the peer at once what this instance has in hand. */
+  /** Sends the outstanding work of this instance to a peer at once. */
   send (peer: InstanceId): void {
-    this.peers.notify(peer, { kind: 'relay-load', loads: this.board.present() })
+    this.peers.notify(peer, { kind: 'relay-load', loads: this.workTracker.present() })
   }
 
-  /** Tells the peer soon what this instance has in hand; calls that come close together make one word. */
+  /** Sends the outstanding work of this instance to a peer soon; calls in quick succession result in one message. */
   sendSoon (peer: InstanceId): void {
     if (this.soon.has(peer)) return
     this.soon.add(peer)
@@ -48,12 +49,12 @@
     }, SEND_SOON_MILLISECONDS)
   }
 
-  /** Tells until the signal ends it; an empty digest once, so that peers forget the last one. */
+  /** Sends digests to all peers until the signal is aborted. An empty digest is sent once, so that peers drop the previous one. */
   async run (signal: AbortSignal): Promise<void> {
     let wasEmpty = true
     while (!signal.aborted) {
       await this.clock.sleep(DIGEST_MILLISECONDS * Math.max(1, this.members() / MEMBERS_AT_FULL_RATE), signal)
-      const loads = this.board.digest()
+      const loads = this.workTracker.digest()
       if (loads.length === 0 && wasEmpty) continue
       wasEmpty = loads.length === 0
       this.peers.broadcast({ kind: 'relay-load', loads }, 'patient')
--- a/packages/ingress/test/endpoint-work-tracker.failure.test.ts
+++ b/packages/ingress/test/endpoint-work-tracker.failure.test.ts
@@ -1,6 +1,7 @@
-// Who orders an engine's loads knows what runs there from digests, told every 150 ms. A run that ended after the last one
-// keeps its slot from the loads that wait; one that began after it is not seen, and its adapter is evicted under it: the
-// engine then takes no order until that run ends. So ends are told apart from digests, and an instance knows its own runs.
+// Guards against load orders that are based on an outdated view of an engine. The load owner learns of runs on other instances from
+// digests, sent every 150 ms. A run that ended after the last digest still blocks its slot for pending loads. A run that began after
+// it is not visible, so its adapter may be evicted, and the engine then accepts no order until the run ends. Therefore ends of runs are
+// reported separately from digests, and each instance counts its own runs exactly.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { EndpointId, InstanceId, RelayedLoad } from '@limpetwinch/core'
@@ -9,33 +10,33 @@
 
 const ENGINE = 'e' as EndpointId
 
-function begin (board: EndpointWorkTracker, name: string): () => void {
-  return board.begin(ENGINE, { prefillTokens: 10, memoryTokens: 20, adapter: key(name) }).ended
+function begin (workTracker: EndpointWorkTracker, name: string): () => void {
+  return workTracker.begin(ENGINE, { prefillTokens: 10, memoryTokens: 20, adapter: key(name) }).ended
 }
 
-describe('work in hand', () => {
-  it('tells when the last own run of an adapter has ended, and only then', () => {
-    const board = new EndpointWorkTracker()
+describe('the outstanding work of an endpoint', () => {
+  it('notifies listeners when the last run of this instance for an adapter has ended, and only then', () => {
+    const workTracker = new EndpointWorkTracker()
     const released: EndpointId[] = []
-    board.onReleased((endpoint) => released.push(endpoint))
-    const [first, second] = [begin(board, 'x'), begin(board, 'x')]
+    workTracker.onReleased((endpoint) => released.push(endpoint))
+    const [first, second] = [begin(workTracker, 'x'), begin(workTracker, 'x')]
     first()
     const before = released.length
     second()
     second()
-    expect({ before, after: released, own: board.ownRunning(ENGINE, key('x')) }).toEqual({ before: 0, after: [ENGINE], own: 0 })
+    expect({ before, after: released, own: workTracker.ownRunning(ENGINE, key('x')) }).toEqual({ before: 0, after: [ENGINE], own: 0 })
   })
 
-  it('tells one peer what runs without taking uses from the digest for all', () => {
-    const board = new EndpointWorkTracker()
-    begin(board, 'x')
-    const present = board.present()[0]?.adapters
-    expect([present, board.digest()[0]?.adapters]).toEqual([[['base/x', 1, 0]], [['base/x', 1, 1]]])
+  it('is reported to one peer without resetting the uses that the digest for all peers reports', () => {
+    const workTracker = new EndpointWorkTracker()
+    begin(workTracker, 'x')
+    const reported = workTracker.present()[0]?.adapters
+    expect([reported, workTracker.digest()[0]?.adapters]).toEqual([[['base/x', 1, 0]], [['base/x', 1, 1]]])
   })
 
-  // Hundreds of peers tell their work, stop speaking, come back. Kept sums that were off by one word would send callers to a
-  // crowded engine, or keep a slot from the loads that wait for it, for good.
-  it('comes to what the last words of all peers add up to, those that are old left out', () => {
+  // Guards against totals that miss or keep one report when peers become unresponsive and return: callers would be sent to a crowded
+  // engine, or a slot would stay blocked for pending loads for ever.
+  it('is the sum of the latest reports of all peers, without the expired ones', () => {
     const load = fc.record({
       endpoint: fc.constantFrom('e', 'f').map((id) => id as EndpointId),
       requests: fc.nat(5),
@@ -43,23 +44,23 @@
       memoryTokens: fc.nat(100),
       adapters: fc.dictionary(fc.constantFrom('base/x', 'base/y'), fc.nat(3)).map((running) => Object.entries(running).map(([key, count]): [string, number, number] => [key, count, 0]))
     })
-    const told = fc.record({ peer: fc.constantFrom('p', 'q', 'r'), after: fc.nat(3_000), loads: fc.uniqueArray(load, { selector: ({ endpoint }) => endpoint }) })
-    fc.assert(fc.property(fc.array(told, { maxLength: 20 }), (words) => {
-      const board = new EndpointWorkTracker()
+    const report = fc.record({ peer: fc.constantFrom('p', 'q', 'r'), after: fc.nat(3_000), loads: fc.uniqueArray(load, { selector: ({ endpoint }) => endpoint }) })
+    fc.assert(fc.property(fc.array(report, { maxLength: 20 }), (reports) => {
+      const workTracker = new EndpointWorkTracker()
       const last = new Map<string, { readonly at: number, readonly loads: readonly RelayedLoad[] }>()
       let now = 0
-      for (const { peer, after, loads } of words) {
+      for (const { peer, after, loads } of reports) {
         now += after
-        board.applyPeerReport(peer as InstanceId, loads, now)
+        workTracker.applyPeerReport(peer as InstanceId, loads, now)
         last.set(peer, { at: now, loads })
       }
-      const there = [...last.values()].filter(({ at }) => now - at < 5_000).flatMap(({ loads }) => loads).filter(({ endpoint }) => endpoint === ENGINE)
-      const running = there.flatMap(({ adapters }) => adapters).filter(([, count]) => count > 0)
-      expect({ inHand: board.outstanding(ENGINE, now), x: board.running(ENGINE, key('x'), now), inUse: board.adaptersInUse(ENGINE, now) }).toEqual({
+      const current = [...last.values()].filter(({ at }) => now - at < 5_000).flatMap(({ loads }) => loads).filter(({ endpoint }) => endpoint === ENGINE)
+      const running = current.flatMap(({ adapters }) => adapters).filter(([, count]) => count > 0)
+      expect({ inHand: workTracker.outstanding(ENGINE, now), x: workTracker.running(ENGINE, key('x'), now), inUse: workTracker.adaptersInUse(ENGINE, now) }).toEqual({
         inHand: {
-          requests: sum(there.map(({ requests }) => requests)),
-          prefillTokens: sum(there.map(({ prefillTokens }) => prefillTokens)),
-          memoryTokens: sum(there.map(({ memoryTokens }) => memoryTokens))
+          requests: sum(current.map(({ requests }) => requests)),
+          prefillTokens: sum(current.map(({ prefillTokens }) => prefillTokens)),
+          memoryTokens: sum(current.map(({ memoryTokens }) => memoryTokens))
         },
         x: sum(running.filter(([name]) => name === 'base/x').map(([, count]) => count)),
         inUse: new Set(running.map(([name]) => name)).size
