--- a/packages/entry/src/admin/admin-api.ts
+++ b/packages/entry/src/admin/admin-api.ts
@@ -4,8 +4,8 @@
 import type { Context, Next } from 'hono'
 import { LimpetwinchError } from '@limpetwinch/core'
 import { hashOf } from '../callers/authentication.js'
-import type { ExplainLog } from '../measures/explain-log.js'
-import type { Measures } from '../measures/measures.js'
+import type { ExplainLog } from '../metrics/explain-log.js'
+import type { Metrics } from '../metrics/metrics.js'
 import { statusOf } from './status.js'
 import type { StatusSources } from './status.js'
 
@@ -13,7 +13,7 @@
 export interface AdminApiOptions extends StatusSources {
   readonly administratorKeySha256: string
   readonly explain: ExplainLog
-  readonly measures: Measures
+  readonly measures: Metrics
   /** Settings under `/admin/settings`, `/admin/validate` and `/admin/watch`; they check keys themselves. */
   readonly settingsRoutes: Hono<{ Bindings: HttpBindings }>
 }
--- a/packages/entry/src/admin/change-feed.ts
+++ b/packages/entry/src/admin/change-feed.ts
@@ -8,12 +8,12 @@
 export class ChangeFeed {
   private readonly follower: SettingsFollower
   private readonly listeners = new Set<Listener>()
-  private seen = new Map<SettingsPath, number>()
+  private lastRevisions = new Map<SettingsPath, number>()
 
   /** @param follower - what is in force */
   constructor (follower: SettingsFollower) {
     this.follower = follower
-    follower.onChange(() => { this.look() })
+    follower.onChange(() => { this.publishChanges() })
   }
 
   /** @returns how many watch */
@@ -26,16 +26,16 @@
    * @returns ends it
    */
   listen (listener: Listener): () => void {
-    if (this.listeners.size === 0) this.seen = new Map(this.follower.revisions())
+    if (this.listeners.size === 0) this.lastRevisions = new Map(this.follower.revisions())
     this.listeners.add(listener)
     return () => { this.listeners.delete(listener) }
   }
 
-  private look (): void {
+  private publishChanges (): void {
     if (this.listeners.size === 0) return
     const revisions = this.follower.revisions()
-    const changed = [...revisions].filter(([path, revision]) => this.seen.get(path) !== revision).map(([path]) => path)
-    this.seen = new Map(revisions)
+    const changed = [...revisions].filter(([path, revision]) => this.lastRevisions.get(path) !== revision).map(([path]) => path)
+    this.lastRevisions = new Map(revisions)
     for (const listener of this.listeners) listener(changed)
   }
 }
--- a/packages/entry/src/admin/settings-access.ts
+++ b/packages/entry/src/admin/settings-access.ts
@@ -6,7 +6,7 @@
 import type { OperatorSettings, SettingsPath, TeamId } from '@limpetwinch/core'
 
 /** Who asks, and what that reaches. */
-export interface SettingsReader {
+export interface SettingsPrincipal {
   /** As it stands in the history. */
   readonly author: string
   readonly reaches: (path: SettingsPath) => boolean
@@ -20,12 +20,12 @@
  * @param settings - what is in force, for the keys of teams' owners
  * @returns the reader, `unauthorized`, or `forbidden` for a key that is no owner's
  */
-export function readerOf (header: string | undefined, administratorKeySha256: string, settings: OperatorSettings): Result<SettingsReader, LimpetwinchError> {
+export function principalOf (header: string | undefined, administratorKeySha256: string, settings: OperatorSettings): Result<SettingsPrincipal, LimpetwinchError> {
   const key = /^Bearer (\S+)$/i.exec(header ?? '')?.[1]
   if (key === undefined) return err(new LimpetwinchError('unauthorized'))
   const hash = createHash('sha256').update(key).digest()
   if (sameHash(hash, administratorKeySha256)) return ok({ author: 'administrator', reaches: () => true })
-  const holders = teamsHolding(hash, settings)
+  const holders = holdersOfKey(hash, settings)
   if (holders.length === 0) return err(new LimpetwinchError('unauthorized'))
   const owned = holders.filter((holder) => holder.role === 'owner')
   if (owned.length === 0) return err(new LimpetwinchError('forbidden', { what: 'the settings' }))
@@ -62,7 +62,7 @@
 }
 
 /** Every key is compared, in constant time each: how long it takes tells neither the key nor the team. */
-function teamsHolding (hash: Buffer, settings: OperatorSettings): Holder[] {
+function holdersOfKey (hash: Buffer, settings: OperatorSettings): Holder[] {
   const holders: Holder[] = []
   for (const [team, { keys }] of settings.teams) {
     for (const { sha256, label, role } of keys) {
--- a/packages/entry/src/admin/settings-answers.ts
+++ b/packages/entry/src/admin/settings-responses.ts
@@ -20,22 +20,22 @@
 }
 
 /** @returns a document's text as JSON with comments, its revision as ETag */
-export function documentAnswer (document: SettingsDocument): Response {
+export function documentResponse (document: SettingsDocument): Response {
   return new Response(document.text, { headers: { 'content-type': 'application/jsonc; charset=utf-8', etag: `"${document.revision}"`, 'x-limpetwinch-author': encodeURI(document.author) } })
 }
 
 /** @returns the answer to an accepted change */
-export function acceptedAnswer (document: SettingsDocument): Response {
+export function acceptedResponse (document: SettingsDocument): Response {
   return Response.json(summaryOf(document), { headers: { etag: `"${document.revision}"` } })
 }
 
 /** @returns plain text */
-export function textAnswer (text: string): Response {
+export function textResponse (text: string): Response {
   return new Response(text, { headers: { 'content-type': 'text/plain; charset=utf-8' } })
 }
 
 /** @returns the answer for an error: its code, its message with the remedy, and what helps to go on */
-export function errorAnswer (error: LimpetwinchError): Response {
+export function errorResponse (error: LimpetwinchError): Response {
   const { newest, text, list } = error.details
   const body = {
     code: error.code,
--- a/packages/entry/src/admin/settings-watch-route.ts
+++ b/packages/entry/src/admin/settings-watch-route.ts
@@ -6,11 +6,11 @@
 import type { SettingsFollower } from '../settings/settings-follower.js'
 import { Wake } from '../concurrency/wake.js'
 import type { ChangeFeed } from './change-feed.js'
-import type { SettingsReader } from './settings-access.js'
-import { summaryOf } from './settings-answers.js'
+import type { SettingsPrincipal } from './settings-access.js'
+import { summaryOf } from './settings-responses.js'
 
 /** Watches held at a time; each holds a connection and a little memory. */
-export const MOST_WATCHES = 200
+export const MAXIMUM_WATCHES = 200
 /** A line now and then shows both ends that the connection is alive. */
 const KEEP_ALIVE_MILLISECONDS = 10_000
 
@@ -24,7 +24,7 @@
  * @param reader - sees only what it reaches
  * @returns the stream
  */
-export function watchAnswer (context: Context, follower: SettingsFollower, feed: ChangeFeed, reader: SettingsReader): Response {
+export function watchResponse (context: Context, follower: SettingsFollower, feed: ChangeFeed, reader: SettingsPrincipal): Response {
   const prefix = context.req.query('prefix') ?? '/'
   const after = Number(context.req.query('after') ?? 0)
   const shown = (path: SettingsPath): boolean => isUnder(path, prefix) && reader.reaches(path)
@@ -39,7 +39,7 @@
     })
     try {
       while (!ending.signal.aborted) {
-        await sendWaiting(stream, follower, waiting)
+        await sendPending(stream, follower, waiting)
         await stream.write(': alive\n\n')
         await wake.wait(KEEP_ALIVE_MILLISECONDS, ending.signal)
       }
@@ -50,7 +50,7 @@
 }
 
 /** A slow reader gets the newest state of each path once, however many changes it missed. */
-async function sendWaiting (stream: SSEStreamingApi, follower: SettingsFollower, waiting: Set<SettingsPath>): Promise<void> {
+async function sendPending (stream: SSEStreamingApi, follower: SettingsFollower, waiting: Set<SettingsPath>): Promise<void> {
   for (const path of waiting) {
     waiting.delete(path)
     const document = follower.document(path)
--- a/packages/entry/src/callers/body-reader.ts
+++ b/packages/entry/src/callers/body-reader.ts
@@ -19,7 +19,7 @@
  * @returns the body, `body-too-large`, `body-timeout` or `request-ended-early`
  */
 export async function readBody (message: IncomingMessage, limits: BodyLimits): Promise<Result<Buffer, LimpetwinchError>> {
-  if (Number(message.headers['content-length'] ?? 0) > limits.bytes) return err(tooLarge(limits))
+  if (Number(message.headers['content-length'] ?? 0) > limits.bytes) return err(bodyTooLarge(limits))
   return await new Promise((resolve) => {
     const chunks: Buffer[] = []
     let bytes = 0
@@ -32,7 +32,7 @@
     const timer = setTimeout(() => finish(err(new LimpetwinchError('body-timeout', { seconds: limits.seconds }))), limits.seconds * 1000)
     message.on('data', (chunk: Buffer) => {
       bytes += chunk.length
-      if (bytes > limits.bytes) return finish(err(tooLarge(limits)))
+      if (bytes > limits.bytes) return finish(err(bodyTooLarge(limits)))
       chunks.push(chunk)
     })
     message.once('end', () => finish(ok(Buffer.concat(chunks))))
@@ -54,6 +54,6 @@
   }
 }
 
-function tooLarge (limits: BodyLimits): LimpetwinchError {
+function bodyTooLarge (limits: BodyLimits): LimpetwinchError {
   return new LimpetwinchError('body-too-large', { limit: limits.bytes })
 }
--- a/packages/entry/src/callers/caller-api.ts
+++ b/packages/entry/src/callers/caller-api.ts
@@ -15,11 +15,11 @@
   readonly completions: Completions
   readonly serviceCalls: ServiceCalls
   /** Tells of each request that begins and ends, for the graceful stop. */
-  readonly track: (work: Promise<void>) => Promise<void>
+  readonly trackRequest: (work: Promise<void>) => Promise<void>
 }
 
 type CallerContext = Context<{ Bindings: HttpBindings }>
-type Serve = (message: IncomingMessage, response: ServerResponse) => Promise<void>
+type RequestHandler = (message: IncomingMessage, response: ServerResponse) => Promise<void>
 
 /**
  * @param options - what it works with
@@ -27,9 +27,9 @@
  */
 export function callerApi (options: CallerApiOptions): Hono<{ Bindings: HttpBindings }> {
   const app = new Hono<{ Bindings: HttpBindings }>()
-  const serve = (handler: Serve) => async (context: CallerContext): Promise<Response> => {
+  const serve = (handler: RequestHandler) => async (context: CallerContext): Promise<Response> => {
     const { incoming, outgoing } = context.env
-    await options.track(handler(incoming, outgoing))
+    await options.trackRequest(handler(incoming, outgoing))
     return RESPONSE_ALREADY_SENT
   }
   app.post('/v1/chat/completions', serve(async (message, response) => await options.completions.serve('chat', message, response)))
--- a/packages/entry/src/callers/caller-gone.ts
+++ b/packages/entry/src/callers/caller-disconnect.ts
@@ -6,7 +6,7 @@
  *   after a wait
  * @returns aborted by the caller's leaving, or by whoever else gives the request up
  */
-export function callerGone (response: ServerResponse): AbortController {
+export function abortOnDisconnect (response: ServerResponse): AbortController {
   const gone = new AbortController()
   if (response.destroyed) gone.abort()
   response.on('close', () => { if (!response.writableFinished) gone.abort() })
--- a/packages/entry/src/callers/completion-request.ts
+++ b/packages/entry/src/callers/completion-request.ts
@@ -5,12 +5,12 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 
 const DEFAULT_MAXIMUM_TOKENS = 256
-const MOST_TOKENS = 131_072
-const MOST_MESSAGES = 4_096
+const MAXIMUM_TOKENS = 131_072
+const MAXIMUM_MESSAGES = 4_096
 /** A rough count without the model's own tokenizer; the engine's count replaces it when the answer ends. */
 const CHARACTERS_PER_TOKEN = 4
 
-const maximumTokens = z.int().min(1).max(MOST_TOKENS)
+const maximumTokens = z.int().min(1).max(MAXIMUM_TOKENS)
 const commonFields = {
   model: z.string().min(1).max(256),
   stream: z.boolean().nullish(),
@@ -26,7 +26,7 @@
   messages: z.array(z.looseObject({
     role: z.enum(['system', 'developer', 'user', 'assistant', 'tool']),
     content: z.union([z.string(), z.array(contentPart)]).nullish()
-  })).min(1).max(MOST_MESSAGES)
+  })).min(1).max(MAXIMUM_MESSAGES)
 })
 const textSchema = z.looseObject({ ...commonFields, prompt: z.string() })
 
--- a/packages/entry/src/callers/completion-answer.ts
+++ b/packages/entry/src/callers/completion-response.ts
@@ -2,10 +2,10 @@
 import type { ServerResponse } from 'node:http'
 import type { LimpetwinchError, RequestId } from '@limpetwinch/core'
 import type { CompletionForm } from './completion-request.js'
-import { errorBody, errorHeaders, REQUEST_ID_HEADER } from './error-answer.js'
+import { errorBody, errorHeaders, REQUEST_ID_HEADER } from './error-response.js'
 
 /** Who answers, named in every answer. */
-export interface AnswerNames {
+export interface ResponseIdentity {
   readonly requestId: RequestId
   readonly team: string
   readonly adapter: string
@@ -13,51 +13,51 @@
 }
 
 /** How an answer ended. */
-export interface AnswerEnd {
+export interface CompletionEnd {
   readonly finishReason: string
   readonly promptTokens: number
   readonly outputTokens: number
 }
 
 /** Writes one answer. */
-export abstract class CompletionAnswer {
+export abstract class CompletionResponse {
   protected readonly created = Math.floor(Date.now() / 1000)
 
   /**
    * @param response - the connection
    * @param form - chat or text
-   * @param names - who answers
+   * @param identity - who answers
    */
-  constructor (protected readonly response: ServerResponse, protected readonly form: CompletionForm, protected readonly names: AnswerNames) {}
+  constructor (protected readonly response: ServerResponse, protected readonly form: CompletionForm, protected readonly identity: ResponseIdentity) {}
 
   /** Writes one text. Resolves when the caller's connection takes more: a slow caller slows its own stream only. */
   abstract text (text: string): Promise<void>
 
   /** Ends a whole answer. */
-  abstract end (end: AnswerEnd): void
+  abstract end (end: CompletionEnd): void
 
   /** Ends with an error. */
-  abstract fail (error: LimpetwinchError): void
+  abstract endWithError (error: LimpetwinchError): void
 
   protected get modelName (): string {
-    return `${this.names.team}/${this.names.adapter}@${this.names.version}`
+    return `${this.identity.team}/${this.identity.adapter}@${this.identity.version}`
   }
 
   protected headers (contentType: string): Record<string, string> {
     return {
       'content-type': contentType,
       'cache-control': 'no-cache',
-      [REQUEST_ID_HEADER]: this.names.requestId,
-      'x-limpetwinch-team': this.names.team,
-      'x-limpetwinch-adapter': this.names.adapter,
-      'x-limpetwinch-version': this.names.version
+      [REQUEST_ID_HEADER]: this.identity.requestId,
+      'x-limpetwinch-team': this.identity.team,
+      'x-limpetwinch-adapter': this.identity.adapter,
+      'x-limpetwinch-version': this.identity.version
     }
   }
 
-  protected body (kind: 'whole' | 'chunk', choice: Record<string, unknown>, usage: AnswerEnd | undefined): Record<string, unknown> {
+  protected body (kind: 'whole' | 'chunk', choice: Record<string, unknown>, usage: CompletionEnd | undefined): Record<string, unknown> {
     const chatObject = kind === 'whole' ? 'chat.completion' : 'chat.completion.chunk'
     return {
-      id: this.names.requestId,
+      id: this.identity.requestId,
       object: this.form === 'chat' ? chatObject : 'text_completion',
       created: this.created,
       model: this.modelName,
@@ -66,22 +66,22 @@
     }
   }
 
-  protected failWhole (error: LimpetwinchError): void {
-    const { requestId } = this.names
+  protected sendError (error: LimpetwinchError): void {
+    const { requestId } = this.identity
     this.response.writeHead(error.status, errorHeaders(error, requestId))
     this.response.end(JSON.stringify(errorBody(error, requestId)))
   }
 }
 
 /** One JSON document at the end. */
-export class WholeAnswer extends CompletionAnswer {
+export class JsonCompletionResponse extends CompletionResponse {
   private readonly texts: string[] = []
 
   override async text (text: string): Promise<void> {
     this.texts.push(text)
   }
 
-  override end (end: AnswerEnd): void {
+  override end (end: CompletionEnd): void {
     const text = this.texts.join('')
     const content = this.form === 'chat' ? { message: { role: 'assistant', content: text } } : { text }
     const body = this.body('whole', { ...content, finish_reason: end.finishReason }, end)
@@ -89,49 +89,49 @@
     this.response.end(JSON.stringify(body))
   }
 
-  override fail (error: LimpetwinchError): void {
-    this.failWhole(error)
+  override endWithError (error: LimpetwinchError): void {
+    this.sendError(error)
   }
 }
 
 /** Stands where the text of a chunk goes; no name may hold it. */
-const TEXT_MARK = '\u0000text\u0000'
+const TEXT_PLACEHOLDER = '\u0000text\u0000'
 
 /** Server-sent events, ended by `[DONE]`; a caller that does not see it knows that the answer is not whole. */
-export class StreamedAnswer extends CompletionAnswer {
+export class StreamedCompletionResponse extends CompletionResponse {
   /** All of a chunk but its text, which is the same for each token. */
-  private frame: { readonly before: string, readonly after: string } | undefined
+  private chunkTemplate: { readonly before: string, readonly after: string } | undefined
 
   override async text (text: string): Promise<void> {
     const { before, after } = this.begin()
     const roomLeft = this.response.write(before + JSON.stringify(text) + after)
-    if (!roomLeft && !this.response.destroyed) await drained(this.response)
+    if (!roomLeft && !this.response.destroyed) await waitForDrain(this.response)
   }
 
-  override end (end: AnswerEnd): void {
+  override end (end: CompletionEnd): void {
     this.begin()
     const content = this.form === 'chat' ? { delta: {} } : { text: '' }
     const last = this.body('chunk', { ...content, finish_reason: end.finishReason }, end)
     this.response.end(`data: ${JSON.stringify(last)}\n\ndata: [DONE]\n\n`)
   }
 
-  override fail (error: LimpetwinchError): void {
-    if (this.frame === undefined) return this.failWhole(error)
-    this.response.end(`data: ${JSON.stringify(errorBody(error, this.names.requestId))}\n\n`)
+  override endWithError (error: LimpetwinchError): void {
+    if (this.chunkTemplate === undefined) return this.sendError(error)
+    this.response.end(`data: ${JSON.stringify(errorBody(error, this.identity.requestId))}\n\n`)
   }
 
   private begin (): { readonly before: string, readonly after: string } {
-    if (this.frame !== undefined) return this.frame
+    if (this.chunkTemplate !== undefined) return this.chunkTemplate
     this.response.writeHead(200, this.headers('text/event-stream'))
-    const content = this.form === 'chat' ? { delta: { content: TEXT_MARK } } : { text: TEXT_MARK }
+    const content = this.form === 'chat' ? { delta: { content: TEXT_PLACEHOLDER } } : { text: TEXT_PLACEHOLDER }
     const chunk = JSON.stringify(this.body('chunk', { ...content, finish_reason: null }, undefined))
-    const [before = '', after = ''] = chunk.split(JSON.stringify(TEXT_MARK))
-    this.frame = { before: `data: ${before}`, after: `${after}\n\n` }
-    return this.frame
+    const [before = '', after = ''] = chunk.split(JSON.stringify(TEXT_PLACEHOLDER))
+    this.chunkTemplate = { before: `data: ${before}`, after: `${after}\n\n` }
+    return this.chunkTemplate
   }
 }
 
-async function drained (response: ServerResponse): Promise<void> {
+async function waitForDrain (response: ServerResponse): Promise<void> {
   await new Promise<void>((resolve) => {
     const finish = (): void => {
       response.off('drain', finish)
@@ -143,7 +143,7 @@
   })
 }
 
-function usageOf (end: AnswerEnd): Record<string, number> {
+function usageOf (end: CompletionEnd): Record<string, number> {
   return {
     prompt_tokens: end.promptTokens,
     completion_tokens: end.outputTokens,
--- a/packages/entry/src/callers/completions.ts
+++ b/packages/entry/src/callers/completions.ts
@@ -6,35 +6,35 @@
 import { adapterOf, formatAdapter, LimpetwinchError, newRequestId, parseModelName, priorityOf } from '@limpetwinch/core'
 import type { AdapterReference, Clock, OperatorSettings, RequestId } from '@limpetwinch/core'
 import type { Delivery, DeliveryRequest } from '../delivery/delivery.js'
-import type { CountedOutcome, Measures, Series } from '../measures/measures.js'
+import type { CountedOutcome, Metrics, MetricSeries } from '../metrics/metrics.js'
 import type { IdempotencyClaims, HeldClaim } from '../outcomes/idempotency-claims.js'
 import type { Authentication, CallerTeams } from './authentication.js'
 import { parseJson, readBody } from './body-reader.js'
 import type { BodyLimits } from './body-reader.js'
-import { callerGone } from './caller-gone.js'
-import { StreamedAnswer, WholeAnswer } from './completion-answer.js'
-import type { CompletionAnswer } from './completion-answer.js'
+import { abortOnDisconnect } from './caller-disconnect.js'
+import { StreamedCompletionResponse, JsonCompletionResponse } from './completion-response.js'
+import type { CompletionResponse } from './completion-response.js'
 import { parseCompletion } from './completion-request.js'
 import type { CompletionForm, CompletionRequest } from './completion-request.js'
-import { errorBody, errorHeaders } from './error-answer.js'
+import { errorBody, errorHeaders } from './error-response.js'
 import { parseRequestOptions } from './request-options.js'
 import type { RequestOptions } from './request-options.js'
-import type { Passage, TeamGate } from './team-gate.js'
+import type { TeamAdmission, TeamLimiters } from './team-limiters.js'
 
 /** What completions work with. */
 export interface CompletionsOptions {
   readonly settings: () => OperatorSettings | undefined
   readonly authentication: Authentication
-  readonly gate: TeamGate
+  readonly teamLimiters: TeamLimiters
   readonly claims: IdempotencyClaims
   readonly delivery: Delivery
-  readonly measures: Measures
+  readonly measures: Metrics
   readonly bodyLimits: BodyLimits
   readonly clock: Clock
 }
 
 /** A request that may go on to its delivery. */
-interface Accepted {
+interface AcceptedRequest {
   readonly settings: OperatorSettings
   readonly reference: AdapterReference
   readonly completion: CompletionRequest
@@ -42,7 +42,7 @@
   readonly delivery: DeliveryRequest
 }
 
-const LARGEST_SEED = 2 ** 31
+const SEED_UPPER_BOUND = 2 ** 31
 
 /** Serves completions. */
 export class Completions {
@@ -59,7 +59,7 @@
     const accepted = await this.accept(form, message, requestId)
     if (accepted.isErr()) return refuse(response, accepted.error, requestId)
     const { reference, settings, completion, options } = accepted.value
-    const passage = this.options.gate.pass(reference.team, settings, completion.promptTokens, completion.maximumTokens)
+    const passage = this.options.teamLimiters.admit(reference.team, settings, completion.promptTokens, completion.maximumTokens)
     if (passage.isErr()) {
       this.options.measures.series(reference.team, options.priorityClass).outcome('not_run')
       return refuse(response, passage.error, requestId)
@@ -71,7 +71,7 @@
     }
   }
 
-  private async accept (form: CompletionForm, message: IncomingMessage, requestId: RequestId): Promise<Result<Accepted, LimpetwinchError>> {
+  private async accept (form: CompletionForm, message: IncomingMessage, requestId: RequestId): Promise<Result<AcceptedRequest, LimpetwinchError>> {
     const settings = this.options.settings()
     if (settings === undefined) return err(new LimpetwinchError('store-unavailable', { reason: 'no settings yet' }, { retryAfterSeconds: 1 }))
     const caller = this.options.authentication.check(message.headers.authorization, settings)
@@ -86,7 +86,7 @@
           .andThen((options) => this.prepare(requestId, settings, reference, completion, options))))
   }
 
-  private prepare (requestId: RequestId, settings: OperatorSettings, reference: AdapterReference, completion: CompletionRequest, options: RequestOptions): Result<Accepted, LimpetwinchError> {
+  private prepare (requestId: RequestId, settings: OperatorSettings, reference: AdapterReference, completion: CompletionRequest, options: RequestOptions): Result<AcceptedRequest, LimpetwinchError> {
     const team = settings.teams.get(reference.team)
     const priority = priorityOf(settings, reference.team, options.priorityClass)
     const adapter = team === undefined ? undefined : adapterOf(team, reference.adapter)
@@ -105,14 +105,14 @@
       maximumTokens: completion.maximumTokens,
       temperature: completion.temperature,
       // A repeated run must say the same, so every run of a request has one seed.
-      seed: completion.seed ?? randomInt(LARGEST_SEED),
+      seed: completion.seed ?? randomInt(SEED_UPPER_BOUND),
       idempotent: options.idempotent,
       deadlineAt: this.options.clock.now() + options.patience
     }
     return ok({ settings, reference, completion, options, delivery })
   }
 
-  private async claimAndDeliver (accepted: Accepted, passage: Passage, response: ServerResponse): Promise<void> {
+  private async claimAndDeliver (accepted: AcceptedRequest, passage: TeamAdmission, response: ServerResponse): Promise<void> {
     const { options, reference, delivery } = accepted
     if (options.idempotent || options.key === undefined) {
       await this.deliver(accepted, passage, response)
@@ -132,10 +132,10 @@
     if (outcome === 'answered') await this.options.claims.answered(claim)
   }
 
-  private async deliver (accepted: Accepted, passage: Passage, response: ServerResponse): Promise<CountedOutcome> {
+  private async deliver (accepted: AcceptedRequest, passage: TeamAdmission, response: ServerResponse): Promise<CountedOutcome> {
     const { reference, completion, delivery, options, settings } = accepted
-    const answer = answerFor(response, completion, reference, delivery.requestId)
-    const gone = callerGone(response)
+    const answer = createResponse(response, completion, reference, delivery.requestId)
+    const gone = abortOnDisconnect(response)
     const meter = new RequestMeter(this.options.measures.series(reference.team, options.priorityClass), this.options.clock)
     for await (const event of this.options.delivery.deliver(delivery, settings, gone.signal)) {
       if (event.kind === 'text') {
@@ -147,40 +147,40 @@
       } else if (event.kind === 'end') {
         passage.finish(Math.max(0, completion.maximumTokens - event.outputTokens))
         answer.end(event)
-        return meter.ended('answered')
+        return meter.recordEnd('answered')
       } else {
         passage.finish(event.error.outcome === 'not_run' ? completion.maximumTokens : 0)
-        answer.fail(event.error)
-        return meter.ended(event.error.outcome)
+        answer.endWithError(event.error)
+        return meter.recordEnd(event.error.outcome)
       }
     }
-    return meter.ended('unknown')
+    return meter.recordEnd('unknown')
   }
 }
 
 /** Measures one request. */
 class RequestMeter {
-  private readonly began: number
-  private lastToken: number | undefined
+  private readonly startedAt: number
+  private lastTokenAt: number | undefined
 
-  constructor (private readonly series: Series, private readonly clock: Clock) {
-    this.began = clock.now()
+  constructor (private readonly series: MetricSeries, private readonly clock: Clock) {
+    this.startedAt = clock.now()
   }
 
   admitted (loadStall: number, queueWait: number): void {
-    this.series.time('load_stall', loadStall)
-    this.series.time('queue_wait', queueWait)
+    this.series.recordTime('load_stall', loadStall)
+    this.series.recordTime('queue_wait', queueWait)
   }
 
   token (): void {
     const now = this.clock.now()
-    if (this.lastToken === undefined) this.series.time('first_token', now - this.began)
-    else this.series.time('between_tokens', now - this.lastToken)
-    this.lastToken = now
+    if (this.lastTokenAt === undefined) this.series.recordTime('first_token', now - this.startedAt)
+    else this.series.recordTime('between_tokens', now - this.lastTokenAt)
+    this.lastTokenAt = now
   }
 
-  ended (outcome: CountedOutcome): CountedOutcome {
-    this.series.time('whole', this.clock.now() - this.began)
+  recordEnd (outcome: CountedOutcome): CountedOutcome {
+    this.series.recordTime('whole', this.clock.now() - this.startedAt)
     this.series.outcome(outcome)
     return outcome
   }
@@ -202,9 +202,9 @@
   })
 }
 
-function answerFor (response: ServerResponse, completion: CompletionRequest, reference: AdapterReference, requestId: RequestId): CompletionAnswer {
+function createResponse (response: ServerResponse, completion: CompletionRequest, reference: AdapterReference, requestId: RequestId): CompletionResponse {
   const names = { requestId, ...reference }
-  return completion.stream ? new StreamedAnswer(response, completion.form, names) : new WholeAnswer(response, completion.form, names)
+  return completion.stream ? new StreamedCompletionResponse(response, completion.form, names) : new JsonCompletionResponse(response, completion.form, names)
 }
 
 /** @returns a function that reads one header of a message */
--- a/packages/entry/src/callers/http-server.ts
+++ b/packages/entry/src/callers/http-server.ts
@@ -15,8 +15,8 @@
 }
 
 /** How long an idle connection is kept. */
-const IDLE_MILLISECONDS = 65_000
-const SWEEP_MILLISECONDS = 50
+const KEEP_ALIVE_MILLISECONDS = 65_000
+const IDLE_CLOSE_INTERVAL_MILLISECONDS = 50
 
 /** A server that can be listened on and closed in order. */
 export class HttpServer {
@@ -31,7 +31,7 @@
       maxHeaderSize: limits.headerBytes,
       headersTimeout: limits.headerSeconds * 1000,
       requestTimeout: (limits.headerSeconds + limits.bodySeconds + 1) * 1000,
-      keepAliveTimeout: IDLE_MILLISECONDS
+      keepAliveTimeout: KEEP_ALIVE_MILLISECONDS
     }, getRequestListener(app.fetch, { overrideGlobalObjects: false }))
     this.server.maxConnections = limits.connections
   }
@@ -51,7 +51,7 @@
    * the answer, and the close would wait for it, so what has become idle is closed again and again.
    */
   async close (): Promise<void> {
-    const sweep = setInterval(() => this.server.closeIdleConnections(), SWEEP_MILLISECONDS)
+    const sweep = setInterval(() => this.server.closeIdleConnections(), IDLE_CLOSE_INTERVAL_MILLISECONDS)
     await new Promise<void>((resolve) => this.server.close(() => resolve()))
     clearInterval(sweep)
   }
--- a/packages/entry/src/callers/request-options.ts
+++ b/packages/entry/src/callers/request-options.ts
@@ -11,9 +11,9 @@
 /** Header that says `false` when the request may run at most once. */
 export const IDEMPOTENT_HEADER = 'x-limpetwinch-idempotent'
 /** Header with the caller's own key for such a request. */
-export const KEY_HEADER = 'idempotency-key'
+export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 
-const LONGEST_KEY = 255
+const MAXIMUM_KEY_LENGTH = 255
 const DEFAULT_CLASS = 'normal'
 
 /** The options of one request. */
@@ -36,8 +36,8 @@
   if (!Number.isFinite(patience) || patience <= 0) return refuse(DEADLINE_HEADER, 'give a positive number of milliseconds')
   const idempotent = header(IDEMPOTENT_HEADER)
   if (idempotent !== undefined && idempotent !== 'true' && idempotent !== 'false') return refuse(IDEMPOTENT_HEADER, "write 'true' or 'false'")
-  const key = header(KEY_HEADER)
-  if (key !== undefined && (key.length === 0 || key.length > LONGEST_KEY)) return refuse(KEY_HEADER, `give 1 to ${LONGEST_KEY} characters`)
+  const key = header(IDEMPOTENCY_KEY_HEADER)
+  if (key !== undefined && (key.length === 0 || key.length > MAXIMUM_KEY_LENGTH)) return refuse(IDEMPOTENCY_KEY_HEADER, `give 1 to ${MAXIMUM_KEY_LENGTH} characters`)
   return ok({
     priorityClass: (header(CLASS_HEADER) ?? DEFAULT_CLASS) as PriorityClass,
     patience: Math.min(patience, longestPatience),
--- a/packages/entry/src/callers/service-calls.ts
+++ b/packages/entry/src/callers/service-calls.ts
@@ -8,10 +8,10 @@
 import type { DeliveredCall, ServiceDelivery } from '../delivery/service-delivery.js'
 import type { CallerTeams } from './authentication.js'
 import { readBody } from './body-reader.js'
-import { callerGone } from './caller-gone.js'
+import { abortOnDisconnect } from './caller-disconnect.js'
 import { headerReader, refuse } from './completions.js'
 import type { CompletionsOptions } from './completions.js'
-import { REQUEST_ID_HEADER } from './error-answer.js'
+import { REQUEST_ID_HEADER } from './error-response.js'
 import { parseRequestOptions } from './request-options.js'
 import type { RequestOptions } from './request-options.js'
 
@@ -19,7 +19,7 @@
 const TEAM_HEADER = 'x-limpetwinch-team'
 
 /** Headers that belong to one connection, or that limpetwinch itself reads. */
-const OWN_HEADERS: ReadonlySet<string> = new Set(['host', 'connection', 'keep-alive', 'transfer-encoding', 'content-length', 'authorization', 'upgrade', 'te', 'trailer', 'proxy-authorization', 'expect'])
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set(['host', 'connection', 'keep-alive', 'transfer-encoding', 'content-length', 'authorization', 'upgrade', 'te', 'trailer', 'proxy-authorization', 'expect'])
 
 interface AcceptedCall {
   readonly settings: OperatorSettings
@@ -49,7 +49,7 @@
     const accepted = await this.accept(message)
     if (accepted.isErr()) return refuse(response, accepted.error, requestId)
     const { team, settings } = accepted.value
-    const passage = this.options.gate.pass(team, settings, 0, 0)
+    const passage = this.options.teamLimiters.admit(team, settings, 0, 0)
     if (passage.isErr()) return refuse(response, passage.error, requestId)
     passage.value.start()
     const result = await this.claimAndDeliver(accepted.value, requestId, response)
@@ -70,7 +70,7 @@
       .andThen((idempotent) => parseRequestOptions(headerReader(message), 1000 * settings.policy.longestRequestSeconds, idempotent))
     if (options.isErr()) return err(options.error)
     const body = await readBody(message, this.options.bodyLimits)
-    return body.map((bytes) => ({ settings, team: team.value, service, call: { method, target, headers: headersOf(message), body: bytes }, options: options.value }))
+    return body.map((bytes) => ({ settings, team: team.value, service, call: { method, target, headers: forwardedHeadersOf(message), body: bytes }, options: options.value }))
   }
 
   private async claimAndDeliver (accepted: AcceptedCall, requestId: RequestId, response: ServerResponse): Promise<Result<DeliveredCall, LimpetwinchError>> {
@@ -85,7 +85,7 @@
   }
 
   private async deliver (accepted: AcceptedCall, requestId: RequestId, response: ServerResponse): Promise<Result<DeliveredCall, LimpetwinchError>> {
-    const gone = callerGone(response)
+    const gone = abortOnDisconnect(response)
     const timer = setTimeout(() => gone.abort(), accepted.options.patience)
     const { service, options, settings } = accepted
     const call = { ...accepted.call, headers: { ...accepted.call.headers, [REQUEST_ID_HEADER]: requestId } }
@@ -104,9 +104,9 @@
   return err(new LimpetwinchError('invalid-request', { where: TEAM_HEADER, reason: 'the key belongs to several teams, so name one here' }))
 }
 
-function headersOf (message: IncomingMessage): Record<string, string> {
+function forwardedHeadersOf (message: IncomingMessage): Record<string, string> {
   const entries = Object.entries(message.headers).flatMap(([name, value]) => {
-    if (value === undefined || OWN_HEADERS.has(name)) return []
+    if (value === undefined || UNFORWARDED_HEADERS.has(name)) return []
     return [[name, Array.isArray(value) ? value.join(', ') : value] as const]
   })
   return Object.fromEntries(entries)
@@ -114,7 +114,7 @@
 
 function answer (response: ServerResponse, delivered: DeliveredCall, requestId: RequestId): void {
   if (response.destroyed) return
-  const headers = Object.fromEntries(Object.entries(delivered.answer.headers).filter(([name]) => !OWN_HEADERS.has(name)))
+  const headers = Object.fromEntries(Object.entries(delivered.answer.headers).filter(([name]) => !UNFORWARDED_HEADERS.has(name)))
   response.writeHead(delivered.answer.status, { ...headers, [REQUEST_ID_HEADER]: requestId, 'x-limpetwinch-endpoint': delivered.endpoint })
   response.end(delivered.answer.body)
 }
--- a/packages/entry/src/callers/team-gate.ts
+++ b/packages/entry/src/callers/team-limiters.ts
@@ -7,7 +7,7 @@
 import type { TeamLimits } from '@limpetwinch/decisions'
 
 /** An admitted request, to be finished once. */
-export interface Passage {
+export interface TeamAdmission {
   /** The request has left the queue. */
   start: () => void
   /** The request has ended. */
@@ -15,7 +15,7 @@
 }
 
 /** One limiter for each team that has called. */
-export class TeamGate {
+export class TeamLimiters {
   private readonly limiters = new Map<TeamId, { limiter: TokenBucketTeamLimiter, limits: TeamLimits, instances: number }>()
   private readonly clock: Clock
   private readonly instances: () => number
@@ -30,7 +30,7 @@
   }
 
   /** @returns a passage, or `rate-limited` with the time to come back */
-  pass (team: TeamId, settings: OperatorSettings, promptTokens: number, maximumTokens: number): Result<Passage, LimpetwinchError> {
+  admit (team: TeamId, settings: OperatorSettings, promptTokens: number, maximumTokens: number): Result<TeamAdmission, LimpetwinchError> {
     const limiter = this.limiterOf(team, settings)
     const decision = limiter.admit(promptTokens, maximumTokens, this.clock.now())
     if (!decision.admitted) {
@@ -55,7 +55,7 @@
     const instances = Math.max(1, this.instances())
     const present = this.limiters.get(team)
     if (present !== undefined && present.limits === limits && present.instances === instances) return present.limiter
-    const share = divide(limits, instances)
+    const share = shareOfInstance(limits, instances)
     const limiter = present?.limiter ?? new TokenBucketTeamLimiter({ limits: share })
     limiter.configure(share)
     this.limiters.set(team, { limiter, limits, instances })
@@ -63,7 +63,7 @@
   }
 }
 
-function divide (limits: TeamLimits, instances: number): TeamLimits {
+function shareOfInstance (limits: TeamLimits, instances: number): TeamLimits {
   return {
     requestsPerSecond: limits.requestsPerSecond / instances,
     tokensPerSecond: limits.tokensPerSecond / instances,
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -4,7 +4,7 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { AdapterReference, Clock, EndpointId, EngineClient, EngineSettings, InstanceId, OperatorSettings, RequestId } from '@limpetwinch/core'
 import type { RetryBudget, RoutingPolicy } from '@limpetwinch/decisions'
-import type { ExplainLog, RequestStory } from '../measures/explain-log.js'
+import type { ExplainLog, RequestTimeline } from '../metrics/explain-log.js'
 import type { PrefixTracker } from '../routing/prefix-tracker.js'
 import type { EndpointDirectory } from '../routing/endpoint-directory.js'
 import { LinkedAbort } from '../runtime/linked-abort.js'
@@ -125,7 +125,7 @@
 class DeliveryRun {
   private readonly avoid = new Set<EndpointId>()
   private readonly delivered: string[] = []
-  private readonly timeline: RequestStory
+  private readonly timeline: RequestTimeline
   private attempts = 0
   /** Number of retries that were withdrawn from the retry budget. */
   private paidRetries = 0
--- a/packages/entry/src/delivery/service-delivery.ts
+++ b/packages/entry/src/delivery/service-delivery.ts
@@ -5,7 +5,7 @@
 import type { Clock, DataCentreId, EndpointId, OperatorSettings, RequestId, ServiceAnswer, ServiceCall, ServiceClient } from '@limpetwinch/core'
 import type { RetryBudget } from '@limpetwinch/decisions'
 import type { Membership } from '../membership/membership.js'
-import type { ExplainLog, RequestStory } from '../measures/explain-log.js'
+import type { ExplainLog, RequestTimeline } from '../metrics/explain-log.js'
 
 const MAXIMUM_ATTEMPTS = 3
 /** Calls in flight that an endpoint in another data centre counts as having in addition to its own. */
@@ -83,7 +83,7 @@
     }
   }
 
-  private async attempt (chosen: ServiceEndpoint, call: ServiceCall, timeline: RequestStory, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
+  private async attempt (chosen: ServiceEndpoint, call: ServiceCall, timeline: RequestTimeline, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
     const { endpoint } = chosen
     timeline.add('sent', { endpoint })
     this.inFlight.set(endpoint, this.load(endpoint) + 1)
--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -13,7 +13,7 @@
 import type { CompletionsOptions } from './callers/completions.js'
 import { HttpServer } from './callers/http-server.js'
 import { ServiceCalls } from './callers/service-calls.js'
-import { TeamGate } from './callers/team-gate.js'
+import { TeamLimiters } from './callers/team-limiters.js'
 import { EntryParts } from './entry-parts.js'
 import { AdmissionClient } from './delivery/admission-client.js'
 import { InFlightTable } from './delivery/in-flight-table.js'
@@ -21,8 +21,8 @@
 import { EndpointClients } from './endpoints/endpoint-clients.js'
 import { CoordinatedLoadTurns } from './loads/coordinated-load-turns.js'
 import { PacedLoadTurns } from './loads/paced-load-turns.js'
-import { ExplainLog } from './measures/explain-log.js'
-import { Measures } from './measures/measures.js'
+import { ExplainLog } from './metrics/explain-log.js'
+import { Metrics } from './metrics/metrics.js'
 import type { ListMembership } from './membership/list-membership.js'
 import { EndpointRecoveries } from './ownership/endpoint-recoveries.js'
 import { HandOvers } from './ownership/hand-overs.js'
@@ -77,7 +77,7 @@
   private readonly prefixes = new PrefixTracker()
   private readonly inFlight = new InFlightTable()
   private readonly explain = new ExplainLog()
-  private readonly measures: Measures
+  private readonly measures: Metrics
   private readonly retryBudget: RetryBudget = new ShareRetryBudget()
   private readonly work = new WorkInProgress()
   private readonly clients: EndpointClients
@@ -105,7 +105,7 @@
     this.supervisor = new Supervisor(logger.part('supervisor'), clock)
     this.store = new HttpObjectStore(settings.platform)
     this.instanceList = new HttpInstanceList(settings.platform)
-    this.measures = new Measures(settings.metrics)
+    this.measures = new Metrics(settings.metrics)
     const { timing } = settings
     this.network = new TcpPeerNetwork({
       instance: this.instance,
@@ -288,7 +288,7 @@
     const common: CompletionsOptions = {
       settings: () => this.follower.current(),
       authentication: new Authentication(),
-      gate: new TeamGate(this.clock, () => this.membership.members().length),
+      teamLimiters: new TeamLimiters(this.clock, () => this.membership.members().length),
       claims: this.parts.claims(this.store, this.clock),
       delivery: this.parts.delivery({
         router,
@@ -319,7 +319,7 @@
       ...common,
       completions: new Completions(common),
       serviceCalls: new ServiceCalls(common, services),
-      track: async (work) => await this.work.track(work)
+      trackRequest: async (work) => await this.work.track(work)
     }), limits)
   }
 
@@ -366,7 +366,7 @@
       ownershipVersion: this.ownership.announcedVersion(),
       storeReachable: this.ownership.storeReachable() && this.follower.storeReachable()
     }))
-    this.network.onHeartbeat((from, heartbeat) => this.follower.heardHash(from, heartbeat.frame.settingsHash))
+    this.network.onHeartbeat((from, heartbeat) => this.follower.receiveHash(from, heartbeat.frame.settingsHash))
   }
 
   private settingsChanged (): void {
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-parts.ts
@@ -13,7 +13,7 @@
 import { OwnedEndpoints } from './scheduling/owned-endpoints.js'
 import type { OwnedEndpointsOptions } from './scheduling/owned-endpoints.js'
 import { SettingsFollower } from './settings/settings-follower.js'
-import type { SettingsFollowerParts } from './settings/settings-follower.js'
+import type { SettingsFollowerDependencies } from './settings/settings-follower.js'
 
 /** The parts as they ship. The proof of the promises subclasses this to see that its checks catch a wrong part. */
 export class EntryParts {
@@ -28,7 +28,7 @@
   }
 
   /** @returns the settings in force */
-  settings (parts: SettingsFollowerParts): SettingsFollower {
+  settings (parts: SettingsFollowerDependencies): SettingsFollower {
     return new SettingsFollower(parts)
   }
 
--- a/packages/entry/src/measures/explain-log.ts
+++ b/packages/entry/src/metrics/explain-log.ts
@@ -2,11 +2,11 @@
 import { LRUCache } from 'lru-cache'
 import type { RequestId } from '@limpetwinch/core'
 
-const REMEMBERED_REQUESTS = 5_000
-const MOST_STEPS = 40
+const MAXIMUM_TIMELINES = 5_000
+const MAXIMUM_STEPS = 40
 
 /** One step of a request. */
-export interface StoryStep {
+export interface TimelineStep {
   /** Wall time, milliseconds. */
   readonly at: number
   readonly what: string
@@ -14,10 +14,10 @@
 }
 
 /** All that was decided for one request. */
-export class RequestStory {
+export class RequestTimeline {
   readonly requestId: RequestId
   readonly adapter: string
-  readonly steps: StoryStep[] = []
+  readonly steps: TimelineStep[] = []
 
   /**
    * @param requestId - the request
@@ -30,25 +30,25 @@
 
   /** Adds a step; a request that is tried very often keeps its first steps. */
   add (what: string, fields: Readonly<Record<string, unknown>> = {}): void {
-    if (this.steps.length < MOST_STEPS) this.steps.push({ at: Date.now(), what, fields })
+    if (this.steps.length < MAXIMUM_STEPS) this.steps.push({ at: Date.now(), what, fields })
   }
 }
 
 /** The stories of the latest requests. */
 export class ExplainLog {
-  private readonly stories = new LRUCache<RequestId, RequestStory>({ max: REMEMBERED_REQUESTS })
+  private readonly timelines = new LRUCache<RequestId, RequestTimeline>({ max: MAXIMUM_TIMELINES })
 
   /** @returns the story of a request, a new one unless it has begun */
-  begin (requestId: RequestId, adapter: string): RequestStory {
-    const present = this.stories.get(requestId)
+  begin (requestId: RequestId, adapter: string): RequestTimeline {
+    const present = this.timelines.get(requestId)
     if (present !== undefined) return present
-    const story = new RequestStory(requestId, adapter)
-    this.stories.set(requestId, story)
+    const story = new RequestTimeline(requestId, adapter)
+    this.timelines.set(requestId, story)
     return story
   }
 
   /** @returns the story of a request, if it is remembered */
-  get (requestId: string): RequestStory | undefined {
-    return this.stories.get(requestId as RequestId)
+  get (requestId: string): RequestTimeline | undefined {
+    return this.timelines.get(requestId as RequestId)
   }
 }
--- a/packages/entry/src/measures/measures.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -4,27 +4,27 @@
 import { StatsD } from 'hot-shots'
 
 /** What is measured, milliseconds. */
-export const MEASURES = ['load_stall', 'queue_wait', 'first_token', 'between_tokens', 'whole'] as const
+export const METRIC_NAMES = ['load_stall', 'queue_wait', 'first_token', 'between_tokens', 'whole'] as const
 /** One of them. */
-export type Measure = (typeof MEASURES)[number]
+export type MetricName = (typeof METRIC_NAMES)[number]
 
 /** How a request ended, as counted. */
 export type CountedOutcome = 'answered' | 'not_run' | 'unknown'
 
-const LONGEST_MILLISECONDS = 3_600_000
-const MICROSECONDS = 1_000
+const MAXIMUM_MILLISECONDS = 3_600_000
+const MICROSECONDS_PER_MILLISECOND = 1_000
 
 /** Where metrics go; without it they are only kept. */
-export interface MetricsTarget {
+export interface StatsDTarget {
   readonly host: string
   readonly port: number
 }
 
 /** The figures of one team and class. */
-export class Series {
+export class MetricSeries {
   readonly team: string
   readonly priorityClass: string
-  private readonly histograms = new Map<Measure, Histogram>()
+  private readonly histograms = new Map<MetricName, Histogram>()
   private readonly outcomes = new Map<CountedOutcome, number>()
   private readonly metrics: StatsD | undefined
 
@@ -40,8 +40,8 @@
   }
 
   /** Records a time, milliseconds. */
-  time (measure: Measure, milliseconds: number): void {
-    this.histogram(measure).recordValue(Math.max(1, Math.min(LONGEST_MILLISECONDS, milliseconds) * MICROSECONDS))
+  recordTime (measure: MetricName, milliseconds: number): void {
+    this.histogram(measure).recordValue(Math.max(1, Math.min(MAXIMUM_MILLISECONDS, milliseconds) * MICROSECONDS_PER_MILLISECOND))
     // A metric for each token would cost more than relaying it; the histogram holds them.
     if (measure !== 'between_tokens') this.metrics?.histogram(measure, milliseconds, { team: this.team, class: this.priorityClass })
   }
@@ -58,40 +58,40 @@
     return { team: this.team, class: this.priorityClass, outcomes: Object.fromEntries(this.outcomes), milliseconds: Object.fromEntries(times) }
   }
 
-  private histogram (measure: Measure): Histogram {
+  private histogram (measure: MetricName): Histogram {
     const present = this.histograms.get(measure)
     if (present !== undefined) return present
-    const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: LONGEST_MILLISECONDS * MICROSECONDS, numberOfSignificantValueDigits: 2, useWebAssembly: false, bitBucketSize: 32 })
+    const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_MILLISECONDS * MICROSECONDS_PER_MILLISECOND, numberOfSignificantValueDigits: 2, useWebAssembly: false, bitBucketSize: 32 })
     this.histograms.set(measure, histogram)
     return histogram
   }
 }
 
 /** The figures of one instance. */
-export class Measures {
-  private readonly all = new Map<string, Series>()
+export class Metrics {
+  private readonly seriesByKey = new Map<string, MetricSeries>()
   private readonly metrics: StatsD | undefined
 
   /** @param target - where metrics are sent by UDP */
-  constructor (target: MetricsTarget | undefined) {
+  constructor (target: StatsDTarget | undefined) {
     if (target === undefined) return
     // An unreachable collector must not end the instance, and hot-shots throws without a handler.
     this.metrics = new StatsD({ host: target.host, port: target.port, prefix: 'limpetwinch.', errorHandler: () => undefined })
   }
 
   /** @returns the series of a team and class */
-  series (team: string, priorityClass: string): Series {
+  series (team: string, priorityClass: string): MetricSeries {
     const key = `${team} ${priorityClass}`
-    const present = this.all.get(key)
+    const present = this.seriesByKey.get(key)
     if (present !== undefined) return present
-    const series = new Series(team, priorityClass, this.metrics)
-    this.all.set(key, series)
+    const series = new MetricSeries(team, priorityClass, this.metrics)
+    this.seriesByKey.set(key, series)
     return series
   }
 
   /** @returns the figures, for the admin path */
   summary (): unknown[] {
-    return [...this.all.values()].map((series) => series.summary())
+    return [...this.seriesByKey.values()].map((series) => series.summary())
   }
 
   /** Sends what waits and closes the socket. */
@@ -101,6 +101,6 @@
 }
 
 function summaryOf (histogram: Histogram): Record<string, number> {
-  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / MICROSECONDS
-  return { count: histogram.totalCount, p50: at(50), p95: at(95), p99: at(99), max: histogram.maxValue / MICROSECONDS }
+  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND
+  return { count: histogram.totalCount, p50: at(50), p95: at(95), p99: at(99), max: histogram.maxValue / MICROSECONDS_PER_MILLISECOND }
 }
--- a/packages/entry/src/settings/settings-exchange.ts
+++ b/packages/entry/src/settings/settings-exchange.ts
@@ -8,7 +8,7 @@
 import type { SettingsState } from './settings-state.js'
 
 /** What the exchange needs of its instance. */
-export interface SettingsExchangeParts {
+export interface SettingsExchangeDependencies {
   readonly network: PeerNetwork
   readonly membership: Membership
   readonly state: SettingsState
@@ -17,7 +17,7 @@
   /** Whether this instance has a whole state that others may start from. */
   readonly ready: () => boolean
   /** Takes documents that a peer sent. */
-  readonly take: (from: InstanceId, documents: readonly SettingsDocument[]) => void
+  readonly applyDocuments: (from: InstanceId, documents: readonly SettingsDocument[]) => void
 }
 
 /** `more`: ask again for the rest; `unready`: the peer has no whole state itself. */
@@ -26,34 +26,34 @@
 interface Gap {
   readonly since: number
   wait: number
-  nextAsk: number
+  nextRequestAt: number
 }
 
-const CHECK_MILLISECONDS = 100
+const CHECK_INTERVAL_MILLISECONDS = 100
 /** A change on its way makes hashes differ for a moment; only a lasting difference is a gap. */
-const GRACE_MILLISECONDS = 200
-const FIRST_ASK_MILLISECONDS = 500
-const LONGEST_ASK_MILLISECONDS = 30_000
+const GRACE_PERIOD_MILLISECONDS = 200
+const INITIAL_REQUEST_INTERVAL_MILLISECONDS = 500
+const MAXIMUM_REQUEST_INTERVAL_MILLISECONDS = 30_000
 /** Characters of text in one frame, so that no frame holds a connection up for long. */
-const FRAME_CHARACTERS = 256 * 1024
+const MAXIMUM_FRAME_CHARACTERS = 256 * 1024
 
 /** Exchanges settings with the peers. */
 export class SettingsExchange {
-  private readonly parts: SettingsExchangeParts
+  private readonly dependencies: SettingsExchangeDependencies
   private readonly gaps = new Map<InstanceId, Gap>()
   private readonly heard = new Map<InstanceId, string>()
   private readonly answerListeners = new Set<(from: InstanceId, answer: SettingsAnswer) => void>()
 
-  /** @param parts - what it works with */
-  constructor (parts: SettingsExchangeParts) {
-    this.parts = parts
-    parts.network.onNotice('settings-change', (from, frame) => { this.takeChange(from, frame) })
-    parts.network.onNotice('settings-revisions', (from, frame) => { this.answer(from, frame) })
+  /** @param dependencies - what it works with */
+  constructor (dependencies: SettingsExchangeDependencies) {
+    this.dependencies = dependencies
+    dependencies.network.onNotice('settings-change', (from, frame) => { this.applyChange(from, frame) })
+    dependencies.network.onNotice('settings-revisions', (from, frame) => { this.answer(from, frame) })
   }
 
   /** @returns connected peers of this data centre */
   peers (): InstanceId[] {
-    const { network, membership } = this.parts
+    const { network, membership } = this.dependencies
     const { instance, dataCentre } = network.self
     return network.connected().filter((peer) => peer !== instance && membership.member(peer)?.dataCentre === dataCentre)
   }
@@ -71,37 +71,37 @@
     if (edits.length > 0) frames.push({ kind: 'settings-change', documents: [], edits })
     if (whole.length > 0) frames.push(...inFrames(whole).map((documents) => ({ kind: 'settings-change', documents }) as const))
     for (const frame of frames) {
-      for (const peer of to) this.parts.network.notify(peer, frame)
+      for (const peer of to) this.dependencies.network.notify(peer, frame)
     }
   }
 
   /** Takes up the hash of a peer's heartbeat. */
-  heardHash (from: InstanceId, hash: string): void {
-    if (hash === this.parts.state.hash()) {
+  receiveHash (from: InstanceId, hash: string): void {
+    if (hash === this.dependencies.state.hash()) {
       this.heard.delete(from)
       this.gaps.delete(from)
       return
     }
     this.heard.set(from, hash)
-    const now = this.parts.clock.now()
-    if (!this.gaps.has(from)) this.gaps.set(from, { since: now, wait: FIRST_ASK_MILLISECONDS, nextAsk: now + GRACE_MILLISECONDS })
+    const now = this.dependencies.clock.now()
+    if (!this.gaps.has(from)) this.gaps.set(from, { since: now, wait: INITIAL_REQUEST_INTERVAL_MILLISECONDS, nextRequestAt: now + GRACE_PERIOD_MILLISECONDS })
   }
 
   /** Asks one peer at a time for what is missing here, for as long as its hash differs. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.parts.clock.sleep(CHECK_MILLISECONDS, signal)
-      this.forgetClosedGaps()
-      const now = this.parts.clock.now()
-      const due = [...this.gaps].find(([, gap]) => gap.nextAsk <= now)
-      if (due !== undefined) this.askAgain(due[0], due[1], now)
+      await this.dependencies.clock.sleep(CHECK_INTERVAL_MILLISECONDS, signal)
+      this.removeClosedGaps()
+      const now = this.dependencies.clock.now()
+      const due = [...this.gaps].find(([, gap]) => gap.nextRequestAt <= now)
+      if (due !== undefined) this.requestAgain(due[0], due[1], now)
     }
   }
 
   /** Tells a peer what is known here; it answers with what is newer there. */
-  ask (peer: InstanceId): void {
-    const revisions = [...this.parts.state.all()].map(({ path, revision, writeId, acceptedAt }) => ({ path, revision, writeId, acceptedAt }))
-    this.parts.network.notify(peer, { kind: 'settings-revisions', revisions })
+  requestChanges (peer: InstanceId): void {
+    const revisions = [...this.dependencies.state.all()].map(({ path, revision, writeId, acceptedAt }) => ({ path, revision, writeId, acceptedAt }))
+    this.dependencies.network.notify(peer, { kind: 'settings-revisions', revisions })
   }
 
   /**
@@ -113,9 +113,9 @@
     return () => { this.answerListeners.delete(listener) }
   }
 
-  private forgetClosedGaps (): void {
+  private removeClosedGaps (): void {
     const connected = new Set(this.peers())
-    const hash = this.parts.state.hash()
+    const hash = this.dependencies.state.hash()
     for (const peer of this.gaps.keys()) {
       if (connected.has(peer) && this.heard.get(peer) !== hash) continue
       this.gaps.delete(peer)
@@ -124,31 +124,31 @@
   }
 
   /** A peer that stays behind, or reads settings otherwise, is asked more and more rarely. */
-  private askAgain (peer: InstanceId, gap: Gap, now: number): void {
-    gap.nextAsk = now + gap.wait
-    gap.wait = Math.min(LONGEST_ASK_MILLISECONDS, gap.wait * 2)
-    this.ask(peer)
+  private requestAgain (peer: InstanceId, gap: Gap, now: number): void {
+    gap.nextRequestAt = now + gap.wait
+    gap.wait = Math.min(MAXIMUM_REQUEST_INTERVAL_MILLISECONDS, gap.wait * 2)
+    this.requestChanges(peer)
   }
 
   private answer (from: InstanceId, frame: FrameOf<'settings-revisions'>): void {
-    if (!this.parts.ready()) {
-      this.parts.network.notify(from, { kind: 'settings-change', documents: [], answer: 'unready' })
+    if (!this.dependencies.ready()) {
+      this.dependencies.network.notify(from, { kind: 'settings-change', documents: [], answer: 'unready' })
       return
     }
     const known = new Map(frame.revisions.map((each) => [each.path, each]))
-    const newer = [...this.parts.state.all()].filter((document) => isNewer(document, known.get(document.path)))
+    const newer = [...this.dependencies.state.all()].filter((document) => isNewer(document, known.get(document.path)))
     // One frame for each ask: the connection drops frames beyond a bound, and the end of an answer whose beginning was
     // dropped would pass for all of it.
     const [part = [], ...rest] = inFrames(newer)
-    this.parts.network.notify(from, { kind: 'settings-change', documents: part, answer: rest.length === 0 ? 'whole' : 'more' })
+    this.dependencies.network.notify(from, { kind: 'settings-change', documents: part, answer: rest.length === 0 ? 'whole' : 'more' })
   }
 
-  private takeChange (from: InstanceId, frame: FrameOf<'settings-change'>): void {
-    const { state } = this.parts
+  private applyChange (from: InstanceId, frame: FrameOf<'settings-change'>): void {
+    const { state } = this.dependencies
     const edited = (frame.edits ?? []).flatMap((edit) => documentOfEdit(edit, state.document(edit.path)) ?? [])
-    this.parts.take(from, [...frame.documents, ...edited])
+    this.dependencies.applyDocuments(from, [...frame.documents, ...edited])
     if (frame.answer === undefined) return
-    if (frame.answer === 'more') this.ask(from)
+    if (frame.answer === 'more') this.requestChanges(from)
     for (const listener of this.answerListeners) listener(from, frame.answer)
   }
 }
@@ -159,7 +159,7 @@
   let characters = 0
   for (const document of documents) {
     const size = document.text?.length ?? 0
-    if (characters > 0 && characters + size > FRAME_CHARACTERS) {
+    if (characters > 0 && characters + size > MAXIMUM_FRAME_CHARACTERS) {
       frames.push([])
       characters = 0
     }
--- a/packages/entry/src/settings/settings-follower.ts
+++ b/packages/entry/src/settings/settings-follower.ts
@@ -5,14 +5,14 @@
 import type { PeerNetwork } from '../peers/peer-network.js'
 import type { AppliedChange } from './settings-edit.js'
 import { SettingsExchange } from './settings-exchange.js'
-import { takeFromPeers } from './settings-start.js'
+import { receiveInitialState } from './settings-start.js'
 import { SettingsState } from './settings-state.js'
 import { SettingsView } from './settings-view.js'
-import { SettingsWatch, STORE_WAITS } from './settings-watch.js'
-import { isWatcher, rendezvousRankOfWatchers, standsIn } from './watch-rank.js'
+import { SettingsWatch, STORE_BACKOFF } from './settings-watch.js'
+import { isWatcher, rankWatchers, isSubstituteWatcher } from './watcher-ranking.js'
 
 /** What the follower needs of its instance. */
-export interface SettingsFollowerParts {
+export interface SettingsFollowerDependencies {
   readonly store: ObjectStore
   readonly network: PeerNetwork
   readonly membership: Membership
@@ -26,12 +26,12 @@
   readonly random?: () => number
 }
 
-const WATCH_MILLISECONDS = 5_000
-const STORE_START_MILLISECONDS = 2_000
+const DEFAULT_WATCH_MILLISECONDS = 5_000
+const INITIAL_LIST_TIMEOUT_MILLISECONDS = 2_000
 
 /** The settings in force; they only go forward. */
 export class SettingsFollower extends SettingsView {
-  private readonly parts: SettingsFollowerParts
+  private readonly dependencies: SettingsFollowerDependencies
   private readonly logger: Logger
   private readonly state: SettingsState
   private readonly exchange: SettingsExchange
@@ -40,13 +40,13 @@
   private readonly listeners: (() => void)[] = []
   private ready = false
 
-  /** @param parts - what it works with */
-  constructor (parts: SettingsFollowerParts) {
+  /** @param dependencies - what it works with */
+  constructor (dependencies: SettingsFollowerDependencies) {
     super()
-    const { store, network, membership, clock } = parts
-    this.parts = parts
-    this.logger = parts.logger.part('settings')
-    this.random = parts.random ?? Math.random
+    const { store, network, membership, clock } = dependencies
+    this.dependencies = dependencies
+    this.logger = dependencies.logger.part('settings')
+    this.random = dependencies.random ?? Math.random
     this.state = new SettingsState(this.logger)
     this.exchange = new SettingsExchange({
       network,
@@ -55,17 +55,17 @@
       state: this.state,
       logger: this.logger,
       ready: () => this.ready,
-      take: (from, documents) => { this.takeFromPeer(from, documents) }
+      applyDocuments: (from, documents) => { this.applyPeerDocuments(from, documents) }
     })
     this.watch = new SettingsWatch({
       store,
       clock,
       logger: this.logger,
       random: this.random,
-      watchMilliseconds: parts.watchMilliseconds ?? WATCH_MILLISECONDS,
+      watchMilliseconds: dependencies.watchMilliseconds ?? DEFAULT_WATCH_MILLISECONDS,
       isWatcher: () => isWatcher(network, membership),
-      standsIn: () => standsIn(network, membership, this.watch.storeReachable()),
-      take: (documents) => { this.takeFromStore(documents) }
+      isSubstituteWatcher: () => isSubstituteWatcher(network, membership, this.watch.storeReachable()),
+      applyDocuments: (documents) => { this.applyStoreDocuments(documents) }
     })
   }
 
@@ -102,8 +102,8 @@
   }
 
   /** Takes up the hash of a peer's heartbeat; a lasting difference is mended. */
-  heardHash (from: InstanceId, hash: string): void {
-    this.exchange.heardHash(from, hash)
+  receiveHash (from: InstanceId, hash: string): void {
+    this.exchange.receiveHash(from, hash)
   }
 
   /**
@@ -124,17 +124,17 @@
   }
 
   /** Takes a document that the store holds. */
-  seenInStore (document: SettingsDocument): void {
-    this.takeFromStore([document])
+  applyStoredDocument (document: SettingsDocument): void {
+    this.applyStoreDocuments([document])
   }
 
   private async start (signal: AbortSignal): Promise<void> {
-    const backoff = new Backoff(STORE_WAITS, this.random)
-    const { clock } = this.parts
+    const backoff = new Backoff(STORE_BACKOFF, this.random)
+    const { clock } = this.dependencies
     while (!signal.aborted) {
       const answers = await Promise.all([
         this.listForStart(signal),
-        takeFromPeers({ ...this.parts, exchange: this.exchange }, signal)
+        receiveInitialState({ ...this.dependencies, exchange: this.exchange }, signal)
       ])
       if (answers.includes(true)) break
       this.logger.warn('Neither the store nor a peer has answered; this instance is not ready.')
@@ -143,7 +143,7 @@
     if (signal.aborted) return
     this.ready = true
     this.logger.info('The settings are in force.', { paths: this.state.revisions().size })
-    this.tellListeners()
+    this.notifyListeners()
   }
 
   /** A store that is only slow must not keep an instance from starting with what its peers know. */
@@ -151,34 +151,34 @@
     const enough = new AbortController()
     const either = AbortSignal.any([signal, enough.signal])
     const listed = this.watch.list()
-    const answered = await Promise.race([listed, this.parts.clock.sleep(STORE_START_MILLISECONDS, either).then(() => false)])
+    const answered = await Promise.race([listed, this.dependencies.clock.sleep(INITIAL_LIST_TIMEOUT_MILLISECONDS, either).then(() => false)])
     enough.abort()
     return answered
   }
 
-  private takeFromStore (documents: readonly SettingsDocument[]): void {
-    for (const document of documents) this.warnIfOlder(document)
+  private applyStoreDocuments (documents: readonly SettingsDocument[]): void {
+    for (const document of documents) this.warnIfStoreIsOlder(document)
     const changed = this.apply(documents)
     const [first] = this.watchers()
     const peers = this.exchange.peers()
     // Were every watcher to tell everyone, each change would cross every connection twice; the first one tells all.
-    const firstTells = first !== undefined && first !== this.parts.network.self.instance && peers.includes(first)
+    const firstTells = first !== undefined && first !== this.dependencies.network.self.instance && peers.includes(first)
     this.exchange.push(changed, firstTells ? [first] : peers)
   }
 
-  private takeFromPeer (from: InstanceId, documents: readonly SettingsDocument[]): void {
+  private applyPeerDocuments (from: InstanceId, documents: readonly SettingsDocument[]): void {
     const changed = this.apply(documents)
     const [first, spare] = this.watchers()
-    if (first !== this.parts.network.self.instance || from !== spare) return
+    if (first !== this.dependencies.network.self.instance || from !== spare) return
     this.exchange.push(changed, this.exchange.peers().filter((peer) => peer !== from))
   }
 
   private watchers (): InstanceId[] {
-    return rendezvousRankOfWatchers(this.parts.network, this.parts.membership)
+    return rankWatchers(this.dependencies.network, this.dependencies.membership)
   }
 
   /** A store restored from a copy is mended by the next accepted change, which counts on from the highest revision. */
-  private warnIfOlder (document: SettingsDocument): void {
+  private warnIfStoreIsOlder (document: SettingsDocument): void {
     const known = this.state.document(document.path)
     if (known === undefined || known.revision <= document.revision) return
     this.logger.warn('The store holds an older revision; the newer one stays in force.', { path: document.path, stored: document.revision, inForce: known.revision })
@@ -189,11 +189,11 @@
       const former = this.state.document(document.path)
       return this.state.apply(document) ? [{ document, former }] : []
     })
-    if (changed.length > 0 && this.ready) this.tellListeners()
+    if (changed.length > 0 && this.ready) this.notifyListeners()
     return changed
   }
 
-  private tellListeners (): void {
+  private notifyListeners (): void {
     for (const listener of this.listeners) listener()
   }
 }
--- a/packages/entry/src/settings/settings-history.ts
+++ b/packages/entry/src/settings/settings-history.ts
@@ -8,7 +8,7 @@
 const HISTORY_PREFIX = '/history'
 /** So many former documents of a path are kept. The object API deletes nothing, so each place is written again. */
 export const KEPT_REVISIONS = 32
-const MOST_TRIES = 3
+const MAXIMUM_ATTEMPTS = 3
 
 /** Reads and keeps former documents: one object for each of a fixed number of places. */
 export class SettingsHistory {
@@ -27,7 +27,7 @@
    * @returns `store-unavailable` or `store-answer-lost` when it could not be kept
    */
   keep (document: SettingsDocument): ResultAsync<void, LimpetwinchError> {
-    return new ResultAsync(this.keepTrying(document))
+    return new ResultAsync(this.keepWithRetries(document))
   }
 
   /** @returns the kept documents of a path, newest first */
@@ -40,19 +40,19 @@
 
   /** @returns one kept document, or undefined when it is not kept */
   at (path: SettingsPath, revision: Revision): ResultAsync<SettingsDocument | undefined, LimpetwinchError> {
-    return this.store.get(placeOf(path, revision)).map((object) => {
+    return this.store.get(slotPathOf(path, revision)).map((object) => {
       const document = documentOf(object?.value)
       return document?.revision === revision ? document : undefined
     })
   }
 
-  private async keepTrying (document: SettingsDocument): Promise<Result<void, LimpetwinchError>> {
+  private async keepWithRetries (document: SettingsDocument): Promise<Result<void, LimpetwinchError>> {
     // A place is written once a round, so that its version can be guessed and a read is saved; a wrong guess is
     // answered with the right version.
     let ifVersion = Math.floor((document.revision - 1) / KEPT_REVISIONS)
     let last = new LimpetwinchError('store-unavailable', { reason: 'the history could not be written' })
-    for (let attempt = 0; attempt < MOST_TRIES; attempt += 1) {
-      const written = await this.store.put({ path: placeOf(document.path, document.revision), ifVersion, value: document })
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
+      const written = await this.store.put({ path: slotPathOf(document.path, document.revision), ifVersion, value: document })
       if (written.isOk()) return ok(undefined)
       last = written.error
       if (last.kind === 'store-unavailable') return err(last)
@@ -65,6 +65,6 @@
   }
 }
 
-function placeOf (path: SettingsPath, revision: Revision): string {
+function slotPathOf (path: SettingsPath, revision: Revision): string {
   return `${HISTORY_PREFIX}${path}/${revision % KEPT_REVISIONS}`
 }
--- a/packages/entry/src/settings/settings-state.ts
+++ b/packages/entry/src/settings/settings-state.ts
@@ -60,8 +60,8 @@
   apply (document: SettingsDocument): boolean {
     const known = this.documents.get(document.path)
     if (!isNewer(document, known)) return false
-    if (known !== undefined) this.toggleHash(known)
-    this.toggleHash(document)
+    if (known !== undefined) this.toggleInCombinedHash(known)
+    this.toggleInCombinedHash(document)
     this.documents.set(document.path, document)
     this.putInForce(document)
     return true
@@ -79,7 +79,7 @@
   }
 
   /** Exclusive or keeps one hash over all paths without a pass over them for each change. */
-  private toggleHash (document: SettingsDocument): void {
+  private toggleInCombinedHash (document: SettingsDocument): void {
     const identity = `${document.path}\n${document.revision}\n${document.writeId}`
     const digest = createHash('sha256').update(identity).digest()
     for (let index = 0; index < HASH_BYTES; index += 1) {
--- a/packages/entry/src/settings/settings-writer.ts
+++ b/packages/entry/src/settings/settings-writer.ts
@@ -6,11 +6,11 @@
 import type { Clock, Logger, ObjectStore, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
 import type { SettingsFollower } from './settings-follower.js'
 import type { SettingsHistory } from './settings-history.js'
-import { SettingsPut } from './settings-put.js'
+import { ConditionalSettingsWriter } from './conditional-settings-writer.js'
 import { documentOf, storePathOf } from './stored-settings.js'
 
 /** What the writer needs of its instance. */
-export interface SettingsWriterParts {
+export interface SettingsWriterDependencies {
   readonly store: ObjectStore
   readonly follower: SettingsFollower
   readonly history: SettingsHistory
@@ -29,20 +29,20 @@
 }
 
 /** A value of the store holds up to a megabyte. */
-const LARGEST_VALUE_BYTES = 1_000_000
-const MOST_TRIES = 4
+const MAXIMUM_VALUE_BYTES = 1_000_000
+const MAXIMUM_ATTEMPTS = 4
 
 /** Writes settings to the store and puts them in force here. */
 export class SettingsWriter {
-  private readonly parts: SettingsWriterParts
+  private readonly dependencies: SettingsWriterDependencies
   private readonly logger: Logger
-  private readonly writes: SettingsPut
+  private readonly writes: ConditionalSettingsWriter
 
-  /** @param parts - what it works with */
-  constructor (parts: SettingsWriterParts) {
-    this.parts = parts
-    this.logger = parts.logger.part('settings')
-    this.writes = new SettingsPut(parts.store, parts.history, parts.clock)
+  /** @param dependencies - what it works with */
+  constructor (dependencies: SettingsWriterDependencies) {
+    this.dependencies = dependencies
+    this.logger = dependencies.logger.part('settings')
+    this.writes = new ConditionalSettingsWriter(dependencies.store, dependencies.history, dependencies.clock)
   }
 
   /**
@@ -55,7 +55,7 @@
    * @returns the accepted document, which is in force here
    */
   accept (change: SettingsChange): ResultAsync<SettingsDocument, LimpetwinchError> {
-    return new ResultAsync(this.acceptTrying(change))
+    return new ResultAsync(this.acceptWithRetries(change))
   }
 
   /**
@@ -64,14 +64,14 @@
    * @returns nothing, or `invalid-settings`
    */
   validate (path: SettingsPath, text: string): Result<void, LimpetwinchError> {
-    const inForce = this.parts.follower.current()
+    const inForce = this.dependencies.follower.current()
     if (inForce === undefined) return err(new LimpetwinchError('settings-unread', {}, { retryAfterSeconds: 1 }))
     return checkSettings(path, text, inForce)
   }
 
-  private async acceptTrying (change: SettingsChange): Promise<Result<SettingsDocument, LimpetwinchError>> {
+  private async acceptWithRetries (change: SettingsChange): Promise<Result<SettingsDocument, LimpetwinchError>> {
     let last = new LimpetwinchError('store-unavailable', { reason: 'other writers were faster each time' })
-    for (let attempt = 0; attempt < MOST_TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
       const result = await this.acceptOnce(change)
       if (result.isOk()) return ok(this.announce(result.value))
       last = result.error
@@ -82,15 +82,15 @@
   }
 
   private async acceptOnce (change: SettingsChange): Promise<Result<SettingsDocument, LimpetwinchError>> {
-    const { follower, store, history, clock } = this.parts
+    const { follower, store, history, clock } = this.dependencies
     if (follower.current() === undefined) return err(new LimpetwinchError('settings-unread', {}, { retryAfterSeconds: 1 }))
     const read = await store.get(storePathOf(change.path))
     if (read.isErr()) return err(read.error)
     const stored = documentOf(read.value?.value)
-    if (stored !== undefined) follower.seenInStore(stored)
+    if (stored !== undefined) follower.applyStoredDocument(stored)
     const newest = follower.document(change.path)
-    if (!fits(newest, change.ifRevision)) return err(this.conflict(change.path))
-    const text = change.change(newest?.text).andThen((changed) => this.checked(change.path, changed))
+    if (!matchesRevision(newest, change.ifRevision)) return err(this.conflict(change.path))
+    const text = change.change(newest?.text).andThen((changed) => this.checkText(change.path, changed))
     if (text.isErr()) return err(text.error)
     if (newest !== undefined) {
       const kept = await history.keep(newest)
@@ -106,41 +106,41 @@
       acceptedAt: clock.wallTime(),
       author: change.author
     }
-    if (Buffer.byteLength(JSON.stringify(document)) > LARGEST_VALUE_BYTES) return err(tooLarge(change.path))
+    if (Buffer.byteLength(JSON.stringify(document)) > MAXIMUM_VALUE_BYTES) return err(documentTooLarge(change.path))
     const written = await this.writes.write(document, read.value?.version ?? 0)
-    if (written.isErr() && written.error.kind === 'version-conflict') this.learn(written.error)
+    if (written.isErr() && written.error.kind === 'version-conflict') this.applyConflictWinner(written.error)
     return written.map(() => document)
   }
 
-  private checked (path: SettingsPath, text: string | undefined): Result<string | undefined, LimpetwinchError> {
+  private checkText (path: SettingsPath, text: string | undefined): Result<string | undefined, LimpetwinchError> {
     if (text === undefined) return ok(undefined)
     return this.validate(path, text).map(() => text)
   }
 
-  private learn (conflict: LimpetwinchError): void {
+  private applyConflictWinner (conflict: LimpetwinchError): void {
     const winner = documentOf(conflict.details['value'])
-    if (winner !== undefined) this.parts.follower.seenInStore(winner)
+    if (winner !== undefined) this.dependencies.follower.applyStoredDocument(winner)
   }
 
   private conflict (path: SettingsPath): LimpetwinchError {
-    const newest = this.parts.follower.document(path)
+    const newest = this.dependencies.follower.document(path)
     return new LimpetwinchError('revision-conflict', { path, newest: newest?.revision ?? 0, text: newest?.text, author: newest?.author })
   }
 
   private announce (document: SettingsDocument): SettingsDocument {
-    this.parts.follower.accepted(document)
+    this.dependencies.follower.accepted(document)
     this.logger.info('A change was accepted.', { path: document.path, revision: document.revision, author: document.author })
     return document
   }
 }
 
 /** A deleted path can be made anew by someone who saw nothing there, or who saw the deletion. */
-function fits (newest: SettingsDocument | undefined, ifRevision: Revision): boolean {
+function matchesRevision (newest: SettingsDocument | undefined, ifRevision: Revision): boolean {
   if (ifRevision === newest?.revision) return true
   return ifRevision === 0 && newest?.text === undefined
 }
 
-function tooLarge (path: SettingsPath): LimpetwinchError {
-  const message = `the document takes more than ${LARGEST_VALUE_BYTES} bytes in the store; split it, for example into two teams`
+function documentTooLarge (path: SettingsPath): LimpetwinchError {
+  const message = `the document takes more than ${MAXIMUM_VALUE_BYTES} bytes in the store; split it, for example into two teams`
   return invalidSettings(path, [{ key: '', line: 1, column: 1, message }])
 }
--- a/packages/entry/src/settings/watch-rank.ts
+++ b/packages/entry/src/settings/watcher-ranking.ts
@@ -4,13 +4,13 @@
 import type { PeerNetwork } from '../peers/peer-network.js'
 import { rendezvousRank } from '../placement/rendezvous.js'
 
-const WATCHERS = 2
+const WATCHER_COUNT = 2
 /** The key of the ranking. */
-export const RANKED_FOR = 'settings-watch'
+export const WATCHER_RANKING_KEY = 'settings-watch'
 
 /** @returns the watcher and its spare, as seen here */
-export function rendezvousRankOfWatchers (network: PeerNetwork, membership: Membership): InstanceId[] {
-  return watchersAmong([network.self.instance, ...livePeers(network, membership).map((member) => member.instance)])
+export function rankWatchers (network: PeerNetwork, membership: Membership): InstanceId[] {
+  return highestRanked([network.self.instance, ...livePeers(network, membership).map((member) => member.instance)])
 }
 
 /**
@@ -19,7 +19,7 @@
  * @returns whether this instance is the watcher or its spare
  */
 export function isWatcher (network: PeerNetwork, membership: Membership): boolean {
-  return rendezvousRankOfWatchers(network, membership).includes(network.self.instance)
+  return rankWatchers(network, membership).includes(network.self.instance)
 }
 
 /**
@@ -28,16 +28,16 @@
  * @param storeReachable - whether the store answers this instance
  * @returns whether this instance, which is not a watcher, would hear of no change if it did not watch as well
  */
-export function standsIn (network: PeerNetwork, membership: Membership, storeReachable: boolean): boolean {
+export function isSubstituteWatcher (network: PeerNetwork, membership: Membership, storeReachable: boolean): boolean {
   const { instance } = network.self
-  const watchers = rendezvousRankOfWatchers(network, membership)
+  const watchers = rankWatchers(network, membership)
   const connected = network.connected()
   if (!watchers.some((watcher) => connected.includes(watcher))) return true
   // The watchers may be cut off from the store while others reach it; then the two best of those watch as well. In an
   // outage for all, each instance leaves this list after its first failure, so that no more than the two go on trying.
   const reaching = livePeers(network, membership).filter((member) => member.storeReachable).map((member) => member.instance)
   if (!storeReachable || watchers.some((watcher) => reaching.includes(watcher))) return false
-  return watchersAmong([instance, ...reaching]).includes(instance)
+  return highestRanked([instance, ...reaching]).includes(instance)
 }
 
 function livePeers (network: PeerNetwork, membership: Membership): Member[] {
@@ -45,6 +45,6 @@
   return membership.members().filter((member) => member.dataCentre === dataCentre && member.state === 'alive' && member.instance !== instance)
 }
 
-function watchersAmong (instances: readonly InstanceId[]): InstanceId[] {
-  return rendezvousRank(RANKED_FOR, instances).slice(0, WATCHERS)
+function highestRanked (instances: readonly InstanceId[]): InstanceId[] {
+  return rendezvousRank(WATCHER_RANKING_KEY, instances).slice(0, WATCHER_COUNT)
 }
--- a/packages/entry/test/settings/deployment.ts
+++ b/packages/entry/test/settings/deployment.ts
@@ -60,7 +60,7 @@
       }
     }
     this.running.push(started)
-    this.heartbeat ??= setInterval(() => { this.beat() }, 50)
+    this.heartbeat ??= setInterval(() => { this.sendHeartbeats() }, 50)
     if (options.wait !== false) await until(() => follower.current() !== undefined)
     return started
   }
@@ -109,10 +109,10 @@
     setImmediate(() => { for (const each of received) this.networks.get(to)?.receive(from, each.frame as NoticeFrame) })
   }
 
-  private beat (): void {
+  private sendHeartbeats (): void {
     for (const from of this.running) {
       for (const to of this.running) {
-        if (from !== to && this.connects(from.instance, to.instance)) to.follower.heardHash(from.instance, from.follower.settingsHash())
+        if (from !== to && this.connects(from.instance, to.instance)) to.follower.receiveHash(from.instance, from.follower.settingsHash())
       }
     }
   }
@@ -186,13 +186,13 @@
   /** Run before each read of one object. */
   beforeGet: () => Promise<unknown> = async () => undefined
   /** What a watch finds, in place of the truth. */
-  watchFinds: ((step: WatchStep) => WatchStep) | undefined
+  replaceWatchResult: ((step: WatchStep) => WatchStep) | undefined
   /** What a read of one object finds, in place of the truth. */
-  getFinds: ((object: StoredObject | undefined) => StoredObject | undefined) | undefined
+  replaceGetResult: ((object: StoredObject | undefined) => StoredObject | undefined) | undefined
   /** Writes on their way: each was given up as lost before it reached the store. */
-  readonly delayed: ConditionalWrite[] = []
+  readonly lostWrites: ConditionalWrite[] = []
   /** So many of the next writes are given up as lost before they reach the store. */
-  delayNext = 0
+  writesToLose = 0
   private readonly inner: ObjectStore
 
   constructor (inner: ObjectStore) {
@@ -203,7 +203,7 @@
   override get (path: string): ResultAsync<StoredObject | undefined, LimpetwinchError> {
     return ResultAsync.fromSafePromise(this.beforeGet())
       .andThen(() => this.inner.get(path))
-      .map((object) => this.getFinds === undefined ? object : this.getFinds(object))
+      .map((object) => this.replaceGetResult === undefined ? object : this.replaceGetResult(object))
   }
 
   override list (prefix: string): ResultAsync<{ objects: readonly StoredObject[], cursor: number }, LimpetwinchError> {
@@ -212,9 +212,9 @@
   }
 
   override put (write: ConditionalWrite): ResultAsync<number, LimpetwinchError> {
-    if (this.delayNext === 0) return this.inner.put(write)
-    this.delayNext -= 1
-    this.delayed.push(write)
+    if (this.writesToLose === 0) return this.inner.put(write)
+    this.writesToLose -= 1
+    this.lostWrites.push(write)
     return errAsync(new LimpetwinchError('store-answer-lost', { path: write.path }))
   }
 
@@ -227,7 +227,7 @@
   private async watchCounted (prefix: string, cursor: number, waitMilliseconds: number, signal?: AbortSignal): Promise<Result<WatchStep, LimpetwinchError>> {
     const result = await this.inner.watch(prefix, cursor, waitMilliseconds, signal)
     this.calls.waiting -= 1
-    return result.map((step) => this.watchFinds === undefined ? step : this.watchFinds(step))
+    return result.map((step) => this.replaceWatchResult === undefined ? step : this.replaceWatchResult(step))
   }
 }
 
--- a/packages/entry/test/settings/settings-follower.test.ts
+++ b/packages/entry/test/settings/settings-follower.test.ts
@@ -22,11 +22,11 @@
     const seen: (string | undefined)[] = []
     one.follower.onChange(() => { seen.push(versionAt(one)) })
     let staleSteps = 0
-    stale.watchFinds = (step) => {
+    stale.replaceWatchResult = (step) => {
       staleSteps += 1
       return { ...step, changes: old === undefined ? [] : [old] }
     }
-    stale.getFinds = () => old
+    stale.replaceGetResult = () => old
     const refused = await put(one.writer, teamText('v3'), 1)
     expect(refused._unsafeUnwrapErr()).toMatchObject({ kind: 'revision-conflict', details: { newest: 2 } })
     await until(() => staleSteps > 2)
--- a/packages/entry/test/settings/settings-watch.test.ts
+++ b/packages/entry/test/settings/settings-watch.test.ts
@@ -3,8 +3,8 @@
 import { MemoryObjectStore } from '@limpetwinch/stand-ins'
 import { Backoff } from '../../src/concurrency/backoff.js'
 import { rendezvousRank } from '../../src/placement/rendezvous.js'
-import { SettingsWatch, STORE_WAITS } from '../../src/settings/settings-watch.js'
-import { RANKED_FOR } from '../../src/settings/watch-rank.js'
+import { SettingsWatch, STORE_BACKOFF } from '../../src/settings/settings-watch.js'
+import { WATCHER_RANKING_KEY } from '../../src/settings/watcher-ranking.js'
 import { document, InterceptedStore, PATH, put, SettingsDeployment, teamText, until, versionAt, WATCH_MILLISECONDS } from './deployment.js'
 import type { SettingsInstance } from './deployment.js'
 
@@ -39,7 +39,7 @@
     // would not be seen here at all.
     const store = new MemoryObjectStore()
     const { instances } = await startSix(store)
-    const rank = rendezvousRank(RANKED_FOR, instances.map((each) => each.instance))
+    const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     for (const name of rank.slice(0, 2)) await instances.find((each) => each.instance === name)!.stop()
     const away = await deployment.start('away', store, { dataCentre: 'south' })
     await put(away.writer, teamText('v2'), 0)
@@ -51,7 +51,7 @@
     // One instance is cut off from its peers but not from the store, and a change is accepted meanwhile. It must not
     // serve the former version for as long as the cut lasts.
     const { instances } = await startSix(new MemoryObjectStore())
-    const rank = rendezvousRank(RANKED_FOR, instances.map((each) => each.instance))
+    const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     const last = instances.find((each) => each.instance === rank.at(-1))!
     const others = instances.filter((each) => each !== last)
     for (const other of others) deployment.cut(last, other)
@@ -64,7 +64,7 @@
     // alone nobody else would watch, and a change from elsewhere would wait for their way to come back.
     const store = new MemoryObjectStore()
     const broken = new MemoryObjectStore()
-    const rank = rendezvousRank(RANKED_FOR, NAMES)
+    const rank = rendezvousRank(WATCHER_RANKING_KEY, NAMES)
     const instances = await Promise.all(NAMES.map(async (name) => await deployment.start(name, rank.indexOf(name) < 2 ? broken : store)))
     broken.faults.outage = true
     await until(() => instances.filter((each) => !each.follower.storeReachable()).length === 2)
@@ -80,7 +80,7 @@
     const { instances, ways } = await startSix(store)
     await put(instances[0]!.writer, teamText('v1'), 0)
     await until(() => instances.every((each) => versionAt(each) === 'v1'))
-    const rank = rendezvousRank(RANKED_FOR, instances.map((each) => each.instance))
+    const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     const watchers = ways.filter((_, index) => rank.indexOf(instances[index]!.instance) < 2)
     const others = ways.filter((way) => !watchers.includes(way))
     const before = ways.map((way) => way.calls.watches + way.calls.lists)
@@ -104,7 +104,7 @@
     // yet take their place, never more; when the watchers come back each of these two ends the call that it has open.
     const store = new MemoryObjectStore()
     const { instances, ways } = await startSix(store)
-    const rank = rendezvousRank(RANKED_FOR, instances.map((each) => each.instance))
+    const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     const isWatcher = (index: number): boolean => rank.indexOf(instances[index]!.instance) < 2
     const watchers = ways.filter((_, index) => isWatcher(index))
     const others = ways.filter((_, index) => !isWatcher(index))
@@ -136,11 +136,11 @@
       }
     }()
     const store = new InterceptedStore(new MemoryObjectStore())
-    store.watchFinds = (step) => {
+    store.replaceWatchResult = (step) => {
       if (store.calls.watches === 100) ending.abort()
       return step
     }
-    const parts = { store, clock, logger: silentLogger(), random: () => 0.5, watchMilliseconds: 0, isWatcher: () => true, standsIn: () => false, take: () => undefined }
+    const parts = { store, clock, logger: silentLogger(), random: () => 0.5, watchMilliseconds: 0, isWatcher: () => true, isSubstituteWatcher: () => false, applyDocuments: () => undefined }
     await new SettingsWatch(parts).run(ending.signal)
     expect(store.calls.watches + store.calls.lists).toBe(slept.length)
     expect(slept.every((milliseconds) => milliseconds > 0)).toBe(true)
@@ -161,8 +161,8 @@
   })
 
   it('waits longer after each failure, and not the same on each instance', () => {
-    const low = new Backoff(STORE_WAITS, () => 0)
-    const high = new Backoff(STORE_WAITS, () => 0.999)
+    const low = new Backoff(STORE_BACKOFF, () => 0)
+    const high = new Backoff(STORE_BACKOFF, () => 0.999)
     const waits = Array.from({ length: 10 }, () => [low.next(), high.next()] as [number, number])
     for (const [index, [shortest, longest]] of waits.entries()) {
       expect(longest / shortest).toBeGreaterThan(1.9)
--- a/packages/entry/test/settings/settings-writer.test.ts
+++ b/packages/entry/test/settings/settings-writer.test.ts
@@ -57,11 +57,11 @@
     const store = new MemoryObjectStore()
     const slow = new InterceptedStore(store)
     const one = await deployment.start('one', slow)
-    slow.delayNext = 1
+    slow.writesToLose = 1
     expect((await put(one.writer, teamText('v1'), 0))._unsafeUnwrap().revision).toBe(1)
     expect(store.snapshot().map((object) => object.value)).toMatchObject([{ revision: 1, text: teamText('v1') }])
     await put(one.writer, teamText('v2'), 1)
-    const [late] = slow.delayed
+    const [late] = slow.lostWrites
     expect((await store.put(late!))._unsafeUnwrapErr().kind).toBe('version-conflict')
     expect(store.snapshot().find((object) => object.path.endsWith(`/settings${PATH}`))?.value).toMatchObject({ revision: 2, text: teamText('v2') })
   })
@@ -72,8 +72,8 @@
     const store = new MemoryObjectStore()
     const slow = new InterceptedStore(store)
     const one = await deployment.start('one', slow)
-    slow.delayNext = 1
-    slow.beforeGet = async () => { store.faults.outage = slow.delayed.length > 0 }
+    slow.writesToLose = 1
+    slow.beforeGet = async () => { store.faults.outage = slow.lostWrites.length > 0 }
     const unknown = (await put(one.writer, teamText('v1'), 0))._unsafeUnwrapErr()
     expect(unknown).toMatchObject({ kind: 'store-answer-lost', outcome: 'unknown' })
     expect(versionAt(one)).toBe(undefined)
--- a/packages/load/src/faults/mutants/settings-mutants.ts
+++ b/packages/load/src/faults/mutants/settings-mutants.ts
@@ -1,7 +1,7 @@
 /** Settings that go back to an older revision. */
 import type { OperatorSettings } from '@limpetwinch/core'
 import { SettingsFollower } from '@limpetwinch/entry'
-import type { SettingsFollowerParts } from '@limpetwinch/entry'
+import type { SettingsFollowerDependencies } from '@limpetwinch/entry'
 import { FaultRunParts } from '../fault-run-parts.js'
 
 const READS_BETWEEN_RETURNS = 4
@@ -25,7 +25,7 @@
 
 /** Parts that apply an older revision. */
 export class OlderRevisionParts extends FaultRunParts {
-  override settings (parts: SettingsFollowerParts): SettingsFollower {
+  override settings (parts: SettingsFollowerDependencies): SettingsFollower {
     return new OlderRevisionFollower(parts)
   }
 }
