--- a/packages/core/src/endpoints/http-engine-client.ts
+++ b/packages/core/src/endpoints/http-engine-client.ts
@@ -9,7 +9,7 @@
 import type { ErrorName } from '../errors/errors-data.js'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import type { ErrorOptions } from '../errors/limpetwinch-error.js'
-import { OversizeAnswer, readBoundedText } from '../http/bounded-text.js'
+import { OversizedResponseError, readBoundedText } from '../http/bounded-text.js'
 import { formatAdapter } from '../ids/adapter-reference.js'
 import type { AdapterReference } from '../ids/adapter-reference.js'
 import type { EndpointId, FencingToken, RequestId } from '../ids/ids.js'
@@ -17,12 +17,12 @@
 import { EngineClient } from './engine-client.js'
 import type { AdapterOrder, CacheEvent, EngineReport, GeneratedPart, GenerateRequest, GenerationEventResult } from './engine-client.js'
 
-const ORDER_MILLISECONDS = 60_000
-const QUICK_MILLISECONDS = 5_000
-const MOST_ANSWER_BYTES = 16 * 1024 * 1024
-const MOST_REFUSAL_BYTES = 64 * 1024
-const MOST_EVENT_CHARACTERS = 1024 * 1024
-const REFUSALS: ReadonlySet<string> = new Set(['adapter-not-loaded', 'stale-fencing-token', 'no-free-slot', 'load-failed'])
+const ORDER_TIMEOUT_MILLISECONDS = 60_000
+const CALL_TIMEOUT_MILLISECONDS = 5_000
+const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
+const MAXIMUM_REFUSAL_BYTES = 64 * 1024
+const MAXIMUM_EVENT_CHARACTERS = 1024 * 1024
+const REFUSAL_CODES: ReadonlySet<string> = new Set(['adapter-not-loaded', 'stale-fencing-token', 'no-free-slot', 'load-failed'])
 
 const endSchema = z.object({
   end: z.object({
@@ -71,33 +71,33 @@
   }
 
   override resume (requestId: RequestId, position: number, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
-    return unproved(this.stream('GET', `/generate/${requestId}?from=${position}`, undefined, signal))
+    return withUnknownOutcome(this.stream('GET', `/generate/${requestId}?from=${position}`, undefined, signal))
   }
 
   override cancel (requestId: RequestId): ResultAsync<void, LimpetwinchError> {
-    return this.call('POST', `/generate/${requestId}/cancel`, {}, QUICK_MILLISECONDS).map(() => undefined)
+    return this.call('POST', `/generate/${requestId}/cancel`, {}, CALL_TIMEOUT_MILLISECONDS).map(() => undefined)
   }
 
   override load (order: AdapterOrder, source: AdapterReference): ResultAsync<void, LimpetwinchError> {
-    return this.call('POST', '/adapters/load', { ...order, source }, ORDER_MILLISECONDS, formatAdapter(source)).map(() => undefined)
+    return this.call('POST', '/adapters/load', { ...order, source }, ORDER_TIMEOUT_MILLISECONDS, formatAdapter(source)).map(() => undefined)
   }
 
   override unload (order: AdapterOrder): ResultAsync<void, LimpetwinchError> {
-    return this.call('POST', '/adapters/unload', order, QUICK_MILLISECONDS, order.name).map(() => undefined)
+    return this.call('POST', '/adapters/unload', order, CALL_TIMEOUT_MILLISECONDS, order.name).map(() => undefined)
   }
 
   override configure (change: { baseModel?: string, role?: string }, token: FencingToken): ResultAsync<void, LimpetwinchError> {
-    return this.call('POST', '/configure', { ...change, token }, ORDER_MILLISECONDS).map(() => undefined)
+    return this.call('POST', '/configure', { ...change, token }, ORDER_TIMEOUT_MILLISECONDS).map(() => undefined)
   }
 
   override report (): ResultAsync<EngineReport, LimpetwinchError> {
-    return this.call('GET', '/report', undefined, QUICK_MILLISECONDS)
+    return this.call('GET', '/report', undefined, CALL_TIMEOUT_MILLISECONDS)
       .andThen((body) => this.parsed(reportSchema, body))
       .map((report) => report as unknown as EngineReport)
   }
 
   override cacheEvents (after: number): ResultAsync<readonly CacheEvent[], LimpetwinchError> {
-    return this.call('GET', `/cache-events?after=${after}`, undefined, QUICK_MILLISECONDS)
+    return this.call('GET', `/cache-events?after=${after}`, undefined, CALL_TIMEOUT_MILLISECONDS)
       .andThen((body) => this.parsed(cacheEventsSchema, body))
       .map((body) => body.events)
   }
@@ -112,7 +112,7 @@
     try {
       response = await this.send(method, target, body, signal)
       if (response.statusCode !== 200) {
-        yield { ok: false, error: this.refusal(response.statusCode, await readBoundedText(response.body, MOST_REFUSAL_BYTES), undefined) }
+        yield { ok: false, error: this.refusal(response.statusCode, await readBoundedText(response.body, MAXIMUM_REFUSAL_BYTES), undefined) }
         return
       }
     } catch (cause) {
@@ -123,7 +123,7 @@
   }
 
   private async * events (body: Dispatcher.ResponseData['body']): AsyncIterable<GenerationEventResult> {
-    const events = new EventBuffer()
+    const events = new EventStreamDecoder()
     let ended = false
     body.on('error', ignore)
     try {
@@ -135,9 +135,9 @@
           if (!event.ok || ended) return
         }
       }
-      yield { ok: false, error: this.unheard('the stream ended early') }
+      yield { ok: false, error: this.transportFailure('the stream ended early') }
     } catch (cause) {
-      yield { ok: false, error: isUnreadable(cause) ? this.failedAfterSend(reasonOf(cause), cause) : this.failure(cause) }
+      yield { ok: false, error: isUnreadable(cause) ? this.engineFailure(reasonOf(cause), cause) : this.failure(cause) }
     } finally {
       // After a whole answer only the end of the body is to come; read to there, the connection serves the next
       // request, while a destroyed one would cost each request a new connection.
@@ -151,13 +151,13 @@
     try {
       body = JSON.parse(data)
     } catch (cause) {
-      return { ok: false, error: this.failedAfterSend('an event that is not JSON', cause) }
+      return { ok: false, error: this.engineFailure('an event that is not JSON', cause) }
     }
-    if (isPart(body)) return { ok: true, event: { kind: 'part', part: body } }
+    if (isGeneratedPart(body)) return { ok: true, event: { kind: 'part', part: body } }
     const end = endSchema.safeParse(body)
     if (end.success) return { ok: true, event: { kind: 'end', end: { ...end.data.end, adapter: end.data.end.adapter } } }
     const reason = (body as { error?: unknown } | null)?.error
-    return { ok: false, error: this.failedAfterSend(typeof reason === 'string' ? reason : 'an event of unknown form') }
+    return { ok: false, error: this.engineFailure(typeof reason === 'string' ? reason : 'an event of unknown form') }
   }
 
   private call (method: 'GET' | 'POST', target: string, body: unknown, milliseconds: number, adapter?: string): ResultAsync<unknown, LimpetwinchError> {
@@ -167,7 +167,7 @@
   private async answer (method: 'GET' | 'POST', target: string, body: unknown, milliseconds: number, adapter?: string): Promise<Result<unknown, LimpetwinchError>> {
     try {
       const response = await this.send(method, target, body, AbortSignal.timeout(milliseconds))
-      const text = await readBoundedText(response.body, MOST_ANSWER_BYTES)
+      const text = await readBoundedText(response.body, MAXIMUM_ANSWER_BYTES)
       if (response.statusCode !== 200) return err(this.refusal(response.statusCode, text, adapter))
       return ok(text === '' ? undefined : JSON.parse(text))
     } catch (cause) {
@@ -187,31 +187,31 @@
   private parsed<Body> (schema: z.ZodType<Body>, body: unknown): Result<Body, LimpetwinchError> {
     const result = schema.safeParse(body)
     if (result.success) return ok(result.data)
-    return err(this.failedAfterSend(`an answer of another form: ${result.error.message}`))
+    return err(this.engineFailure(`an answer of another form: ${result.error.message}`))
   }
 
   /** An engine's own word that it did not run the request; any other status proves nothing. */
   private refusal (status: number, text: string, adapter: string | undefined): LimpetwinchError {
-    const refused = refusalSchema.safeParse(safeJson(text))
-    if (!refused.success) return this.unheard(`status ${status}`)
+    const refused = refusalSchema.safeParse(parseJsonOrUndefined(text))
+    if (!refused.success) return this.transportFailure(`status ${status}`)
     const { code, message } = refused.data.error
     const details = { endpoint: this.endpoint, adapter, reason: message, code }
-    if (REFUSALS.has(code) && Object.hasOwn(ERRORS, code)) return new LimpetwinchError(code as ErrorName, details)
+    if (REFUSAL_CODES.has(code) && Object.hasOwn(ERRORS, code)) return new LimpetwinchError(code as ErrorName, details)
     return new LimpetwinchError('endpoint-refused', details)
   }
 
   private failure (cause: unknown): LimpetwinchError {
     // Only a connection that never came to be proves that the endpoint has seen nothing.
     const outcome = neverConnected(cause) ? 'not_run' : 'unknown'
-    return this.unheard(reasonOf(cause), { cause, outcome })
+    return this.transportFailure(reasonOf(cause), { cause, outcome })
   }
 
   /** The way to the engine failed, or something on the way answered: the engine itself has said nothing. */
-  private unheard (reason: string, options: ErrorOptions = {}): LimpetwinchError {
+  private transportFailure (reason: string, options: ErrorOptions = {}): LimpetwinchError {
     return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason, heard: false }, options)
   }
 
-  private failedAfterSend (reason: string, cause?: unknown): LimpetwinchError {
+  private engineFailure (reason: string, cause?: unknown): LimpetwinchError {
     return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason }, { cause })
   }
 }
@@ -220,7 +220,7 @@
  * Takes a failed resume for no proof of anything: the request was sent before, so an engine that no longer knows it, or
  * does not listen any more, may have run it all the same. Told as not run, its caller would run it twice.
  */
-async function * unproved (results: AsyncIterable<GenerationEventResult>): AsyncIterable<GenerationEventResult> {
+async function * withUnknownOutcome (results: AsyncIterable<GenerationEventResult>): AsyncIterable<GenerationEventResult> {
   for await (const result of results) {
     if (result.ok) yield result
     else yield { ok: false, error: new LimpetwinchError(result.error.kind, { ...result.error.details }, { outcome: 'unknown', cause: result.error }) }
@@ -232,12 +232,12 @@
  * the caller as text that the engine never wrote. So does an event without end, which would fill the memory.
  */
 /** Takes server-sent events out of chunks as they come. */
-class EventBuffer {
+class EventStreamDecoder {
   private readonly decoder = new TextDecoder('utf-8', { fatal: true })
   private waiting: string[] = []
   private oversize = false
   private readonly parser = createParser({
-    maxBufferSize: MOST_EVENT_CHARACTERS,
+    maxBufferSize: MAXIMUM_EVENT_CHARACTERS,
     onEvent: (event) => { this.waiting.push(event.data) },
     onError: (error) => { this.oversize ||= error.type === 'max-buffer-size-exceeded' }
   })
@@ -245,7 +245,7 @@
   /** @returns the data of the events that are whole now */
   feed (chunk: Buffer): string[] {
     this.parser.feed(this.decoder.decode(chunk, { stream: true }))
-    if (this.oversize) throw new OversizeAnswer(MOST_EVENT_CHARACTERS)
+    if (this.oversize) throw new OversizedResponseError(MAXIMUM_EVENT_CHARACTERS)
     const ready = this.waiting
     this.waiting = []
     return ready
@@ -253,7 +253,7 @@
 }
 
 /** Checked by hand and not by a schema: this runs for each token. */
-function isPart (body: unknown): body is GeneratedPart {
+function isGeneratedPart (body: unknown): body is GeneratedPart {
   if (typeof body !== 'object' || body === null) return false
   const { position, text } = body as Partial<GeneratedPart>
   return typeof text === 'string' && Number.isSafeInteger(position) && (position as number) >= 0
@@ -265,12 +265,12 @@
 
 /** @returns whether an event came that cannot be read */
 function isUnreadable (cause: unknown): boolean {
-  return cause instanceof OversizeAnswer || (cause as { code?: unknown } | null)?.code === 'ERR_ENCODING_INVALID_ENCODED_DATA'
+  return cause instanceof OversizedResponseError || (cause as { code?: unknown } | null)?.code === 'ERR_ENCODING_INVALID_ENCODED_DATA'
 }
 
 function ignore (): void {}
 
-function safeJson (text: string): unknown {
+function parseJsonOrUndefined (text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
--- a/packages/core/src/endpoints/http-service-client.ts
+++ b/packages/core/src/endpoints/http-service-client.ts
@@ -8,14 +8,14 @@
 import { ServiceClient } from './service-client.js'
 import type { ServiceAnswer, ServiceCall } from './service-client.js'
 
-const LARGEST_ANSWER_BYTES = 16 * 1024 * 1024
-const CONNECTIONS = 256
+const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
+const MAXIMUM_CONNECTIONS = 256
 
 /** A {@link ServiceClient} reached over HTTP. */
 export class HttpServiceClient extends ServiceClient {
   private readonly endpoint: EndpointId
   private readonly base: string
-  private readonly agent = new Agent({ connections: CONNECTIONS, pipelining: 1, headersTimeout: 0, bodyTimeout: 0, maxResponseSize: LARGEST_ANSWER_BYTES })
+  private readonly agent = new Agent({ connections: MAXIMUM_CONNECTIONS, pipelining: 1, headersTimeout: 0, bodyTimeout: 0, maxResponseSize: MAXIMUM_ANSWER_BYTES })
 
   /**
    * @param endpoint - the endpoint's id, for errors
@@ -49,11 +49,11 @@
       ...(call.body === undefined || call.body.length === 0 ? {} : { body: call.body })
     })
     const body = new Uint8Array(await response.body.arrayBuffer())
-    return { status: response.statusCode, headers: singleHeaders(response.headers), body }
+    return { status: response.statusCode, headers: joinRepeatedHeaders(response.headers), body }
   }
 }
 
-function singleHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string> {
+function joinRepeatedHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string> {
   const entries = Object.entries(headers).flatMap(([name, value]) => {
     if (value === undefined) return []
     return [[name, Array.isArray(value) ? value.join(', ') : value] as const]
--- a/packages/core/src/frames/frames.ts
+++ b/packages/core/src/frames/frames.ts
@@ -183,7 +183,7 @@
 }
 
 /** How new an instance's beliefs are; each number grows. */
-export interface BeliefRevisions {
+export interface ClusterStateRevisions {
   readonly configuration: number
   readonly endpoints: number
   readonly announcements: number
@@ -192,14 +192,14 @@
 }
 
 /** How new the sender's beliefs are. A peer that is behind and does not read the store asks for them. */
-export interface BeliefsOfferFrame extends BeliefRevisions {
+export interface BeliefsOfferFrame extends ClusterStateRevisions {
   readonly kind: 'beliefs-offer'
   /** Since somebody whose word has come here read the store, milliseconds; absent where nobody has. A span, so that clocks need not agree. */
   readonly readMillisecondsAgo?: number | undefined
 }
 
 /** Asks for what is newer than this. */
-export interface BeliefsAskFrame extends BeliefRevisions {
+export interface BeliefsAskFrame extends ClusterStateRevisions {
   readonly kind: 'beliefs-ask'
 }
 
--- a/packages/core/src/http/bounded-text.ts
+++ b/packages/core/src/http/bounded-text.ts
@@ -1,7 +1,7 @@
 /** Bodies of answers read with a bound. */
 
 /** An answer is longer than anything its sender has reason to send. */
-export class OversizeAnswer extends Error {
+export class OversizedResponseError extends Error {
   /** @param mostBytes - the bound that it broke */
   constructor (mostBytes: number) {
     super(`an answer of more than ${mostBytes} bytes`)
@@ -31,7 +31,7 @@
   let bytes = 0
   for await (const chunk of body) {
     bytes += chunk.length
-    if (bytes > mostBytes) throw new OversizeAnswer(mostBytes)
+    if (bytes > mostBytes) throw new OversizedResponseError(mostBytes)
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
--- a/packages/core/src/logger/logger.ts
+++ b/packages/core/src/logger/logger.ts
@@ -1,7 +1,7 @@
 /** The one logger: short sentences, with the label of the part that speaks as a fixed prefix. */
 import winston from 'winston'
 import Transport from 'winston-transport'
-import type { LineRank, LineSink } from './line-sink.js'
+import type { LinePriority, LineSink } from './line-sink.js'
 
 /** How log lines are written. */
 export type LogFormat = 'text' | 'json'
@@ -29,11 +29,11 @@
 const jsonLine = winston.format.printf((entry) => JSON.stringify(entry))
 
 /** Wraps a winston logger, which knows no labels of its own. */
-function wrap (target: winston.Logger, label: string): Logger {
+function labelledLogger (target: winston.Logger, label: string): Logger {
   const at = (level: LogLevel) => (sentence: string, fields: Record<string, unknown> = {}): void => {
     target.log(level, sentence, { ...fields, label })
   }
-  return { error: at('error'), warn: at('warn'), info: at('info'), debug: at('debug'), part: (next) => wrap(target, next) }
+  return { error: at('error'), warn: at('warn'), info: at('info'), debug: at('debug'), part: (next) => labelledLogger(target, next) }
 }
 
 /**
@@ -50,10 +50,10 @@
     format: winston.format.combine(winston.format.timestamp(), form),
     transports: [new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info', 'debug'] })]
   })
-  return wrap(target, 'process')
+  return labelledLogger(target, 'process')
 }
 
-const RANK_OF_LEVEL: Readonly<Record<string, LineRank>> = { error: 'fault', warn: 'fault', info: 'outcome', debug: 'step' }
+const PRIORITY_OF_LEVEL: Readonly<Record<string, LinePriority>> = { error: 'fault', warn: 'fault', info: 'outcome', debug: 'step' }
 /** Where winston keeps a line's text. */
 const MESSAGE = Symbol.for('message')
 
@@ -67,7 +67,7 @@
   }
 
   override log (entry: Record<string | symbol, unknown>, next: () => void): void {
-    this.sink.add(String(entry[MESSAGE]), RANK_OF_LEVEL[String(entry.level)] ?? 'outcome')
+    this.sink.add(String(entry[MESSAGE]), PRIORITY_OF_LEVEL[String(entry.level)] ?? 'outcome')
     next()
   }
 }
@@ -85,10 +85,10 @@
     format: winston.format.combine(winston.format.timestamp(), jsonLine),
     transports: [new LineSinkTransport(sink)]
   })
-  return wrap(target, 'process')
+  return labelledLogger(target, 'process')
 }
 
 /** @returns a logger that writes nothing, for tests */
 export function silentLogger (): Logger {
-  return wrap(winston.createLogger({ silent: true, transports: [new winston.transports.Console()] }), 'silent')
+  return labelledLogger(winston.createLogger({ silent: true, transports: [new winston.transports.Console()] }), 'silent')
 }
--- a/packages/core/src/platform/http-instance-list.ts
+++ b/packages/core/src/platform/http-instance-list.ts
@@ -7,7 +7,7 @@
 import { InstanceList } from './instance-list.js'
 import type { ListedInstance } from './instance-list.js'
 
-const ANSWER_MILLISECONDS = 2_000
+const CALL_TIMEOUT_MILLISECONDS = 2_000
 
 const listSchema = z.object({
   instances: z.array(z.object({
@@ -43,7 +43,7 @@
   }
 
   private async fetch (): Promise<readonly ListedInstance[]> {
-    const signal = AbortSignal.timeout(ANSWER_MILLISECONDS)
+    const signal = AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS)
     const response = await request(`${this.base}/instances`, { dispatcher: this.agent, signal })
     const body = await response.body.json()
     if (response.statusCode !== 200) throw new Error(`status ${response.statusCode}`)
--- a/packages/core/src/platform/http-object-store.ts
+++ b/packages/core/src/platform/http-object-store.ts
@@ -5,12 +5,12 @@
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import { ObjectStore } from './object-store.js'
 import type { ConditionalWrite, StoredObject, WatchStep } from './object-store.js'
-import { isRefusedStatus, neverConnected, reasonOf, StoreConnection, storeUnavailable } from './store-connection.js'
+import { isRefusedStatus, neverConnected, reasonOf, StoreConnection, storeUnavailableError } from './store-connection.js'
 import type { StoreAnswer } from './store-connection.js'
 
-const ANSWER_MILLISECONDS = 2_000
+const CALL_TIMEOUT_MILLISECONDS = 2_000
 const WATCH_GRACE_MILLISECONDS = 2_000
-const CONNECTIONS = 16
+const MAXIMUM_CONNECTIONS = 16
 
 const storedObjectSchema = z.object({ path: z.string(), version: z.number(), value: z.unknown() })
 const listSchema = z.object({ objects: z.array(storedObjectSchema), cursor: z.number() })
@@ -34,13 +34,13 @@
   /** @param base - URL of the platform */
   constructor (base: string) {
     super()
-    this.connection = new StoreConnection(base, { connections: CONNECTIONS })
+    this.connection = new StoreConnection(base, { connections: MAXIMUM_CONNECTIONS })
   }
 
   override get (path: string): ResultAsync<StoredObject | undefined, LimpetwinchError> {
     this.calls.reads += 1
     const target = `/objects?path=${encodeURIComponent(path)}`
-    return this.read(target, ANSWER_MILLISECONDS).andThen((answer): Result<StoredObject | undefined, LimpetwinchError> => {
+    return this.read(target, CALL_TIMEOUT_MILLISECONDS).andThen((answer): Result<StoredObject | undefined, LimpetwinchError> => {
       if (answer.status === 404) return ok(undefined)
       return parsed(storedObjectSchema, answer)
     })
@@ -49,7 +49,7 @@
   override list (prefix: string): ResultAsync<{ objects: readonly StoredObject[], cursor: number }, LimpetwinchError> {
     this.calls.reads += 1
     const target = `/objects?prefix=${encodeURIComponent(prefix)}`
-    return this.read(target, ANSWER_MILLISECONDS).andThen((answer) => parsed(listSchema, answer))
+    return this.read(target, CALL_TIMEOUT_MILLISECONDS).andThen((answer) => parsed(listSchema, answer))
   }
 
   override put (write: ConditionalWrite): ResultAsync<number, LimpetwinchError> {
@@ -75,7 +75,7 @@
   private async write (write: ConditionalWrite): Promise<Result<number, LimpetwinchError>> {
     let answer: StoreAnswer
     try {
-      answer = await this.connection.send({ method: 'PUT', target: '/objects', body: write, milliseconds: ANSWER_MILLISECONDS })
+      answer = await this.connection.send({ method: 'PUT', target: '/objects', body: write, milliseconds: CALL_TIMEOUT_MILLISECONDS })
     } catch (cause) {
       if (neverConnected(cause)) return err(this.unavailable(cause))
       return err(this.answerLost(write, cause))
@@ -107,7 +107,7 @@
 
   private unavailable (cause: unknown): LimpetwinchError {
     this.calls.failed += 1
-    return storeUnavailable(reasonOf(cause), cause)
+    return storeUnavailableError(reasonOf(cause), cause)
   }
 }
 
--- a/packages/core/src/platform/store-connection.ts
+++ b/packages/core/src/platform/store-connection.ts
@@ -4,7 +4,7 @@
 import { readBoundedBytes } from '../http/bounded-text.js'
 
 /** Room for a list of everything that a deployment holds. */
-const MOST_ANSWER_BYTES = 64 * 1024 * 1024
+const MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024
 /** Answers by which a store says that it did not carry a write out: too large, over its rate, in an outage. */
 const REFUSED_STATUSES: ReadonlySet<number> = new Set([413, 429, 503])
 
@@ -34,23 +34,23 @@
   readonly connections: number
   /** A connection that takes longer to open counts as never made. */
   readonly connectMilliseconds?: number
-  readonly mostAnswerBytes?: number
+  readonly maximumAnswerBytes?: number
 }
 
 /** The connections to one store. */
 export class StoreConnection {
   private readonly base: string
   private readonly agent: Agent
-  private readonly mostAnswerBytes: number
+  private readonly maximumAnswerBytes: number
 
   /**
    * @param base - URL of the store
    * @param options - how connections are kept
    */
   constructor (base: string, options: StoreConnectionOptions) {
-    const { connections, connectMilliseconds, mostAnswerBytes = MOST_ANSWER_BYTES } = options
+    const { connections, connectMilliseconds, maximumAnswerBytes: maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = options
     this.base = base
-    this.mostAnswerBytes = mostAnswerBytes
+    this.maximumAnswerBytes = maximumAnswerBytes
     // A call whose answer is lost leaves its connection useless; undici closes it when the call is given up.
     this.agent = new Agent({ connections, pipelining: 1, ...(connectMilliseconds === undefined ? {} : { connect: { timeout: connectMilliseconds } }) })
   }
@@ -58,7 +58,7 @@
   /**
    * @param call - what is sent, once
    * @returns the answer
-   * @throws whatever undici says of a call without a whole answer; see {@link lostOrUnavailable}
+   * @throws whatever undici says of a call without a whole answer; see {@link failedWriteError}
    */
   async send (call: StoreCall): Promise<StoreAnswer> {
     const timeout = AbortSignal.timeout(call.milliseconds)
@@ -70,7 +70,7 @@
       ...(call.body === undefined ? {} : { body: JSON.stringify(call.body), headers: { 'content-type': 'application/json' } })
     })
     // One object with unreadable bytes must not hide all others of its listing, so bad bytes are replaced, not refused.
-    const text = (await readBoundedBytes(response.body, this.mostAnswerBytes)).toString('utf8')
+    const text = (await readBoundedBytes(response.body, this.maximumAnswerBytes)).toString('utf8')
     return { status: response.statusCode, body: parseJson(text) }
   }
 
@@ -92,13 +92,13 @@
  * @param path - what was written
  * @param cause - what the call failed with
  */
-export function lostOrUnavailable (path: string, cause: unknown): LimpetwinchError {
-  if (neverConnected(cause)) return storeUnavailable(reasonOf(cause), cause)
+export function failedWriteError (path: string, cause: unknown): LimpetwinchError {
+  if (neverConnected(cause)) return storeUnavailableError(reasonOf(cause), cause)
   return new LimpetwinchError('store-answer-lost', { path }, { cause })
 }
 
 /** @returns the error of a call that did nothing */
-export function storeUnavailable (reason: string, cause?: unknown): LimpetwinchError {
+export function storeUnavailableError (reason: string, cause?: unknown): LimpetwinchError {
   return new LimpetwinchError('store-unavailable', { reason }, { cause })
 }
 
--- a/packages/core/src/settings/cross-checks.ts
+++ b/packages/core/src/settings/cross-checks.ts
@@ -19,16 +19,16 @@
  */
 export function crossProblems (path: SettingsPath, team: TeamId | undefined, value: unknown, inForce: OperatorSettings | undefined): PlacedProblem[] {
   if (team !== undefined) {
-    return [...currentProblems(value), ...keyProblems(value), ...priorityProblems(value, team, inForce)]
+    return [...currentVersionProblems(value), ...keyProblems(value), ...priorityProblems(value, team, inForce)]
   }
   return path === '/endpoints' ? endpointProblems(value) : []
 }
 
 /** A current version that does not exist would send every request for the adapter into an error. */
-function currentProblems (value: unknown): PlacedProblem[] {
+function currentVersionProblems (value: unknown): PlacedProblem[] {
   const problems: PlacedProblem[] = []
   for (const [adapter, settings] of entriesOf(fieldOf(value, 'adapters'))) {
-    const versions = textsOf(fieldOf(settings, 'versions'))
+    const versions = stringsOf(fieldOf(settings, 'versions'))
     const current = fieldOf(settings, 'current')
     const place = ['adapters', adapter]
     if (typeof current === 'string' && versions.length > 0 && !versions.includes(current)) {
@@ -104,7 +104,7 @@
   return Array.isArray(value) ? value as unknown[] : []
 }
 
-function textsOf (value: unknown): string[] {
+function stringsOf (value: unknown): string[] {
   return listOf(value).map(String)
 }
 
--- a/packages/core/src/settings/instance-settings.ts
+++ b/packages/core/src/settings/instance-settings.ts
@@ -85,14 +85,14 @@
  */
 export function loadInstanceSettings (text: string, environment: Readonly<Record<string, string | undefined>>, flags: Readonly<Record<string, string | undefined>>): Result<InstanceSettings, LimpetwinchError> {
   const result = parseSettingsText(text)
-  if ('problems' in result) return refused(result.problems.map(inFile))
+  if ('problems' in result) return refused(result.problems.map(withFilePosition))
   const fromVariables = variableOverrides(environment)
   const fromFlags = flagOverrides(flags)
   const unknown = [...fromVariables.unknown, ...fromFlags.unknown]
   const overrides = [...fromVariables.overrides, ...fromFlags.overrides]
-  const merged: ParsedText = { root: result.parsed.root, value: withOverrides(result.parsed.value, overrides) }
+  const merged: ParsedText = { root: result.parsed.root, value: applyOverrides(result.parsed.value, overrides) }
   const checked = checkBySchema(instanceSettingsSchema, text, merged)
-  if ('problems' in checked) return refused([...unknown, ...checked.problems.map((problem) => described(problem, overrides))])
+  if ('problems' in checked) return refused([...unknown, ...checked.problems.map((problem) => describeProblem(problem, overrides))])
   const problems = [...unknown, ...crossProblems(checked.value)]
   return problems.length === 0 ? ok(checked.value) : refused(problems)
 }
@@ -116,7 +116,7 @@
     if (!variable.startsWith(VARIABLE_PREFIX) || OTHER_VARIABLES.has(variable) || value === undefined) continue
     const known = INSTANCE_SETTINGS_OVERRIDES.find((each) => each.variable === variable)
     if (known === undefined) unknown.push(unknownName(`variable ${variable}`, variable, INSTANCE_SETTINGS_OVERRIDES.map((each) => each.variable)))
-    else overrides.push({ place: known.place, value: converted(known, value), source: `variable ${variable}` })
+    else overrides.push({ place: known.place, value: convertValue(known, value), source: `variable ${variable}` })
   }
   return { overrides, unknown }
 }
@@ -128,7 +128,7 @@
     if (value === undefined) continue
     const known = INSTANCE_SETTINGS_OVERRIDES.find((each) => each.flag === flag)
     if (known === undefined) unknown.push(unknownName(`flag --${flag}`, flag, INSTANCE_SETTINGS_OVERRIDES.map((each) => each.flag)))
-    else overrides.push({ place: known.place, value: converted(known, value), source: `flag --${flag}` })
+    else overrides.push({ place: known.place, value: convertValue(known, value), source: `flag --${flag}` })
   }
   return { overrides, unknown }
 }
@@ -138,12 +138,12 @@
   return `${source}: it is not known; ${nearest === undefined ? 'remove it' : `write '${nearest}'`}`
 }
 
-function converted (override: InstanceSettingsOverride, text: string): string | number {
+function convertValue (override: InstanceSettingsOverride, text: string): string | number {
   const number = Number(text)
   return override.numeric && text.trim() !== '' && Number.isFinite(number) ? number : text
 }
 
-function withOverrides (value: unknown, overrides: readonly Override[]): unknown {
+function applyOverrides (value: unknown, overrides: readonly Override[]): unknown {
   if (overrides.length === 0 || typeof value !== 'object' || value === null) return value
   const merged = structuredClone(value) as Record<string, unknown>
   for (const { place, value: written } of overrides) {
@@ -157,12 +157,12 @@
   return merged
 }
 
-function described (problem: SettingsProblem, overrides: readonly Override[]): string {
+function describeProblem (problem: SettingsProblem, overrides: readonly Override[]): string {
   const override = overrides.findLast((each) => each.place.join('.') === problem.key)
-  return override === undefined ? inFile(problem) : `${override.source}: ${problem.message}`
+  return override === undefined ? withFilePosition(problem) : `${override.source}: ${problem.message}`
 }
 
-function inFile (problem: SettingsProblem): string {
+function withFilePosition (problem: SettingsProblem): string {
   const place = `line ${problem.line}, column ${problem.column}: ${problem.message}`
   return problem.key === '' ? place : `${problem.key}, ${place}`
 }
--- a/packages/core/src/settings/line-diff.ts
+++ b/packages/core/src/settings/line-diff.ts
@@ -2,7 +2,7 @@
 
 const CONTEXT_LINES = 3
 /** Beyond so many cells the middle is shown as replaced whole, so that two large texts cost no minutes. */
-const MOST_CELLS = 4_000_000
+const MAXIMUM_TABLE_CELLS = 4_000_000
 
 interface DiffLine {
   readonly mark: ' ' | '-' | '+'
@@ -18,7 +18,7 @@
  * @returns hunks as in a unified diff; empty when the texts are equal
  */
 export function lineDiff (before: string, after: string): string {
-  const lines = numbered(diffLines(linesOf(before), linesOf(after)))
+  const lines = withLineNumbers(diffLines(linesOf(before), linesOf(after)))
   const shown = lines.map((_, index) => lines.slice(Math.max(0, index - CONTEXT_LINES), index + CONTEXT_LINES + 1).some((line) => line.mark !== ' '))
   const output: string[] = []
   lines.forEach((line, index) => {
@@ -54,7 +54,7 @@
   const removed = before.map((text) => ({ mark: '-', text }) as const)
   const added = after.map((text) => ({ mark: '+', text }) as const)
   const width = after.length + 1
-  if (before.length === 0 || after.length === 0 || (before.length + 1) * width > MOST_CELLS) return [...removed, ...added]
+  if (before.length === 0 || after.length === 0 || (before.length + 1) * width > MAXIMUM_TABLE_CELLS) return [...removed, ...added]
   const common = commonLengths(before, after, width)
   const output: Pick<DiffLine, 'mark' | 'text'>[] = []
   let row = 0
@@ -89,7 +89,7 @@
   return common
 }
 
-function numbered (lines: readonly Pick<DiffLine, 'mark' | 'text'>[]): DiffLine[] {
+function withLineNumbers (lines: readonly Pick<DiffLine, 'mark' | 'text'>[]): DiffLine[] {
   let before = 1
   let after = 1
   return lines.map((line) => {
--- a/packages/core/src/settings/nearest-key.ts
+++ b/packages/core/src/settings/nearest-key.ts
@@ -19,7 +19,7 @@
   return last[right.length] ?? 0
 }
 
-const LONGEST_COMPARED = 80
+const MAXIMUM_COMPARED_CHARACTERS = 80
 
 /**
  * @param word - the word as written
@@ -27,7 +27,7 @@
  * @returns the nearest of them when it is near enough to be meant, else undefined
  */
 export function nearestKey (word: string, known: readonly string[]): string | undefined {
-  const written = word.slice(0, LONGEST_COMPARED).toLowerCase()
+  const written = word.slice(0, MAXIMUM_COMPARED_CHARACTERS).toLowerCase()
   const ranked = known
     .map((candidate) => ({ candidate, distance: editDistance(written, candidate.toLowerCase()) }))
     .sort((left, right) => left.distance - right.distance)
--- a/packages/core/src/settings/schema-problems.ts
+++ b/packages/core/src/settings/schema-problems.ts
@@ -1,7 +1,7 @@
 /** What a schema finds wrong, said with the place in the text and what to write instead. */
 import { z } from 'zod'
 import { nearestKey } from './nearest-key.js'
-import { MOST_PROBLEMS, offsetOf, problemAt } from './settings-text.js'
+import { MAXIMUM_PROBLEMS, offsetOf, problemAt } from './settings-text.js'
 import type { ParsedText, SettingsProblem } from './settings-text.js'
 
 type Issue = z.core.$ZodIssue
@@ -18,15 +18,15 @@
 export function checkBySchema<Value> (schema: z.ZodType<Value>, text: string, parsed: ParsedText): { value: Value } | { problems: SettingsProblem[] } {
   const result = schema.safeParse(parsed.value, { reportInput: true })
   if (result.success) return { value: result.data }
-  const issues = result.error.issues.slice(0, MOST_PROBLEMS)
-  return { problems: issues.flatMap((issue) => problemsOfIssue(schema, text, parsed, issue)).slice(0, MOST_PROBLEMS) }
+  const issues = result.error.issues.slice(0, MAXIMUM_PROBLEMS)
+  return { problems: issues.flatMap((issue) => problemsOfIssue(schema, text, parsed, issue)).slice(0, MAXIMUM_PROBLEMS) }
 }
 
 function problemsOfIssue (schema: z.ZodType, text: string, parsed: ParsedText, issue: Issue): SettingsProblem[] {
   const place = issue.path.map((part) => typeof part === 'number' ? part : String(part))
   if (issue.code === 'unrecognized_keys') {
     const known = knownKeys(schema, place)
-    return issue.keys.slice(0, MOST_PROBLEMS).map((key) => {
+    return issue.keys.slice(0, MAXIMUM_PROBLEMS).map((key) => {
       const offset = offsetOf(parsed.root, [...place, key], true)
       return problemAt(text, offset, [...place, key].join('.'), unknownKeyMessage(key, known))
     })
@@ -46,7 +46,7 @@
   switch (issue.code) {
     case 'invalid_type': {
       const missing = valueAt(value, place) === undefined
-      return missing ? `this is missing; write ${article(issue.expected)}` : `this has the wrong type; write ${article(issue.expected)}`
+      return missing ? `this is missing; write ${expectedValue(issue.expected)}` : `this has the wrong type; write ${expectedValue(issue.expected)}`
     }
     case 'too_small':
       return issue.origin === 'array'
@@ -65,7 +65,7 @@
   }
 }
 
-function article (expected: string): string {
+function expectedValue (expected: string): string {
   const names: Readonly<Record<string, string>> = {
     record: 'an object in braces',
     object: 'an object in braces',
@@ -84,19 +84,19 @@
 
 /** Follows the schema down to an object and reads the keys it allows. */
 function knownKeys (schema: z.ZodType, place: Place): readonly string[] {
-  let inner = unwrapped(schema)
+  let inner = withoutWrappers(schema)
   for (const part of place) {
-    if (inner instanceof z.ZodObject) inner = unwrapped((inner.shape as Record<string, z.ZodType>)[String(part)])
-    else if (inner instanceof z.ZodRecord) inner = unwrapped(inner.valueType as z.ZodType)
-    else if (inner instanceof z.ZodArray) inner = unwrapped(inner.element as z.ZodType)
+    if (inner instanceof z.ZodObject) inner = withoutWrappers((inner.shape as Record<string, z.ZodType>)[String(part)])
+    else if (inner instanceof z.ZodRecord) inner = withoutWrappers(inner.valueType as z.ZodType)
+    else if (inner instanceof z.ZodArray) inner = withoutWrappers(inner.element as z.ZodType)
     else return []
   }
   return inner instanceof z.ZodObject ? Object.keys(inner.shape as object) : []
 }
 
-function unwrapped (schema: z.ZodType | undefined): z.ZodType | undefined {
+function withoutWrappers (schema: z.ZodType | undefined): z.ZodType | undefined {
   if (schema instanceof z.ZodDefault || schema instanceof z.ZodPrefault || schema instanceof z.ZodOptional) {
-    return unwrapped(schema.def.innerType as z.ZodType)
+    return withoutWrappers(schema.def.innerType as z.ZodType)
   }
   return schema
 }
--- a/packages/core/src/settings/settings-checks.ts
+++ b/packages/core/src/settings/settings-checks.ts
@@ -9,7 +9,7 @@
 import { endpointsSettingsSchema, policySettingsSchema, sharesSettingsSchema, teamSettingsSchema } from './operator-settings.js'
 import type { OperatorSettings } from './operator-settings.js'
 import { checkBySchema } from './schema-problems.js'
-import { MOST_PROBLEMS, offsetOf, parseAcceptedText, parseSettingsText, problemAt } from './settings-text.js'
+import { MAXIMUM_PROBLEMS, offsetOf, parseAcceptedText, parseSettingsText, problemAt } from './settings-text.js'
 import type { ParsedText, SettingsProblem } from './settings-text.js'
 import { teamOfPath } from './settings-paths.js'
 
@@ -34,11 +34,11 @@
  */
 export function checkSettings (path: SettingsPath, text: string, inForce: OperatorSettings | undefined): Result<void, LimpetwinchError> {
   const problems = problemsOf(path, text, inForce)
-  return problems.length === 0 ? ok(undefined) : err(invalidSettings(path, problems))
+  return problems.length === 0 ? ok(undefined) : err(invalidSettingsError(path, problems))
 }
 
 /** @returns the error that names every problem with path, line and column */
-export function invalidSettings (path: string, list: readonly SettingsProblem[]): LimpetwinchError {
+export function invalidSettingsError (path: string, list: readonly SettingsProblem[]): LimpetwinchError {
   const lines = list.map(({ key, line, column, message }) => `${path}${key === '' ? '' : ` ${key}`}, line ${line}, column ${column}: ${message}`)
   return new LimpetwinchError('invalid-settings', { path, problems: lines.join('; '), list })
 }
@@ -48,7 +48,7 @@
  *
  * @returns the value with defaults filled in, or undefined when this release cannot read it
  */
-export function parseAccepted (path: SettingsPath, text: string): unknown {
+export function parseAcceptedSettings (path: SettingsPath, text: string): unknown {
   const result = schemaOf(path).safeParse(parseAcceptedText(text))
   return result.success ? result.data : undefined
 }
@@ -59,10 +59,10 @@
   const checked = checkBySchema(schemaOf(path), text, result.parsed)
   const problems = 'problems' in checked ? checked.problems : []
   const across = crossProblems(path, teamOfPath(path), result.parsed.value, inForce)
-  const all = [...problems, ...across.slice(0, MOST_PROBLEMS).map((problem) => placed(text, result.parsed, problem))]
+  const all = [...problems, ...across.slice(0, MAXIMUM_PROBLEMS).map((problem) => withPosition(text, result.parsed, problem))]
   return all.sort((left, right) => left.line - right.line || left.column - right.column)
 }
 
-function placed (text: string, parsed: ParsedText, problem: PlacedProblem): SettingsProblem {
+function withPosition (text: string, parsed: ParsedText, problem: PlacedProblem): SettingsProblem {
   return problemAt(text, offsetOf(parsed.root, problem.place), problem.place.join('.'), problem.message)
 }
--- a/packages/core/src/settings/settings-edits.ts
+++ b/packages/core/src/settings/settings-edits.ts
@@ -34,7 +34,7 @@
   if ('problems' in parseSettingsText(before)) return refused('the document it changes is no JSON with comments; put a whole document')
   try {
     if (patch.kind === 'values') {
-      return patch.values.reduce<Result<string, LimpetwinchError>>((text, { place, value }) => text.andThen((present) => setAt(present, place, value)), ok(before))
+      return patch.values.reduce<Result<string, LimpetwinchError>>((text, { place, value }) => text.andThen((present) => setValueAt(present, place, value)), ok(before))
     }
     if (!isObject(patch.patch)) return refused('a merge patch is one JSON object; write null for a key to remove it')
     return ok(merge(before, [], patch.patch))
@@ -50,27 +50,27 @@
   for (const [key, value] of Object.entries(patch)) {
     const inside = [...place, key]
     if (isObject(value)) {
-      if (!isObject(valueAt(changed, inside))) changed = edit(changed, inside, {})
+      if (!isObject(valueAt(changed, inside))) changed = editValueAt(changed, inside, {})
       changed = merge(changed, inside, value)
     } else {
       const present = valueAt(changed, inside)
       if (value === null && present === undefined) continue
       // Writing the same value again would only lose comments inside it.
-      if (JSON.stringify(present) !== JSON.stringify(value)) changed = edit(changed, inside, value ?? undefined)
+      if (JSON.stringify(present) !== JSON.stringify(value)) changed = editValueAt(changed, inside, value ?? undefined)
     }
   }
   return changed
 }
 
-function setAt (text: string, written: readonly string[], value: unknown): Result<string, LimpetwinchError> {
-  const place = resolved(text, written)
+function setValueAt (text: string, written: readonly string[], value: unknown): Result<string, LimpetwinchError> {
+  const place = resolveListIndexes(text, written)
   if (place.length === 0) return refused('a place names at least one key; put a whole document to replace everything')
   if (value === undefined && valueAt(text, place) === undefined) return refused(`there is nothing at '${place.join('.')}' to remove`)
-  return ok(edit(text, place, value))
+  return ok(editValueAt(text, place, value))
 }
 
 /** A part made of digits is an index in a list and a key in an object; only the document tells which. */
-function resolved (text: string, written: readonly string[]): (string | number)[] {
+function resolveListIndexes (text: string, written: readonly string[]): (string | number)[] {
   const place: (string | number)[] = []
   for (const part of written) {
     const inList = Array.isArray(valueAt(text, place))
@@ -80,7 +80,7 @@
   return place
 }
 
-function edit (text: string, place: readonly (string | number)[], value: unknown): string {
+function editValueAt (text: string, place: readonly (string | number)[], value: unknown): string {
   return applyEdits(text, modify(text, [...place], value, { formattingOptions: FORMATTING }))
 }
 
--- a/packages/core/src/settings/settings-paths.ts
+++ b/packages/core/src/settings/settings-paths.ts
@@ -5,7 +5,7 @@
 import type { SettingsPath, TeamId } from '../ids/ids.js'
 
 /** The documents that stand alone; each team has one more. */
-export const SINGLE_PATHS = ['/shares', '/endpoints', '/policy'] as const
+export const OPERATOR_SETTINGS_PATHS = ['/shares', '/endpoints', '/policy'] as const
 
 const TEAM_PATH = /^\/teams\/([a-z0-9][a-z0-9._-]{0,63})$/i
 
@@ -17,7 +17,7 @@
  * @returns the path, or `unknown-settings-path`
  */
 export function parseSettingsPath (text: string): Result<SettingsPath, LimpetwinchError> {
-  if ((SINGLE_PATHS as readonly string[]).includes(text)) return ok(text as SettingsPath)
+  if ((OPERATOR_SETTINGS_PATHS as readonly string[]).includes(text)) return ok(text as SettingsPath)
   if (TEAM_PATH.test(text)) return ok(text as SettingsPath)
   return err(new LimpetwinchError('unknown-settings-path', { path: text.slice(0, 120) }))
 }
--- a/packages/core/src/settings/settings-text.ts
+++ b/packages/core/src/settings/settings-text.ts
@@ -21,13 +21,13 @@
 }
 
 const PARSE_OPTIONS = { allowTrailingComma: true, allowEmptyContent: false }
-const DEEPEST = 32
-const MOST_SYNTAX_PROBLEMS = 20
+const MAXIMUM_DEPTH = 32
+const MAXIMUM_SYNTAX_PROBLEMS = 20
 /**
  * Problems named at most. Each is placed by a pass over the text, so that a text with a problem in every line, a
  * hundred kilobytes long, would keep the instance from everything else for ten seconds and more.
  */
-export const MOST_PROBLEMS = 100
+export const MAXIMUM_PROBLEMS = 100
 /** Tokens by the numbers of jsonc-parser, whose own names exist only for its compiler. */
 const TOKEN = { openBrace: 1, closeBrace: 2, openBracket: 3, closeBracket: 4, end: 17 }
 
@@ -68,12 +68,12 @@
  * @returns its value and tree, or every syntax problem
  */
 export function parseSettingsText (text: string): { parsed: ParsedText } | { problems: readonly SettingsProblem[] } {
-  const deep = offsetDeeperThan(text, DEEPEST)
-  if (deep !== undefined) return { problems: [problemAt(text, deep, '', `this is nested more than ${DEEPEST} deep; write it flatter`)] }
+  const deep = offsetDeeperThan(text, MAXIMUM_DEPTH)
+  if (deep !== undefined) return { problems: [problemAt(text, deep, '', `this is nested more than ${MAXIMUM_DEPTH} deep; write it flatter`)] }
   const errors: ParseError[] = []
   const root = parseTree(text, errors, PARSE_OPTIONS)
   if (errors.length > 0 || root === undefined) return { problems: syntaxProblems(text, errors) }
-  const doubled = doubledKeys(text, root)
+  const doubled = duplicateKeyProblems(text, root)
   if (doubled.length > 0) return { problems: doubled }
   return { parsed: { value: getNodeValue(root), root } }
 }
@@ -139,7 +139,7 @@
 
 function syntaxProblems (text: string, errors: readonly ParseError[]): SettingsProblem[] {
   if (errors.length === 0) return [problemAt(text, 0, '', 'the document is empty; write one object, such as {}')]
-  return errors.slice(0, MOST_SYNTAX_PROBLEMS).map(({ error, offset }) => {
+  return errors.slice(0, MAXIMUM_SYNTAX_PROBLEMS).map(({ error, offset }) => {
     const name = printParseErrorCode(error)
     return problemAt(text, offset, '', SYNTAX_REMEDIES[name] ?? `this is no JSON (${name}); write JSON with comments`)
   })
@@ -149,14 +149,14 @@
  * A key written twice would silently keep its last value only, and `__proto__` would set no key at all: the operator
  * would see one thing and the instances another.
  */
-function doubledKeys (text: string, node: Node): SettingsProblem[] {
+function duplicateKeyProblems (text: string, node: Node): SettingsProblem[] {
   const problems: SettingsProblem[] = []
   const seen = new Set<string>()
   for (const child of node.children ?? []) {
-    if (problems.length >= MOST_PROBLEMS) return problems
+    if (problems.length >= MAXIMUM_PROBLEMS) return problems
     if (node.type === 'object') problems.push(...keyProblems(text, child, seen))
     const value = node.type === 'object' ? child.children?.[1] : child
-    if (value?.children !== undefined) problems.push(...doubledKeys(text, value))
+    if (value?.children !== undefined) problems.push(...duplicateKeyProblems(text, value))
   }
   return problems
 }
--- a/packages/core/src/settings/text-edit.ts
+++ b/packages/core/src/settings/text-edit.ts
@@ -21,7 +21,7 @@
 }
 
 /** @returns the text with the edit made */
-export function withTextEdit (before: string, { start, end, insert }: TextEdit): string {
+export function applyTextEdit (before: string, { start, end, insert }: TextEdit): string {
   return before.slice(0, start) + insert + before.slice(end)
 }
 
--- a/packages/core/test/fuzz/engine-stream.test.ts
+++ b/packages/core/test/fuzz/engine-stream.test.ts
@@ -5,10 +5,10 @@
 import { afterAll, beforeAll, beforeEach, describe, expect, it } from 'vitest'
 import { HttpEngineClient } from '@limpetwinch/core'
 import type { EndpointId, GenerationEventResult, RequestId } from '@limpetwinch/core'
-import { answerOf, endless, MOST_SENT, RawServer } from './raw-server.js'
+import { respondWith, endlessBody, MAXIMUM_SENT_BYTES, RawServer } from './raw-server.js'
 
 const RUNS = { seed: 61_202, numRuns: 150 }
-const MOST_TAKEN = MOST_SENT / 4
+const MOST_TAKEN = MAXIMUM_SENT_BYTES / 4
 
 const part = fc.record({ position: fc.nat(100), text: fc.string({ unit: 'grapheme', maxLength: 12 }) })
 const end = fc.record({ end: fc.record({ finishReason: fc.constant('length'), promptTokens: fc.nat(), outputTokens: fc.nat(), adapter: fc.constant('a/b@c') }) })
@@ -52,7 +52,7 @@
 
   it('reads whole streams the same wherever the bytes are split', async () => {
     await fc.assert(fc.asyncProperty(stream, fc.array(fc.nat(), { maxLength: 8 }), async ([parts, last], cuts) => {
-      server.answer = answerOf(200, piecesOf(bytesOf([...parts, last]), cuts))
+      server.answer = respondWith(200, piecesOf(bytesOf([...parts, last]), cuts))
       expect(await generate()).toEqual([
         ...parts.map((one) => ({ ok: true, event: { kind: 'part', part: one } })),
         { ok: true, event: { kind: 'end', end: last.end } }
@@ -63,7 +63,7 @@
   it('ends a truncated stream with an error after the parts that came whole', async () => {
     await fc.assert(fc.asyncProperty(stream, fc.nat(), async ([parts, last], at) => {
       const whole = bytesOf([...parts, last])
-      server.answer = answerOf(200, [whole.subarray(0, at % whole.length)])
+      server.answer = respondWith(200, [whole.subarray(0, at % whole.length)])
       const results = await generate()
       const expected = parts.map((one) => ({ ok: true, event: { kind: 'part', part: one } }))
       expect(results.slice(0, -1)).toEqual(expected.slice(0, results.length - 1))
@@ -75,7 +75,7 @@
     const wrong = fc.oneof(fc.jsonValue(), fc.record({ position: fc.jsonValue(), text: fc.constant('x') }), fc.record({ end: fc.jsonValue() }), fc.record({ error: fc.jsonValue() }))
       .filter((value) => !isPart(value))
     await fc.assert(fc.asyncProperty(stream, wrong, async ([parts, last], value) => {
-      server.answer = answerOf(200, [bytesOf([...parts, value, last])])
+      server.answer = respondWith(200, [bytesOf([...parts, value, last])])
       const results = await generate()
       expect(results).toHaveLength(parts.length + 1)
       expect(failureOf(results)).toEqual(failedUnknown)
@@ -84,7 +84,7 @@
 
   it('survives any bytes', async () => {
     await fc.assert(fc.asyncProperty(fc.array(fc.uint8Array({ maxLength: 60 }), { maxLength: 5 }), async (pieces) => {
-      server.answer = answerOf(200, pieces)
+      server.answer = respondWith(200, pieces)
       expect(failureOf(await generate())).toEqual(failedUnknown)
     }), RUNS)
   })
@@ -92,7 +92,7 @@
   it('hands on no text that is not UTF-8', async () => {
     const event = bytesOf([{ position: 0, text: 'zebra' }])
     event[event.indexOf('b')] = 0xff
-    server.answer = answerOf(200, [event, bytesOf([{ end: { finishReason: 'length', promptTokens: 1, outputTokens: 1 } }])])
+    server.answer = respondWith(200, [event, bytesOf([{ end: { finishReason: 'length', promptTokens: 1, outputTokens: 1 } }])])
     const results = await generate()
     expect(results).toHaveLength(1)
     expect(failureOf(results)).toEqual(failedUnknown)
@@ -103,14 +103,14 @@
     ['one event of endless lines', 200, '', 'data: x\n'],
     ['a refusal without end', 503, '{"error":"', 'x']
   ])('gives up on %s', async (_name, status, start, filler) => {
-    const body = endless(status, start, filler)
+    const body = endlessBody(status, start, filler)
     server.answer = body.answer
     expect(failureOf(await generate())).toEqual(failedUnknown)
     expect(await body.bytesTaken).toBeLessThan(MOST_TAKEN)
   })
 
   it('gives up on a report without end', async () => {
-    const body = endless(200, '{"baseModel":"', 'x')
+    const body = endlessBody(200, '{"baseModel":"', 'x')
     server.answer = body.answer
     expect((await client.report())._unsafeUnwrapErr().kind).toBe('endpoint-failed')
     expect(await body.bytesTaken).toBeLessThan(MOST_TAKEN)
@@ -118,7 +118,7 @@
 
   it('takes no answer of another form for a report', async () => {
     await fc.assert(fc.asyncProperty(fc.jsonValue(), async (value) => {
-      server.answer = answerOf(200, [Buffer.from(JSON.stringify(value))])
+      server.answer = respondWith(200, [Buffer.from(JSON.stringify(value))])
       expect((await client.report())._unsafeUnwrapErr().kind).toBe('endpoint-failed')
     }), RUNS)
   })
@@ -127,7 +127,7 @@
   // "unknown request". Were that told as not run, the caller would send again what has run already.
   it('never takes a refused resume as proof that the request was not run', async () => {
     const refusal = { error: { code: 'unknown-request', message: 'not known here' } }
-    server.answer = answerOf(404, [Buffer.from(JSON.stringify(refusal))])
+    server.answer = respondWith(404, [Buffer.from(JSON.stringify(refusal))])
     for await (const result of client.resume('r' as RequestId, 3, new AbortController().signal)) {
       expect(result.ok === false && result.error.outcome).toBe('unknown')
     }
--- a/packages/core/test/fuzz/object-store.test.ts
+++ b/packages/core/test/fuzz/object-store.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { HttpObjectStore, neverConnected } from '@limpetwinch/core'
-import { answerOf, endless, MOST_SENT, RawServer } from './raw-server.js'
+import { respondWith, endlessBody, MAXIMUM_SENT_BYTES, RawServer } from './raw-server.js'
 
 const RUNS = { seed: 61_203, numRuns: 150 }
 const NOTHING_HAPPENED = new Set([413, 429, 503])
@@ -24,7 +24,7 @@
 
   it('says of a write that nothing happened only where the platform says so', async () => {
     await fc.assert(fc.asyncProperty(fc.constantFrom(200, 201, 400, 404, 409, 413, 429, 500, 502, 503, 504), body, async (status, text) => {
-      server.answer = answerOf(status, [Buffer.from(text)])
+      server.answer = respondWith(status, [Buffer.from(text)])
       const error = (await store.put({ path: '/a', ifVersion: 0, value: 1 }))._unsafeUnwrapErr()
       const nothingHappened = error.kind === 'store-unavailable'
       if (nothingHappened) expect(NOTHING_HAPPENED).toContain(status)
@@ -34,7 +34,7 @@
 
   it('takes no answer of another form for an object', async () => {
     await fc.assert(fc.asyncProperty(body, async (text) => {
-      server.answer = answerOf(200, [Buffer.from(text)])
+      server.answer = respondWith(200, [Buffer.from(text)])
       for (const read of [store.get('/a'), store.list('/'), store.watch('/', 0, 10)]) {
         expect((await read)._unsafeUnwrapErr().kind).toBe('store-unavailable')
       }
@@ -42,10 +42,10 @@
   })
 
   it('gives up on an answer without end', async () => {
-    const answer = endless(200, '{"objects":"', 'x')
+    const answer = endlessBody(200, '{"objects":"', 'x')
     server.answer = answer.answer
     expect((await store.list('/'))._unsafeUnwrapErr().kind).toBe('store-unavailable')
-    expect(await answer.bytesTaken).toBeLessThan(MOST_SENT)
+    expect(await answer.bytesTaken).toBeLessThan(MAXIMUM_SENT_BYTES)
   })
 
   // A route is lost while a request is under way: its socket then fails with EHOSTUNREACH on read, after the endpoint
--- a/packages/core/test/fuzz/raw-server.ts
+++ b/packages/core/test/fuzz/raw-server.ts
@@ -3,12 +3,12 @@
 import type { AddressInfo, Socket } from 'node:net'
 
 /** What to do with each connection after its request came. */
-export type Answerer = (socket: Socket) => void | Promise<void>
+export type ConnectionHandler = (socket: Socket) => void | Promise<void>
 
 /** Speaks no HTTP of its own. */
 export class RawServer {
   /** How the next connections are answered. */
-  answer: Answerer = (socket) => { socket.destroy() }
+  answer: ConnectionHandler = (socket) => { socket.destroy() }
   private readonly sockets = new Set<Socket>()
   private readonly server = createServer((socket) => {
     this.sockets.add(socket)
@@ -31,7 +31,7 @@
 }
 
 /** Answers with a status and a body that ends with the connection, in the pieces given. */
-export function answerOf (status: number, pieces: readonly Uint8Array[]): Answerer {
+export function respondWith (status: number, pieces: readonly Uint8Array[]): ConnectionHandler {
   return async (socket) => {
     socket.write(`HTTP/1.1 ${status} Status\r\nconnection: close\r\n\r\n`)
     for (const piece of pieces) {
@@ -43,17 +43,17 @@
 }
 
 /** Answers with a body that never ends, until the reader has gone; says how many bytes it took. */
-export function endless (status: number, start: string, filler: string): { answer: Answerer, bytesTaken: Promise<number> } {
+export function endlessBody (status: number, start: string, filler: string): { answer: ConnectionHandler, bytesTaken: Promise<number> } {
   let tell: (bytes: number) => void = () => {}
   const bytesTaken = new Promise<number>((resolve) => { tell = resolve })
   const block = Buffer.from(filler.repeat(Math.ceil(65_536 / filler.length)))
-  const answer: Answerer = (socket) => {
+  const answer: ConnectionHandler = (socket) => {
     socket.on('close', () => tell(socket.bytesWritten))
     socket.write(`HTTP/1.1 ${status} Status\r\nconnection: close\r\n\r\n${start}`)
     const pump = (): void => {
-      while (!socket.destroyed && socket.bytesWritten < MOST_SENT && socket.write(block)) { /* until the buffers are full */ }
+      while (!socket.destroyed && socket.bytesWritten < MAXIMUM_SENT_BYTES && socket.write(block)) { /* until the buffers are full */ }
       if (socket.destroyed) return
-      if (socket.bytesWritten >= MOST_SENT) socket.end()
+      if (socket.bytesWritten >= MAXIMUM_SENT_BYTES) socket.end()
       else socket.once('drain', pump)
     }
     pump()
@@ -62,4 +62,4 @@
 }
 
 /** Far beyond what any reader may take, so that a reader without a bound fails a test and not the machine. */
-export const MOST_SENT = 256 * 1024 * 1024
+export const MAXIMUM_SENT_BYTES = 256 * 1024 * 1024
--- a/packages/core/test/fuzz/settings-text.test.ts
+++ b/packages/core/test/fuzz/settings-text.test.ts
@@ -2,7 +2,7 @@
 // with the place of what is wrong, in a time that other requests of the instance do not feel, and never crash it.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { checkSettings, parseAccepted } from '@limpetwinch/core'
+import { checkSettings, parseAcceptedSettings } from '@limpetwinch/core'
 import type { SettingsPath } from '@limpetwinch/core'
 
 const RUNS = { seed: 61_204, numRuns: 400 }
@@ -22,7 +22,7 @@
     fc.assert(fc.property(path, fc.oneof(damaged, fc.string(), fc.json()), (where, text) => {
       const checked = checkSettings(where, text, undefined)
       if (checked.isOk()) {
-        expect(parseAccepted(where, text)).toBeDefined()
+        expect(parseAcceptedSettings(where, text)).toBeDefined()
         return
       }
       const list = checked.error.details.list as { line: number, column: number, message: string }[]
--- a/packages/core/test/settings/settings-text.test.ts
+++ b/packages/core/test/settings/settings-text.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { checkSettings, parseAccepted, parseSettingsText, patchText, positionAt } from '@limpetwinch/core'
+import { checkSettings, parseAcceptedSettings, parseSettingsText, patchText, positionAt } from '@limpetwinch/core'
 import type { SettingsPath } from '@limpetwinch/core'
 
 const SEED = 20_261_202
@@ -27,7 +27,7 @@
     fc.assert(fc.property(fc.oneof(fc.string({ unit: 'binary', maxLength: 200 }), nearJson, spoiled), fc.constantFrom(...PATHS), (text, path) => {
       const checked = checkSettings(path, text, undefined)
       if (checked.isOk()) {
-        expect(parseAccepted(path, text)).toBeDefined()
+        expect(parseAcceptedSettings(path, text)).toBeDefined()
         return
       }
       const problems = checked.error.details['list'] as { line: number, column: number, message: string }[]
--- a/packages/core/test/settings/text-edit.test.ts
+++ b/packages/core/test/settings/text-edit.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { textEditBetween, withTextEdit } from '@limpetwinch/core'
+import { textEditBetween, applyTextEdit } from '@limpetwinch/core'
 
 const text = fc.string({ unit: fc.constantFrom('a', 'b', '\n', '\u{1F4DC}', '\u{1F4DD}', '\u{10FFFF}', 'é'), maxLength: 30 })
 
@@ -10,7 +10,7 @@
     fc.assert(fc.property(text, text, (before, after) => {
       const edit = textEditBetween(before, after)
       const insert = Buffer.from(edit.insert, 'utf8').toString('utf8')
-      expect(withTextEdit(before, { ...edit, insert })).toBe(after)
+      expect(applyTextEdit(before, { ...edit, insert })).toBe(after)
     }), { seed: 20_261_202, numRuns: 1_000 })
   })
 
--- a/packages/entry/src/endpoints/endpoint-clients.ts
+++ b/packages/entry/src/endpoints/endpoint-clients.ts
@@ -6,16 +6,16 @@
 export class EndpointClients {
   private readonly engines = new Map<string, HttpEngineClient>()
   private readonly services = new Map<string, HttpServiceClient>()
-  private readonly makeEngineClient: (engine: EngineSettings) => HttpEngineClient
+  private readonly createEngineClient: (engine: EngineSettings) => HttpEngineClient
 
-  /** @param makeEngineClient - makes the client of an engine */
-  constructor (makeEngineClient: (engine: EngineSettings) => HttpEngineClient) {
-    this.makeEngineClient = makeEngineClient
+  /** @param createEngineClient - makes the client of an engine */
+  constructor (createEngineClient: (engine: EngineSettings) => HttpEngineClient) {
+    this.createEngineClient = createEngineClient
   }
 
   /** @returns the client of an engine */
   engine (engine: EngineSettings): EngineClient {
-    return present(this.engines, engine.url, () => this.makeEngineClient(engine))
+    return present(this.engines, engine.url, () => this.createEngineClient(engine))
   }
 
   /** @returns the client of a plain service's endpoint */
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-components.ts
@@ -16,7 +16,7 @@
 import type { SettingsFollowerDependencies } from './settings/settings-follower.js'
 
 /** The parts as they ship. The proof of the promises subclasses this to see that its checks catch a wrong part. */
-export class EntryParts {
+export class EntryComponents {
   /** @returns the client of an engine */
   engineClient (engine: EngineSettings): HttpEngineClient {
     return new HttpEngineClient(engine.endpoint, engine.url)
--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -14,7 +14,7 @@
 import { HttpServer } from './callers/http-server.js'
 import { ServiceCalls } from './callers/service-calls.js'
 import { TeamLimiters } from './callers/team-limiters.js'
-import { EntryParts } from './entry-parts.js'
+import { EntryComponents } from './entry-components.js'
 import { AdmissionClient } from './delivery/admission-client.js'
 import { InFlightTable } from './delivery/in-flight-table.js'
 import { ServiceDelivery } from './delivery/service-delivery.js'
@@ -41,18 +41,18 @@
 import { SettingsWriter } from './settings/settings-writer.js'
 
 /** A stream that says nothing for so long is taken up again on a new connection. */
-const SILENCE_MILLISECONDS = 5_000
+const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5_000
 const RESUMES_WITHOUT_PROGRESS = 3
 /** An instance is ready without owners that have not been heard after so long. */
-const OWNERS_HEARD_MILLISECONDS = 10_000
+const OWNER_DIGESTS_TIMEOUT_MILLISECONDS = 10_000
 /** The balancer and the peers are given so long to see that this instance is not ready before it closes. */
-const LEAVING_MILLISECONDS = 1_000
-const GOODBYE_MILLISECONDS = 50
+const LEAVING_ANNOUNCEMENT_MILLISECONDS = 1_000
+const GOODBYE_DELIVERY_MILLISECONDS = 50
 /** After the last request of its own an instance waits so long for its hand-overs. */
-const HAND_OVER_MILLISECONDS = 3_000
+const HAND_OVER_TIMEOUT_MILLISECONDS = 3_000
 
 /** Where an instance listens. */
-export interface ListeningAt {
+export interface ListeningAddresses {
   readonly caller: string
   readonly admin: string
   readonly peer: string
@@ -63,7 +63,7 @@
   readonly instance: InstanceId = newInstanceId()
   readonly dataCentre: DataCentreId
   private readonly settings: InstanceSettings
-  private readonly parts: EntryParts
+  private readonly components: EntryComponents
   private readonly logger: Logger
   private readonly clock: Clock = new SystemClock()
   private readonly supervisor: Supervisor
@@ -88,17 +88,17 @@
   private readonly callerServer: HttpServer
   private readonly adminServer: HttpServer
   private stopping = false
-  private settingsSince: number | undefined
+  private settingsAppliedAt: number | undefined
 
   /**
    * @param settings - the instance's own settings
    * @param logger - the process's logger
-   * @param parts - makes the parts
+   * @param components - makes the parts
    */
-  constructor (settings: InstanceSettings, logger: Logger, parts: EntryParts = new EntryParts()) {
+  constructor (settings: InstanceSettings, logger: Logger, components: EntryComponents = new EntryComponents()) {
     this.settings = settings
-    this.parts = parts
-    this.clients = new EndpointClients((engine) => parts.engineClient(engine))
+    this.components = components
+    this.clients = new EndpointClients((engine) => components.engineClient(engine))
     this.logger = logger.part('instance')
     this.dataCentre = settings.dataCentre as DataCentreId
     const { clock } = this
@@ -115,7 +115,7 @@
       clock,
       heartbeatMilliseconds: timing.heartbeatMilliseconds
     })
-    this.membership = this.parts.membership({
+    this.membership = this.components.membership({
       peers: this.network,
       list: this.instanceList,
       logger,
@@ -123,7 +123,7 @@
       pollIntervalMilliseconds: timing.instanceListMilliseconds,
       suspectAfterMilliseconds: timing.suspectMilliseconds
     })
-    this.follower = this.parts.settings({
+    this.follower = this.components.settings({
       store: this.store,
       network: this.network,
       membership: this.membership,
@@ -132,11 +132,11 @@
       clock,
       watchMilliseconds: timing.settingsWatchMilliseconds
     })
-    this.ownership = this.parts.ownership({
+    this.ownership = this.components.ownership({
       peers: this.network,
       membership: this.membership,
       store: this.store,
-      engines: () => this.enginesHere(),
+      engines: () => this.configuredEngines(),
       logger,
       clock
     })
@@ -144,15 +144,15 @@
       peers: this.network,
       membership: this.membership,
       ownership: this.ownership,
-      engines: () => this.enginesHere(),
+      engines: () => this.configuredEngines(),
       clientOf: (engine) => this.clients.engine(engine),
       hasGranted: (endpoint, requestId) => this.owned.get(endpoint)?.scheduler.running.has(requestId) ?? false,
       longestRequestMilliseconds: () => 1000 * (this.follower.current()?.policy.longestRequestSeconds ?? Infinity),
-      times: this.parts.recoveryTimes(),
+      times: this.components.recoveryTimes(),
       logger,
       clock
     })
-    this.owned = this.buildOwned(logger)
+    this.owned = this.buildOwnedEndpoints(logger)
     this.handOvers = new HandOvers({
       peers: this.network,
       ownership: this.ownership,
@@ -162,7 +162,7 @@
       clock
     })
     this.follower.onChange(() => this.settingsChanged())
-    this.answerPinsAsks()
+    this.handlePinsAsks()
     this.network.onNotice('endpoint-digest', (from, frame) => { this.directory.applyDigest(from, frame, clock.now()) })
     this.describeHeartbeats()
     const router = this.buildRouter()
@@ -171,7 +171,7 @@
   }
 
   /** Starts to listen and to follow; resolves when the addresses are known, before the instance is ready. */
-  async start (): Promise<ListeningAt> {
+  async start (): Promise<ListeningAddresses> {
     const { address } = this.settings
     const peer = (await this.network.listen())._unsafeUnwrap()
     const caller = await this.callerServer.listen(address.host, address.callerPort)
@@ -193,8 +193,8 @@
    */
   get isReady (): boolean {
     const settings = this.follower.current()
-    if (settings === undefined || this.settingsSince === undefined) return false
-    if (this.clock.now() - this.settingsSince > OWNERS_HEARD_MILLISECONDS) return true
+    if (settings === undefined || this.settingsAppliedAt === undefined) return false
+    if (this.clock.now() - this.settingsAppliedAt > OWNER_DIGESTS_TIMEOUT_MILLISECONDS) return true
     return this.directory.enginesIn(settings)
       .filter((engine) => engine.dataCentre === this.dataCentre)
       .every((engine) => this.directory.get(engine.endpoint)?.digest.healthy === true)
@@ -221,16 +221,16 @@
   private async drain (): Promise<void> {
     const enough = new AbortController()
     const handedOver = this.handOvers.handOverAll(AbortSignal.any([this.supervisor.signal, enough.signal]))
-    await this.clock.sleep(LEAVING_MILLISECONDS)
+    await this.clock.sleep(LEAVING_ANNOUNCEMENT_MILLISECONDS)
     await Promise.allSettled([this.callerServer.close(), this.work.finished()])
     // Nobody may be left to hand over to, as when all instances stop; what is left is taken over as after a loss.
-    const timer = setTimeout(() => enough.abort(), HAND_OVER_MILLISECONDS)
+    const timer = setTimeout(() => enough.abort(), HAND_OVER_TIMEOUT_MILLISECONDS)
     const left = await handedOver
     clearTimeout(timer)
     if (left.length > 0) this.logger.warn('Endpoints are left for others to take over.', { endpoints: left })
     // With this word the others need not wait for the platform's list to say that nothing runs here any more.
     this.membership.sendGoodbye()
-    await this.clock.sleep(GOODBYE_MILLISECONDS)
+    await this.clock.sleep(GOODBYE_DELIVERY_MILLISECONDS)
   }
 
   /** Ends at once, as a crash would; for tests. */
@@ -248,8 +248,8 @@
     this.logger.info('The instance has stopped.')
   }
 
-  private buildOwned (logger: Logger): OwnedEndpoints {
-    return this.parts.ownedEndpoints({
+  private buildOwnedEndpoints (logger: Logger): OwnedEndpoints {
+    return this.components.ownedEndpoints({
       supervisor: this.supervisor.child('scheduler'),
       network: this.network,
       membership: this.membership,
@@ -260,11 +260,11 @@
         peers: this.network,
         membership: this.membership,
         logger,
-        fallback: new PacedLoadTurns(() => this.loadsPerSecondHere(), this.clock),
+        fallback: new PacedLoadTurns(() => this.loadsPerSecondOfInstance(), this.clock),
         scope: 'deployment',
         clock: this.clock
       }),
-      earlierPins: (endpoint) => this.namesInEarlierUse(endpoint),
+      earlierPins: (endpoint) => this.earlierPinnedNames(endpoint),
       clientOf: (engine) => this.clients.engine(engine),
       clock: this.clock,
       logger: logger.part('scheduler')
@@ -289,8 +289,8 @@
       settings: () => this.follower.current(),
       authentication: new Authentication(),
       teamLimiters: new TeamLimiters(this.clock, () => this.membership.members().length),
-      claims: this.parts.claims(this.store, this.clock),
-      delivery: this.parts.delivery({
+      claims: this.components.claims(this.store, this.clock),
+      delivery: this.components.delivery({
         router,
         admissions,
         directory: this.directory,
@@ -300,7 +300,7 @@
         retryBudget: this.retryBudget,
         explain: this.explain,
         shareUsed: (team) => this.owned.shareUsed(team),
-        streamLimits: { idleTimeoutMilliseconds: SILENCE_MILLISECONDS, resumesWithoutProgress: RESUMES_WITHOUT_PROGRESS },
+        streamLimits: { idleTimeoutMilliseconds: STREAM_IDLE_TIMEOUT_MILLISECONDS, resumesWithoutProgress: RESUMES_WITHOUT_PROGRESS },
         clock: this.clock
       }),
       measures: this.measures,
@@ -352,7 +352,7 @@
   }
 
   /** A new owner learns what may still run here, and grants under older tokens are refused from then on. */
-  private answerPinsAsks (): void {
+  private handlePinsAsks (): void {
     this.network.onCall('pins-ask', async (_from, frame) => ({
       kind: 'pins-report',
       pins: this.inFlight.raiseLowestToken(frame.endpoint, frame.token).map(({ requestId, loadedName, team }) => ({ requestId, loadedName, team }))
@@ -372,23 +372,23 @@
   private settingsChanged (): void {
     const settings = this.follower.current()
     if (settings === undefined) return
-    this.settingsSince ??= this.clock.now()
+    this.settingsAppliedAt ??= this.clock.now()
     this.routing.applySettings(settings.policy)
     this.ownership.reevaluate()
     this.owned.reconcile()
   }
 
-  private enginesHere (): readonly EngineSettings[] | undefined {
+  private configuredEngines (): readonly EngineSettings[] | undefined {
     const settings = this.follower.current()
     return settings === undefined ? undefined : this.directory.enginesIn(settings)
   }
 
-  private loadsPerSecondHere (): number {
+  private loadsPerSecondOfInstance (): number {
     const rate = this.follower.current()?.policy.loadsPerSecond ?? 1
     return rate / Math.max(1, this.membership.members().length)
   }
 
-  private namesInEarlierUse (endpoint: EndpointId): ReadonlySet<LoadedName> {
+  private earlierPinnedNames (endpoint: EndpointId): ReadonlySet<LoadedName> {
     const names = this.recoveries.earlierPins(endpoint).map((pin) => pin.loadedName)
     return new Set(names.filter((name) => name !== undefined))
   }
--- a/packages/entry/src/runtime/linked-abort.ts
+++ b/packages/entry/src/runtime/linked-abort.ts
@@ -4,13 +4,13 @@
 export class LinkedAbort {
   private readonly controller = new AbortController()
   private readonly parent: AbortSignal
-  private readonly follow = (): void => this.controller.abort()
+  private readonly onParentAbort = (): void => this.controller.abort()
 
   /** @param parent - the signal to follow */
   constructor (parent: AbortSignal) {
     this.parent = parent
     if (parent.aborted) this.controller.abort()
-    else parent.addEventListener('abort', this.follow, { once: true })
+    else parent.addEventListener('abort', this.onParentAbort, { once: true })
   }
 
   /** Aborted by the parent or by {@link LinkedAbort.abort}. */
@@ -25,6 +25,6 @@
 
   /** Follows the parent no longer. */
   unlink (): void {
-    this.parent.removeEventListener('abort', this.follow)
+    this.parent.removeEventListener('abort', this.onParentAbort)
   }
 }
--- a/packages/entry/src/runtime/supervisor.ts
+++ b/packages/entry/src/runtime/supervisor.ts
@@ -1,8 +1,8 @@
 /** Supervision: long-lived tasks, restarted when they crash, ended together. */
 import type { Clock, Logger } from '@limpetwinch/core'
 
-const FIRST_PAUSE_MILLISECONDS = 50
-const LONGEST_PAUSE_MILLISECONDS = 5_000
+const INITIAL_RESTART_DELAY_MILLISECONDS = 50
+const MAXIMUM_RESTART_DELAY_MILLISECONDS = 5_000
 
 /** A long-lived task; it ends when the signal does. */
 export type Task = (signal: AbortSignal) => Promise<void>
@@ -63,7 +63,7 @@
   }
 
   private async keep (name: string, task: Task, signal: AbortSignal): Promise<void> {
-    let pause = FIRST_PAUSE_MILLISECONDS
+    let pause = INITIAL_RESTART_DELAY_MILLISECONDS
     while (!signal.aborted) {
       try {
         await task(signal)
@@ -72,7 +72,7 @@
         if (signal.aborted) return
         this.logger.error('A task crashed and is started again.', { task: name, reason: cause instanceof Error ? cause.stack : String(cause) })
         await this.clock.sleep(pause, signal)
-        pause = Math.min(LONGEST_PAUSE_MILLISECONDS, 2 * pause)
+        pause = Math.min(MAXIMUM_RESTART_DELAY_MILLISECONDS, 2 * pause)
       }
     }
   }
--- a/packages/entry/src/settings/settings-edit.ts
+++ b/packages/entry/src/settings/settings-edit.ts
@@ -1,5 +1,5 @@
 /** Changes between peers as edits of the state before. */
-import { textEditBetween, withTextEdit } from '@limpetwinch/core'
+import { textEditBetween, applyTextEdit } from '@limpetwinch/core'
 import type { SettingsDocument, SettingsEdit } from '@limpetwinch/core'
 
 /** A document that came into force, and the one it replaced. */
@@ -28,5 +28,5 @@
 export function documentOfEdit (edit: SettingsEdit, base: SettingsDocument | undefined): SettingsDocument | undefined {
   if (base?.text === undefined || base.writeId !== edit.base) return undefined
   const { path, revision, writeId, acceptedAt, author } = edit
-  return { path, revision, text: withTextEdit(base.text, edit), writeId, acceptedAt, author }
+  return { path, revision, text: applyTextEdit(base.text, edit), writeId, acceptedAt, author }
 }
--- a/packages/entry/src/settings/settings-state.ts
+++ b/packages/entry/src/settings/settings-state.ts
@@ -1,6 +1,6 @@
 /** The newest settings known to this instance, kept parsed. */
 import { createHash } from 'node:crypto'
-import { endpointsSettingsSchema, isNewer, parseAccepted, policySettingsSchema, sharesSettingsSchema, teamOfPath } from '@limpetwinch/core'
+import { endpointsSettingsSchema, isNewer, parseAcceptedSettings, policySettingsSchema, sharesSettingsSchema, teamOfPath } from '@limpetwinch/core'
 import type { EndpointsSettings, Logger, OperatorSettings, PolicySettings, Revision, SettingsDocument, SettingsPath, SharesSettings, TeamId, TeamSettings } from '@limpetwinch/core'
 
 const HASH_BYTES = 8
@@ -68,7 +68,7 @@
   }
 
   private putInForce (document: SettingsDocument): void {
-    const value = document.text === undefined ? undefined : parseAccepted(document.path, document.text)
+    const value = document.text === undefined ? undefined : parseAcceptedSettings(document.path, document.text)
     if (value === undefined && document.text !== undefined) {
       // A newer release may accept what this one cannot read; the former settings are better than none.
       this.logger.error('A document cannot be read by this release; what was in force stays.', { path: document.path, revision: document.revision })
--- a/packages/entry/src/settings/settings-writer.ts
+++ b/packages/entry/src/settings/settings-writer.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
-import { checkSettings, invalidSettings, LimpetwinchError } from '@limpetwinch/core'
+import { checkSettings, invalidSettingsError, LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, Logger, ObjectStore, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
 import type { SettingsFollower } from './settings-follower.js'
 import type { SettingsHistory } from './settings-history.js'
@@ -142,5 +142,5 @@
 
 function documentTooLarge (path: SettingsPath): LimpetwinchError {
   const message = `the document takes more than ${MAXIMUM_VALUE_BYTES} bytes in the store; split it, for example into two teams`
-  return invalidSettings(path, [{ key: '', line: 1, column: 1, message }])
+  return invalidSettingsError(path, [{ key: '', line: 1, column: 1, message }])
 }
--- a/packages/ingress/src/cluster-state/state-exchange.ts
+++ b/packages/ingress/src/cluster-state/state-exchange.ts
@@ -2,7 +2,7 @@
  * Exchanges the state read from the store between instances: leaves get it from a hub, which reads the store for them, and
  * instances that the store rejects get it from any neighbour.
  */
-import type { BeliefRevisions, BeliefsAskFrame, BeliefsFrame, BeliefsOfferFrame, ChangedObjects, Clock, EndpointId, InstanceId } from '@limpetwinch/core'
+import type { ClusterStateRevisions, BeliefsAskFrame, BeliefsFrame, BeliefsOfferFrame, ChangedObjects, Clock, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { PeerLinks } from '@limpetwinch/entry'
 import type { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import type { ClusterObject } from '../members/cluster-objects.js'
@@ -106,7 +106,7 @@
     return age === Infinity ? undefined : age
   }
 
-  private revisions (): Required<BeliefRevisions> {
+  private revisions (): Required<ClusterStateRevisions> {
     return {
       configuration: this.state.configuration.version,
       endpoints: this.state.directory.revision,
--- a/packages/load/src/faults/mutants/index.ts
+++ b/packages/load/src/faults/mutants/index.ts
@@ -2,7 +2,7 @@
 import { silentLogger } from '@limpetwinch/core'
 import type { InstanceSettings } from '@limpetwinch/core'
 import { EntryInstance } from '@limpetwinch/entry'
-import type { EntryParts } from '@limpetwinch/entry'
+import type { EntryComponents } from '@limpetwinch/entry'
 import { FaultRunParts } from '../fault-run-parts.js'
 import { DropLastPartClient, MutantClientParts, ReportNotRunClient, RetryAfterSendClient, SwapStreamsClient } from './engine-client-mutants.js'
 import { ForgetClaims, ForgetClaimsParts } from './claims-mutants.js'
@@ -16,7 +16,7 @@
 interface Mutant {
   /** The promise that it breaks. */
   readonly breaks: string
-  readonly parts?: () => EntryParts
+  readonly parts?: () => EntryComponents
   readonly instance?: typeof EntryInstance
 }
 
