--- a/packages/ingress/src/endpoints/endpoint-directory.ts
+++ b/packages/ingress/src/endpoints/endpoint-directory.ts
@@ -1,32 +1,33 @@
-/** What this instance believes of the endpoints: who may get work, who is leaving, who is gone. */
+/** Tracks the endpoints known to this instance: which may receive requests, which are leaving, which have left. */
 import type { EndpointId, Logger } from '@limpetwinch/core'
 import type { Endpoint, ServiceName } from '../routes/configuration.js'
 
 /**
- * Time for which an endpoint that vanished from the store during an outage stays in use after the store's return.
- * Entries lapse when endpoints cannot renew them; living ones write again within two seconds.
+ * Time for which an endpoint whose entry disappeared during an outage of the store stays in use after the outage. Entries lapse
+ * when endpoints cannot renew them; running endpoints write them again within two seconds.
  */
 const LAPSE_GRACE_MILLISECONDS = 2_000
 
-/** All entries of the store at one revision. */
+/** All endpoint entries of the store at one revision. */
 export interface EndpointListing {
-  /** The store's revision; it only grows. */
+  /** Store revision of the listing; it only grows. */
   readonly revision: number
   readonly endpoints: readonly Endpoint[]
-  /** Entries that lapsed in an outage which a peer has seen; they may come back within moments. */
+  /** Entries that lapsed during an outage that a peer observed; they may be written again within moments. */
   readonly lapsed?: ReadonlySet<EndpointId>
 }
 
-/** Hears of changes. */
+/** Listener for changes of an endpoint. */
 export type EndpointListener = (endpoint: Endpoint, change: 'arrived' | 'restarted' | 'leaving' | 'gone') => void
 
+/** An endpoint, and whether its entry has lapsed. */
 interface EndpointRecord {
   endpoint: Endpoint
-  /** Monotonic time at which a lapsed entry counts as gone; undefined while it is listed. */
+  /** Monotonic time at which an endpoint with a lapsed entry counts as having left; undefined while it is listed. */
   removedAt: number | undefined
 }
 
-/** The endpoints known here. */
+/** The endpoints known to this instance. */
 export class EndpointDirectory {
   private readonly records = new Map<EndpointId, EndpointRecord>()
   private readonly byService = new Map<ServiceName, Endpoint[]>()
@@ -35,47 +36,47 @@
   private readonly logger: Logger
   private appliedRevision = 0
 
-  /** @param logger - hears of each change of belief */
+  /** @param logger - logs each change of an endpoint */
   constructor (logger: Logger) {
     this.logger = logger
   }
 
-  /** @returns the store's revision of the newest listing applied; 0 before the first */
+  /** Store revision of the latest listing that was applied; 0 before the first. */
   get revision (): number {
     return this.appliedRevision
   }
 
-  /** Calls the listener with each change of belief. */
+  /** Registers a listener that is called with each change of an endpoint. */
   onChange (listener: EndpointListener): void {
     this.listeners.push(listener)
   }
 
-  /** Calls the listener with all endpoints after each listing that was taken up. */
+  /** Registers a listener that is called with all endpoints after each listing that was applied. */
   onListing (listener: (endpoints: readonly Endpoint[]) => void): void {
     this.listingListeners.push(listener)
   }
 
-  /** @returns the endpoints of a service that may get new work */
+  /** @returns the endpoints of a service that may receive new requests */
   servable (service: ServiceName): readonly Endpoint[] {
     return this.byService.get(service) ?? []
   }
 
-  /** @returns all endpoints that are not gone, leaving ones included */
+  /** @returns all endpoints that have not left, including those that are leaving */
   all (): readonly Endpoint[] {
     return [...this.records.values()].map((record) => record.endpoint)
   }
 
-  /** @returns the endpoint unless it is gone */
+  /** @returns the endpoint; undefined when it is unknown or has left */
   find (id: EndpointId): Endpoint | undefined {
     return this.records.get(id)?.endpoint
   }
 
-  /** @returns entries that changed after the revision, for peers that do not read the store */
+  /** @returns endpoints whose entries changed after the revision, for peers that do not read the store */
   since (revision: number): readonly Endpoint[] {
     return [...this.records.values()].map((record) => record.endpoint).filter((endpoint) => endpoint.revision > revision)
   }
 
-  /** @returns ids of the entries that the store listed last, and of those that lapsed lately */
+  /** @returns ids of the entries in the latest listing, and of those that lapsed recently */
   ids (): { readonly present: readonly EndpointId[], readonly lapsed: readonly EndpointId[] } {
     const ids = [...this.records.keys()]
     return {
@@ -85,10 +86,10 @@
   }
 
   /**
-   * Takes a listing up; one that is not newer changes nothing.
+   * Applies a listing; one that is not newer than the latest is ignored.
    *
-   * @param listing - all entries at a revision
-   * @param outageEndedAt - monotonic time at which an outage of the store ended lately, undefined when there was none
+   * @param listing - all entries at one revision
+   * @param outageEndedAt - monotonic time at which a recent outage of the store ended; undefined when there was none
    * @param now - monotonic time
    */
   apply (listing: EndpointListing, outageEndedAt: number | undefined, now: number): void {
@@ -103,7 +104,7 @@
     for (const listener of this.listingListeners) listener(this.all())
   }
 
-  /** Drops lapsed entries whose time is over; to be called every few hundred milliseconds. */
+  /** Removes endpoints whose lapsed entries were not written again in time; to be called every few hundred milliseconds. */
   expire (now: number): void {
     let changed = false
     for (const [id, record] of this.records) {
@@ -122,8 +123,8 @@
     }
     record.removedAt = undefined
     const known = record.endpoint
-    // A write that was held up on its way may arrive after newer ones. Taken at its word it would call an endpoint
-    // ready that has said that it leaves, and new work would be cut off there. Lives and statements only grow.
+    // A delayed write may arrive after newer ones. If it were applied, an endpoint that is leaving would count as ready, and new
+    // requests would be truncated there. Incarnations and statement numbers only grow.
     if (endpoint.born < known.born || (endpoint.born === known.born && endpoint.statement < known.statement)) return
     const restarted = endpoint.born > known.born
     const stillLeaving = !restarted && known.leaving
@@ -136,7 +137,7 @@
     if (record.removedAt !== undefined) return
     if (outageEndedAt === undefined || record.endpoint.leaving) return this.remove(id, record, 'removed from the store')
     record.removedAt = Math.max(now, outageEndedAt + LAPSE_GRACE_MILLISECONDS)
-    this.logger.info('An entry lapsed during the outage.', { endpoint: id, revision: this.appliedRevision })
+    this.logger.info('The entry of an endpoint lapsed during an outage of the store.', { endpoint: id, revision: this.appliedRevision })
   }
 
   private remove (id: EndpointId, record: EndpointRecord, reason: string): void {
@@ -155,15 +156,15 @@
     this.byService.clear()
     for (const { endpoint } of this.records.values()) {
       if (endpoint.leaving) continue
-      const ofService = this.byService.get(endpoint.service) ?? []
-      ofService.push(endpoint)
-      this.byService.set(endpoint.service, ofService)
+      const endpoints = this.byService.get(endpoint.service) ?? []
+      endpoints.push(endpoint)
+      this.byService.set(endpoint.service, endpoints)
     }
   }
 }
 
 const CHANGE_MESSAGES = {
   arrived: 'An endpoint arrived.',
-  restarted: 'An endpoint started again.',
+  restarted: 'An endpoint restarted.',
   leaving: 'An endpoint is leaving.'
 } as const
--- a/packages/ingress/test/endpoint-directory.failure.test.ts
+++ b/packages/ingress/test/endpoint-directory.failure.test.ts
@@ -1,6 +1,6 @@
-// The store's entries are written by the endpoints themselves and may arrive late, lapse while the store is away, or come
-// back under the same id after a restart. A request sent by a wrong belief is cut off at an endpoint that leaves, or
-// refused while endpoints are free. Each test is one order of events.
+// Endpoints write their own entries in the store. Entries may arrive late, lapse during an outage of the store, or be written again
+// under the same id after a restart. Guards against a wrong state of the directory: a response would be truncated by an endpoint that
+// is leaving, or a request refused although endpoints are available. Each test is one sequence of events.
 import { describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
 import type { EndpointId } from '@limpetwinch/core'
@@ -21,7 +21,7 @@
 }
 
 describe('an endpoint directory', () => {
-  it('gives a leaving endpoint no work though an older statement of it arrives afterwards', () => {
+  it('offers no leaving endpoint although an older statement of it arrives afterwards', () => {
     const directory = directoryWith(
       { revision: 1, endpoints: [endpoint('a', { statement: 4 })] },
       { revision: 2, endpoints: [endpoint('a', { statement: 5, leaving: true })] },
@@ -30,7 +30,7 @@
     expect(servable(directory)).toEqual([])
   })
 
-  it('keeps a leaving endpoint out also when it later calls itself ready in the same life', () => {
+  it('offers no leaving endpoint when a later statement of the same incarnation says that it is ready', () => {
     const directory = directoryWith(
       { revision: 1, endpoints: [endpoint('a', { statement: 5, leaving: true })] },
       { revision: 2, endpoints: [endpoint('a', { statement: 6 })] }
@@ -38,7 +38,7 @@
     expect(servable(directory)).toEqual([])
   })
 
-  it('takes an endpoint that started again under its id, whose statements count anew', () => {
+  it('offers an endpoint that restarted under its id, whose statement numbers start again', () => {
     const directory = directoryWith(
       { revision: 1, endpoints: [endpoint('a', { statement: 90, leaving: true })] },
       { revision: 2, endpoints: [endpoint('a', { statement: 1, born: 200 })] }
@@ -46,7 +46,7 @@
     expect(servable(directory)).toEqual(['a'])
   })
 
-  it('ignores a statement of an earlier life', () => {
+  it('ignores a statement of an earlier incarnation', () => {
     const directory = directoryWith(
       { revision: 1, endpoints: [endpoint('a', { born: 200, address: '127.0.0.1:2' })] },
       { revision: 2, endpoints: [endpoint('a', { born: 100, statement: 99, address: '127.0.0.1:1' })] }
@@ -54,17 +54,17 @@
     expect(directory.find('a' as EndpointId)?.address).toBe('127.0.0.1:2')
   })
 
-  it('never goes back to an older listing', () => {
+  it('ignores a listing older than the latest', () => {
     const directory = directoryWith({ revision: 7, endpoints: [] }, { revision: 6, endpoints: [endpoint('a')] })
     expect(servable(directory)).toEqual([])
   })
 
-  it('drops an endpoint at once that is removed while the store is up', () => {
+  it('removes an endpoint at once when its entry is removed while the store is available', () => {
     const directory = directoryWith({ revision: 1, endpoints: [endpoint('a'), endpoint('b')] }, { revision: 2, endpoints: [endpoint('b')] })
     expect(servable(directory)).toEqual(['b'])
   })
 
-  it('keeps what lapsed in an outage for two seconds after its end, and then calls it gone', () => {
+  it('keeps endpoints whose entries lapsed in an outage for two seconds after its end, then removes them', () => {
     const directory = directoryWith(
       { revision: 1, endpoints: [endpoint('a'), endpoint('b')] },
       { revision: 2, endpoints: [], outageEndedAt: 10_000, now: 10_100 },
@@ -76,13 +76,13 @@
     expect({ before, after: servable(directory) }).toEqual({ before: ['a', 'b'], after: ['b'] })
   })
 
-  it('tells listeners of each change once', () => {
+  it('notifies listeners once of each change', () => {
     const directory = new EndpointDirectory(silentLogger())
-    const heard: string[] = []
-    directory.onChange(({ id }, change) => heard.push(`${id} ${change}`))
+    const changes: string[] = []
+    directory.onChange(({ id }, change) => changes.push(`${id} ${change}`))
     for (const [revision, endpoints] of [
       [1, [endpoint('a')]], [2, [endpoint('a', { statement: 2 })]], [3, [endpoint('a', { statement: 3, leaving: true })]], [4, []], [5, [endpoint('a', { born: 300 })]], [6, [endpoint('a', { born: 400 })]]
     ] as const) directory.apply({ revision, endpoints: [...endpoints] }, undefined, 0)
-    expect(heard).toEqual(['a arrived', 'a leaving', 'a gone', 'a arrived', 'a restarted'])
+    expect(changes).toEqual(['a arrived', 'a leaving', 'a gone', 'a arrived', 'a restarted'])
   })
 })
