--- a/packages/ingress/src/members/member-list.ts
+++ b/packages/ingress/src/members/member-list.ts
@@ -1,32 +1,32 @@
-/** Who else is here: written in the store at the start and at the end, kept alive by heartbeats between instances. */
+/** Membership: instances register in the store at their start and unregister at their end, and heartbeats between them show who is reachable. */
 import type { Clock, DataCentreId, DeletingObjectStore, InstanceId, Logger } from '@limpetwinch/core'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import { memberPath } from './cluster-objects.js'
 import type { Member } from './cluster-objects.js'
 
 /**
- * A member without a connection counts as gone after this: a connection that broke is made anew sooner. One that fell
- * silent was waited for already, for three heartbeats.
+ * A member without a connection counts as unreachable after this time; a broken connection is reestablished sooner. An unresponsive
+ * member has already missed three heartbeats by the time its connection is closed.
  */
 export const UNREACHABLE_AFTER_MILLISECONDS = 1_200
-/** A member that was not heard for so long has left without a word; its object is deleted. */
+/** A member that has been unreachable for this long has ended without unregistering; its object is deleted. */
 const DELETE_LOST_AFTER_MILLISECONDS = 60_000
 const CHECK_MILLISECONDS = 1_000
 
-/** This instance, as its peers see it. */
+/** Description of this instance, as registered for its peers. */
 export interface SelfDescription {
   readonly name: string
   readonly instance: InstanceId
   readonly address: string
   readonly dataCentre: DataCentreId
-  /** What the host gives this process, in cores. */
+  /** Processor share that the host grants this process, in cores. */
   readonly cores: number
 }
 
-/** What the list looks at beside the store. */
+/** Methods of the peer overlay that the member list uses to see which members are reachable. */
 export type MemberPresence = Pick<PeerOverlay, 'apply' | 'isReachable' | 'isLeaving' | 'lastReachableAt'>
 
-/** The members as the store lists them and heartbeats confirm them. */
+/** The members listed in the store, and whether heartbeats confirm them. */
 export class MemberList {
   readonly self: SelfDescription
   private readonly store: DeletingObjectStore
@@ -48,20 +48,20 @@
     this.logger = logger
   }
 
-  /** Whether the store has listed the members in this life. */
+  /** Whether a listing of the members has been applied since this process started. */
   get hasListing (): boolean {
     return this.listingApplied
   }
 
-  /** @returns the number of members written down, living or not; at least one */
+  /** Number of registered members, reachable or not, including this instance; at least 1. */
   get count (): number {
     return Math.max(1, this.members.size + (this.members.has(this.self.name) ? 0 : 1))
   }
 
   /**
-   * Takes the members as the store lists them.
+   * Applies a listing of the members in the store.
    *
-   * @param revision - the store's, of the listing
+   * @param revision - store revision of the listing
    */
   apply (members: readonly Member[], revision: number): void {
     this.listingApplied = true
@@ -71,37 +71,37 @@
       this.members.set(member.name, member)
       if (!this.firstSeen.has(member.instance)) this.firstSeen.set(member.instance, now)
     }
-    // A listing that was made before this instance wrote itself down does not know of it; taken at its word, it would write again.
+    // A listing older than the registration of this instance does not include it. Without its own record, it would register again.
     if (this.ownRecord !== undefined && this.ownRecord.version > revision) this.members.set(this.self.name, this.ownRecord)
     this.presence.apply([...this.members.values()])
   }
 
-  /** @returns the member of a name */
+  /** @returns the member with this name */
   find (name: string): Member | undefined {
     return this.members.get(name)
   }
 
-  /** @returns whether the member of this name is heard; one that leaves goes on with its duties until it has gone */
+  /** @returns whether the member with this name is reachable; one that is leaving keeps its load ownership until it has left */
   isReachable (name: string): boolean {
     if (name === this.self.name) return true
     const member = this.members.get(name)
     return member !== undefined && this.millisecondsSinceContact(member) < UNREACHABLE_AFTER_MILLISECONDS
   }
 
-  /** @returns whether the member of this name is heard and takes new duties */
+  /** @returns whether the member with this name is reachable and not leaving, so that it may take load ownership */
   isLive (name: string): boolean {
     if (name === this.self.name) return !this.stopping
     const member = this.members.get(name)
     return member !== undefined && !this.presence.isLeaving(member.instance) && this.isReachable(name)
   }
 
-  /** @returns names of all members that are heard, this one included */
+  /** @returns all live members, including this instance unless it is leaving */
   live (): { readonly name: string, readonly dataCentre: DataCentreId }[] {
     const others = [...this.members.values()].filter((member) => member.name !== this.self.name && this.isLive(member.name))
     return this.stopping ? others : [...others, this.self]
   }
 
-  /** Writes this instance down until it stands there, and looks after the objects of members that are gone. */
+  /** Registers this instance, registers it again if its object disappears, and deletes the objects of members that are lost. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.listingApplied && !this.stopping) await this.register()
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Takes no duties from now on. */
+  /** Marks this instance as leaving: it takes no further load ownership. */
   leave (): void {
     this.stopping = true
   }
@@ -121,7 +121,7 @@
     const own = this.members.get(this.self.name)
     if (own?.instance !== this.self.instance) return
     const removed = await this.store.remove(memberPath(own.name), own.version)
-    if (removed.isErr()) this.logger.warn('The own member object stays behind.', { reason: removed.error.message })
+    if (removed.isErr()) this.logger.warn('The member object of this instance could not be removed.', { reason: removed.error.message })
   }
 
   private async register (): Promise<void> {
@@ -133,17 +133,17 @@
       this.ownRecord = { name, instance, address, dataCentre, cores, version: ownRecord.value }
       this.members.set(name, this.ownRecord)
       this.presence.apply([...this.members.values()])
-      this.logger.info('This instance is written down.', { name, revision: ownRecord.value })
+      this.logger.info('This instance was registered as a member.', { name, revision: ownRecord.value })
       return
     }
-    // A conflict or a lost answer shows in the next step of the watch, which this loop reads.
-    this.logger.warn('This instance could not be written down yet.', { name, reason: ownRecord.error.message })
+    // After a conflict or a lost response, the watch of the store shows whether the object was written; this loop reads that and retries.
+    this.logger.warn('This instance could not be registered as a member yet.', { name, reason: ownRecord.error.message })
   }
 
   private millisecondsSinceContact (member: Member): number {
     if (this.presence.isReachable(member.instance)) return 0
-    const heard = this.presence.lastReachableAt(member.instance) ?? this.firstSeen.get(member.instance) ?? -Infinity
-    return this.clock.now() - heard
+    const lastContact = this.presence.lastReachableAt(member.instance) ?? this.firstSeen.get(member.instance) ?? -Infinity
+    return this.clock.now() - lastContact
   }
 
   private logChanges (): void {
@@ -152,7 +152,7 @@
       if (live === this.loggedLive.has(name)) continue
       if (live) this.loggedLive.add(name)
       else this.loggedLive.delete(name)
-      this.logger.info(live ? 'A member is heard.' : 'A member is not heard any more.', { name, instance: this.members.get(name)?.instance })
+      this.logger.info(live ? 'A member became reachable.' : 'A member is unreachable or leaving.', { name, instance: this.members.get(name)?.instance })
     }
   }
 
@@ -161,7 +161,9 @@
       if (member.name === this.self.name || this.millisecondsSinceContact(member) < DELETE_LOST_AFTER_MILLISECONDS) continue
       const removed = await this.store.remove(memberPath(member.name), member.version)
       if (removed.isOk()) this.members.delete(member.name)
-      this.logger.info('The object of a lost member is deleted.', { name: member.name, outcome: removed.isOk() ? 'done' : removed.error.kind })
+      this.logger.info('This instance tried to delete the object of a lost member.', {
+        name: member.name, outcome: removed.isOk() ? 'done' : removed.error.kind
+      })
     }
   }
 }
--- a/packages/ingress/test/member-list.failure.test.ts
+++ b/packages/ingress/test/member-list.failure.test.ts
@@ -1,5 +1,6 @@
-// A leaf is told of the members by its hub, some hundred milliseconds late. Taken at its word, a list that was made before this
-// instance wrote itself down would have it write again and again, and every other instance would hear of each.
+// A leaf receives the member list from its hub, some hundred milliseconds late. Guards against repeated registration: if a list from
+// before the registration of this instance replaced its own record, the instance would register again and again, and every other
+// instance would be notified each time.
 import { afterEach, describe, expect, it } from 'vitest'
 import { silentLogger } from '@limpetwinch/core'
 import type { ConditionalWrite, DataCentreId, DeletingObjectStore, InstanceId, LimpetwinchError } from '@limpetwinch/core'
@@ -22,7 +23,7 @@
   }
 }
 
-/** Everybody is present but those that are named, who were until the time. */
+/** All instances are present except the given ones, which were present until the given times. */
 function presence (absent: ReadonlyMap<InstanceId, number>): MemberPresence {
   return { apply: () => {}, isReachable: (instance) => !absent.has(instance), isLeaving: () => false, lastReachableAt: (instance) => absent.get(instance) }
 }
@@ -36,7 +37,7 @@
 afterEach(() => ending.abort())
 
 describe('the list of members', () => {
-  it('keeps what this instance wrote when a list is older, and writes itself once', async () => {
+  it('keeps the registration of this instance when a list is older, and registers once', async () => {
     const [clock, store] = [new ManualClock(), new CountingStore()]
     const members = new MemberList(SELF, store as unknown as DeletingObjectStore, presence(new Map()), clock, silentLogger())
     void members.run(ending.signal)
@@ -47,8 +48,8 @@
     expect({ writes: store.writes, knowsItself: members.find(SELF.name)?.instance, count: members.count }).toEqual({ writes: 1, knowsItself: SELF.instance, count: 2 })
   })
 
-  // Nobody takes an instance's engines over while it changes its hub; but one that is gone must be taken to be gone.
-  it('hears a member that is missing for a moment, and not one that stays away', () => {
+  // While an instance changes its hub, no other instance may take over its engines; but a member that has left must count as unreachable.
+  it('counts a member as reachable while it is absent for a moment, and as unreachable when it stays absent', () => {
     const clock = new ManualClock()
     const absent = new Map([['i-moment' as InstanceId, clock.now() - SUSPECT_MILLISECONDS + 1], ['i-long' as InstanceId, clock.now() - SUSPECT_MILLISECONDS]])
     const members = new MemberList(SELF, new CountingStore() as unknown as DeletingObjectStore, presence(absent), clock, silentLogger())
