--- a/packages/ingress/src/routes/configuration.ts
+++ b/packages/ingress/src/routes/configuration.ts
@@ -1,12 +1,12 @@
-/** The accepted configuration of routed requests, decoded once at the platform's boundary. */
+/** The accepted configuration of routes and services, decoded once at the boundary to the platform. */
 import type { Branded, EndpointId } from '@limpetwinch/core'
 
-/** A group of interchangeable endpoints. */
+/** Name of a service, which is a group of interchangeable endpoints. */
 export type ServiceName = Branded<string, 'ServiceName'>
-/** A model that engines hold in whole. */
+/** Name of a base model, as opposed to an adapter. */
 export type ModelName = Branded<string, 'ModelName'>
 
-/** What may be repeated: `safe` any number of times, `unsafe` once, `stream` as its route says. */
+/** Retry policy of a route: `safe` requests may run several times, `unsafe` ones once, `stream` requests as their route says. */
 export type RouteKind = 'safe' | 'unsafe' | 'stream'
 
 /** One of the services that share a route's requests. */
@@ -16,7 +16,7 @@
   readonly weight: number
 }
 
-/** Where requests of one host and path prefix go, and how long they may take. */
+/** Services that requests of one host and path prefix go to, and their time limits. */
 export interface Route {
   readonly name: string
   readonly host: string
@@ -24,17 +24,17 @@
   readonly pathPrefix: string
   readonly kind: RouteKind
   readonly targets: readonly RouteTarget[]
-  /** Longest time that a request may be kept waiting. */
+  /** Longest time that a caller may be kept waiting for the response. */
   readonly timeoutMilliseconds: number
-  /** Time within which an answer is of full use: the whole answer, or the first event of a stream. */
+  /** Latency objective: time within which the complete response, or the first event of a stream, is of full use to the caller. */
   readonly objectiveMilliseconds: number
-  /** The longest pause between two events of a stream that is still of full use to its caller. */
+  /** Longest gap between two events of a stream that is still of full use to the caller. */
   readonly gapMilliseconds: number
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Endpoints on which one request may be tried. */
+  /** Most attempts of one request that may run on endpoints. */
   readonly mostAttempts: number
-  /** Whether a stream that broke may go on elsewhere after its last event. */
+  /** Whether a stream that was interrupted may resume on another endpoint after its last event. */
   readonly resumable: boolean
 }
 
@@ -46,73 +46,73 @@
   readonly adapterMegabytes: number
 }
 
-/** What the engines of a service are. */
+/** Resources of each engine of a service, and the models it may load. */
 export interface EngineShape {
-  /** Requests in one batch. */
+  /** Most requests in one batch. */
   readonly batchSlots: number
   /** Memory for prompts and output, tokens. */
   readonly memoryTokens: number
   readonly megabytes: number
   readonly adapterSlots: number
   readonly models: readonly ModelShape[]
-  /** Whole models that the weight store hands out, a second over all engines. */
+  /** Whole models that the weight store delivers per second, over all engines. */
   readonly modelLoadsPerSecond: number
 }
 
-/** A service and its limits. */
+/** A service, its limits, and its engines' resources. */
 export interface Service {
   readonly name: ServiceName
-  /** Connections that one endpoint accepts from all instances together. */
+  /** Most connections that one endpoint accepts from all instances together. */
   readonly connectionLimit: number
-  /** Absent for plain services. */
+  /** Undefined for services without model engines. */
   readonly engine: EngineShape | undefined
 }
 
-/** Bounds on what callers send. */
+/** Limits on the requests and connections of callers. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
   readonly headerMilliseconds: number
-  /** An idle connection is kept at least so long. */
+  /** Least time for which an idle connection is kept open. */
   readonly idleMilliseconds: number
 }
 
-/** What holds where a configuration is silent. */
+/** Values that apply where a configuration sets none. */
 export const CONFIGURATION_DEFAULTS = {
-  /** HTTP's usual bounds. */
+  /** Limits that are usual for HTTP servers. */
   limits: { headerBytes: 16_384, bodyBytes: 1_048_576, headerMilliseconds: 10_000, idleMilliseconds: 15_000 } satisfies CallerLimits,
   connectionLimit: 256,
-  /** It only orders who waits; an answer may take up to the request's own deadline. */
+  /** The default objective only decides the order of waiting requests; a response may take up to the request's own deadline. */
   objectiveMilliseconds: 1_000,
-  /** Readers take a pause below half a second for a slow writer, not for a fault. */
+  /** Readers perceive a pause below half a second as slow writing, not as a fault. */
   gapMilliseconds: 400,
   mostAttempts: 1,
   priority: 0
 } as const
 
-/** @returns the kind of a route; one that is not known must not be repeated */
+/** @returns the kind of a route; requests of an unknown kind must not be retried, so it counts as `unsafe` */
 export function routeKind (name: string): RouteKind {
   return name === 'safe' || name === 'stream' ? name : 'unsafe'
 }
 
-/** One accepted state. */
+/** An accepted configuration. */
 export interface Configuration {
-  /** Grows with each accepted state. */
+  /** Grows with each accepted configuration. */
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly Service[]
   readonly limits: CallerLimits
 }
 
-/** An adapter on a model, as one key: `model/adapter`; the model alone where a request names no adapter. */
+/** Key of an adapter on its base model, `model/adapter`; the model alone for a request that names no adapter. */
 export type AdapterKey = Branded<string, 'AdapterKey'>
 
-/** @returns the key of an adapter */
+/** @returns the key of an adapter, or of the model itself */
 export function adapterKey (model: string, adapter: string | undefined): AdapterKey {
   return (adapter === undefined ? model : `${model}/${adapter}`) as AdapterKey
 }
 
-/** @returns the model of an adapter */
+/** @returns the base model of an adapter */
 export function modelOf (key: AdapterKey): ModelName {
   const slash = key.indexOf('/')
   return (slash === -1 ? key : key.slice(0, slash)) as string as ModelName
@@ -124,31 +124,34 @@
   readonly version: number
 }
 
-/** An adapter in one version, as it lies on an endpoint. */
+/** An adapter in the version that an endpoint holds. */
 export interface HeldAdapter {
   readonly key: AdapterKey
   readonly version: number
 }
 
-/** What an endpoint says of itself. */
+/** An endpoint, as described by its own entry in the store. */
 export interface Endpoint {
   readonly id: EndpointId
-  /** The store's revision of this entry. */
+  /** Store revision of this entry. */
   readonly revision: number
   readonly service: ServiceName
   /** `host:port`. */
   readonly address: string
   readonly dataCentre: string
-  /** Start of this life, Unix milliseconds; an endpoint may start again under its id. 0 where it says nothing. */
+  /** Start time of this incarnation, Unix milliseconds; an endpoint may restart under the same id. 0 when not stated. */
   readonly born: number
-  /** Grows with each statement of one life. */
+  /** Number of this statement; grows with each entry that one incarnation writes. */
   readonly statement: number
   readonly slots: number
   readonly leaving: boolean
-  /** Told by an endpoint that is taken away at short notice, milliseconds from its statement; it ends then, whatever it runs. */
+  /**
+   * Time from this statement until the endpoint ends, whatever it runs, in milliseconds. Stated by an endpoint that is reclaimed
+   * at short notice.
+   */
   readonly leavesInMilliseconds: number | undefined
-  /** Models held in whole. */
+  /** Base models that the endpoint holds. */
   readonly models: readonly ModelName[]
-  /** Adapters held, as of the statement. */
+  /** Adapters that the endpoint holds, as of this statement. */
   readonly adapters: readonly HeldAdapter[]
 }
--- a/packages/ingress/src/routes/route-table.ts
+++ b/packages/ingress/src/routes/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request: the host's longest path prefix that begins the path. */
+/** Finds the route of a request: the longest path prefix, among the routes of the host, that matches the path. */
 import type { Route, RouteTarget } from './configuration.js'
 
 /** The routes of one configuration, by host. */
@@ -16,12 +16,12 @@
   }
 
   /**
-   * Looks a request up. The cost grows with the slashes of its path and not with the number of routes, so that a
-   * configuration of thousands of routes costs a request no more than one of ten.
+   * Looks up the route of a request. The cost grows with the number of slashes in the path, not with the number of routes, so a
+   * lookup among thousands of routes takes no longer than among ten.
    *
-   * @param host - the Host header, with or without a port
+   * @param host - value of the Host header, with or without a port
    * @param target - path and query
-   * @returns the route, or undefined
+   * @returns the route; undefined when none matches
    */
   match (host: string, target: string): Route | undefined {
     const ofHost = this.byHost.get(host.toLowerCase()) ?? this.byHost.get(host.toLowerCase().replace(/:\d+$/, ''))
@@ -37,10 +37,11 @@
 }
 
 /**
- * Picks one of a route's services by weight.
+ * Picks one of a route's services at random, in proportion to the weights.
  *
- * @param targets - the services that share the route
- * @param random - uniform in 0 to 1
+ * @param targets - services that share the route's requests
+ * @param random - uniformly distributed between 0 and 1
+ * @returns the target; undefined when no target has a weight above 0
  */
 export function pickTarget (targets: readonly RouteTarget[], random: number): RouteTarget | undefined {
   const total = targets.reduce((sum, target) => sum + target.weight, 0)
