--- a/packages/ingress/src/retries/retry-budgets.ts
+++ b/packages/ingress/src/retries/retry-budgets.ts
@@ -1,17 +1,18 @@
-/** How many repeats each service may get from this instance. */
+/** Limits the retries that this instance may send to each service. */
 import { ShareRetryBudget } from '@limpetwinch/decisions'
 import type { ServiceName } from '../routes/configuration.js'
 import type { RetryBudgetSettings } from '../runtime/ingress-settings.js'
 
 /**
- * Part of the bound that is used. The bound holds for any window over all instances; windows here move in tenths, and
- * instances that come or go divide the slack anew at slightly different moments.
+ * Share of the bound that is used. The bound applies to any time window over all instances. The windows here advance in steps of a
+ * tenth, and when instances join or leave, each instance recomputes its part of the slack at a slightly different time.
  */
 const USED_SHARE = 0.8
 
 /**
- * One budget for each service. The bound is on all instances together: each takes its own requests' share of it and an
- * equal part of the slack, so that the sum keeps it without a word between them, also when they are cut off.
+ * One retry budget per service. The bound applies to all instances together. Each instance uses the share that belongs to its own
+ * requests and an equal part of the slack, so that the sum stays within the bound without communication, even when the instances
+ * are partitioned.
  */
 export class RetryBudgets {
   private readonly settings: RetryBudgetSettings
@@ -19,20 +20,24 @@
   private readonly budgets = new Map<ServiceName, ShareRetryBudget>()
 
   /**
-   * @param settings - the bound
-   * @param instances - how many share the slack
+   * @param settings - the bound on retries
+   * @param instances - returns the number of instances that share the slack
    */
   constructor (settings: RetryBudgetSettings, instances: () => number) {
     this.settings = settings
     this.instances = instances
   }
 
-  /** Counts a request for a service. */
+  /** Counts a request to a service, which adds to its budget. */
   request (service: ServiceName, now: number): void {
     this.budget(service).deposit(now)
   }
 
-  /** @returns whether one more arrival of a request that was sent before is allowed; it is then counted */
+  /**
+   * Withdraws one retry from the budget of a service.
+   *
+   * @returns whether the retry is allowed; it is then counted
+   */
   tryRetry (service: ServiceName, now: number): boolean {
     return this.budget(service).withdraw(now)
   }
