--- a/packages/ingress/src/adapters/adapter-locations.ts
+++ b/packages/ingress/src/adapters/adapter-locations.ts
@@ -1,13 +1,14 @@
-/** Which engine holds which adapter, as told by those who order loads, else by the engines' own statements. */
+/** Tracks which engine holds which adapter, from the notices of the load owners or else from the endpoints' own statements in the store. */
 import type { AdaptersHeldFrame, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { AdapterKey, Endpoint, HeldAdapter } from '../routes/configuration.js'
 import { InFlightLoads } from './in-flight-loads.js'
 import { mostCached } from './slot-reservations.js'
 
+/** Identifies the last notice that was applied for an engine. */
 interface LastNotice {
   /**
-   * A host that starts again goes on under its token, and its new process counts its statements from the beginning. By
-   * their numbers alone they would pass for old ones, and callers would wait for adapters that have long come.
+   * Process that sent the notice. A restarted host keeps its fencing token, but its new process numbers its notices from the
+   * beginning. Compared by sequence alone, they would be rejected as old, and callers would wait for adapters that are already loaded.
    */
   readonly sender: InstanceId
   readonly born: number
@@ -15,25 +16,25 @@
   readonly sequence: number
 }
 
-/** The line of one engine, as the one that orders its loads tells it. */
+/** Load queue of one engine, as last reported by its load owner. */
 export interface ReportedQueue {
   readonly waiting: ReadonlySet<string>
-  /** How long one more load would wait for its turn. */
+  /** Expected wait of one more load in the queue, milliseconds. */
   readonly waitMilliseconds: number
   readonly receivedAt: number
 }
 
-/** Where adapters lie. */
+/** Engines that hold, load or recently evicted each adapter, and the load queue of each engine. */
 export class AdapterLocations {
   private readonly byAdapter = new Map<AdapterKey, Map<EndpointId, number>>()
   private readonly byEndpoint = new Map<EndpointId, Map<AdapterKey, number>>()
-  /** Adapters on their way to engines. */
+  /** Loads in progress on all engines. */
   readonly inFlight = new InFlightLoads()
-  /** Evicted adapters, the last one last, with the version that was held. */
+  /** Evicted adapters per engine, the most recently evicted one last, with the version that was held. */
   private readonly recentlyEvicted = new Map<EndpointId, Map<AdapterKey, number>>()
   private readonly lastNotices = new Map<EndpointId, LastNotice>()
-  private readonly lines = new Map<EndpointId, ReportedQueue>()
-  /** Most adapters that an engine was seen to hold; what it caches goes by its slots. */
+  private readonly loadQueues = new Map<EndpointId, ReportedQueue>()
+  /** Highest number of adapters that an engine was seen to hold; it stands for the engine's slots, which bound what the engine caches. */
   private readonly mostHeld = new Map<EndpointId, number>()
   private readonly waiting = new Map<AdapterKey, Set<() => void>>()
 
@@ -42,54 +43,54 @@
     return this.byAdapter.get(key) ?? NO_HOLDERS
   }
 
-  /** @returns whether the engine held the adapter lately, not older than this, and so loads it without the weight store */
+  /** @returns whether the engine recently evicted the adapter in at least this version, and so loads it from its cache, not from the weight store */
   isCached (endpoint: EndpointId, key: AdapterKey, leastVersion: number): boolean {
     return (this.recentlyEvicted.get(endpoint)?.get(key) ?? -1) >= leastVersion
   }
 
-  /** @returns the engine's line, as told last; undefined while nobody has spoken of it */
+  /** @returns the engine's load queue as last reported; undefined before the first notice about the engine */
   line (endpoint: EndpointId): ReportedQueue | undefined {
-    return this.lines.get(endpoint)
+    return this.loadQueues.get(endpoint)
   }
 
   /**
-   * Takes what the one that orders an engine's loads says; words of an earlier life, token or moment change nothing.
+   * Applies a notice of an engine's load owner; one of an earlier incarnation, token or sequence number is ignored.
    *
-   * @param sender - the process that says it
-   * @returns adapters that are offered there no more
+   * @param sender - process that sent the notice
+   * @returns adapters that the engine no longer offers
    */
   applyNotice (sender: InstanceId, frame: AdaptersHeldFrame, now: number): readonly AdapterKey[] {
     const before = this.lastNotices.get(frame.endpoint)
     if (before !== undefined && !isNewer(sender, frame, before)) return []
-    this.lastNotices.set(frame.endpoint, { sender: sender, born: frame.born, token: frame.token, sequence: frame.sequence })
+    this.lastNotices.set(frame.endpoint, { sender, born: frame.born, token: frame.token, sequence: frame.sequence })
     const held = new Set(frame.held.map(([key]) => key))
     const isCached = (key: string): boolean => this.isCached(frame.endpoint, key as AdapterKey, 0)
     this.inFlight.replace(frame.endpoint, frame.inFlight, (key) => held.has(key), isCached, now)
-    this.lines.set(frame.endpoint, { waiting: new Set(frame.waiting), waitMilliseconds: frame.waitMilliseconds ?? 0, receivedAt: now })
+    this.loadQueues.set(frame.endpoint, { waiting: new Set(frame.waiting), waitMilliseconds: frame.waitMilliseconds ?? 0, receivedAt: now })
     return this.replace(frame.endpoint, frame.held.map(([key, version]) => ({ key: key as AdapterKey, version })))
   }
 
-  /** Takes an engine's own statement, unless somebody who orders its loads has spoken in this life of it. */
+  /** Applies an engine's own statement, unless a load owner has already sent a notice about this incarnation of the engine. */
   applyStatement (endpoint: Endpoint): void {
     const before = this.lastNotices.get(endpoint.id)
     if (before !== undefined && before.born >= endpoint.born) return
     this.lastNotices.delete(endpoint.id)
-    this.lines.delete(endpoint.id)
+    this.loadQueues.delete(endpoint.id)
     this.inFlight.forget(endpoint.id)
     this.replace(endpoint.id, endpoint.adapters)
   }
 
-  /** An engine answered that it does not hold the adapter. */
+  /** Removes one adapter of an engine that answered that it does not hold it. */
   forget (endpoint: EndpointId, key: AdapterKey): void {
     this.byEndpoint.get(endpoint)?.delete(key)
     this.byAdapter.get(key)?.delete(endpoint)
   }
 
-  /** The engine is gone. */
+  /** Removes everything known about an engine that has left. */
   remove (endpoint: EndpointId): void {
     this.replace(endpoint, [])
     this.lastNotices.delete(endpoint)
-    this.lines.delete(endpoint)
+    this.loadQueues.delete(endpoint)
     this.mostHeld.delete(endpoint)
     this.inFlight.forget(endpoint)
     this.recentlyEvicted.delete(endpoint)
@@ -97,11 +98,10 @@
   }
 
   /**
-   * Waits until some engine newly holds the adapter.
+   * Waits until an engine begins to hold the adapter or a new version of it, or until `wakeWaitingRequests` is called.
    *
-   * @param key - the adapter
-   * @param milliseconds - how long at most
-   * @param signal - ends the wait as well
+   * @param milliseconds - longest wait
+   * @param signal - cancels the wait
    */
   async waitForArrival (key: AdapterKey, milliseconds: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) return
@@ -121,12 +121,16 @@
     })
   }
 
-  /** Wakes all that wait for the adapter, as when a load was refused. */
+  /** Ends the wait of all requests that wait for the adapter, for example after a load was refused. */
   wakeWaitingRequests (key: AdapterKey): void {
     for (const finish of [...this.waiting.get(key) ?? []]) finish()
   }
 
-  /** @returns adapters that are not held any more */
+  /**
+   * Replaces the set of adapters that an engine holds.
+   *
+   * @returns adapters that it no longer holds
+   */
   private replace (endpoint: EndpointId, held: readonly HeldAdapter[]): readonly AdapterKey[] {
     const before = this.byEndpoint.get(endpoint) ?? new Map<AdapterKey, number>()
     const after = new Map(held.map(({ key, version }) => [key, version]))
@@ -147,12 +151,12 @@
   }
 
   private rememberEvicted (endpoint: EndpointId, key: AdapterKey, version: number): void {
-    const kept = this.recentlyEvicted.get(endpoint) ?? new Map<AdapterKey, number>()
-    this.recentlyEvicted.set(endpoint, kept)
-    kept.delete(key)
-    kept.set(key, version)
-    const oldest = kept.keys().next().value
-    if (kept.size > mostCached(this.mostHeld.get(endpoint) ?? 0) && oldest !== undefined) kept.delete(oldest)
+    const evicted = this.recentlyEvicted.get(endpoint) ?? new Map<AdapterKey, number>()
+    this.recentlyEvicted.set(endpoint, evicted)
+    evicted.delete(key)
+    evicted.set(key, version)
+    const oldest = evicted.keys().next().value
+    if (evicted.size > mostCached(this.mostHeld.get(endpoint) ?? 0) && oldest !== undefined) evicted.delete(oldest)
   }
 
   private removeHolder (endpoint: EndpointId, key: AdapterKey): void {
--- a/packages/ingress/src/adapters/endpoint-loader.ts
+++ b/packages/ingress/src/adapters/endpoint-loader.ts
@@ -1,4 +1,4 @@
-/** Orders the loads of one engine: which adapters come, which make way, one order after the other. */
+/** Orders the loads of one engine, one order at a time: which adapters are loaded and which are evicted. */
 import { QueuePace, LoadQueue } from '@limpetwinch/decisions'
 import type { WaitingRequestFacts, PendingLoad } from '@limpetwinch/decisions'
 import type { FencingToken } from '@limpetwinch/core'
@@ -13,30 +13,33 @@
 import { mostCached, SlotReservations } from './slot-reservations.js'
 import { StoreTurn } from './store-turn.js'
 
-/** Adapters that may be on their way to one engine; the engine takes no more at once. */
-const MOST_IN_FLIGHT = 4
-/** A load from the engine's cache: a tenth of one from the weight store. */
+/** Most loads in progress on one engine; the engine accepts no more at once. */
+const MAXIMUM_IN_FLIGHT = 4
+/** Expected duration of a load from the engine's cache: a tenth of a load from the weight store. */
 const CACHED_LOAD_MILLISECONDS = 25
-/** Part of the expected time after which arrival is asked for first; asked no earlier, a faster store would never show. */
+/**
+ * Share of the expected load time after which the engine is first asked whether a load is complete. If it were asked only after
+ * the full time, a store that became faster would go unnoticed.
+ */
 const FIRST_CHECK_SHARE = 0.95
-/** After the load's time, the engine is asked this often whether it holds the adapter. */
+/** Interval between the checks whether the engine holds the adapter, once the expected load time has passed. */
 const CONFIRM_MILLISECONDS = 40
-/** A load that is not confirmed in this time was lost. */
+/** A load that is not confirmed within this time is taken to be lost. */
 const LOST_LOAD_MILLISECONDS = 3_000
 const IDLE_CHECK_MILLISECONDS = 500
-/** An engine that does not report is asked ever more rarely; one that starts again is ordered by a new loader. */
+/** Delays between report attempts on an engine that does not report. They grow; an engine that restarts gets a new loader. */
 const REPORT_RETRY_DELAYS = { first: 500, largest: 4_000 }
-/** Between questions whether a whole model has come. */
+/** Interval between the checks whether a whole model has been loaded. */
 const MODEL_CHECK_MILLISECONDS = 200
 
-/** The loads of one engine in one life, under one token. */
+/** Orders the loads of one incarnation of one engine under one fencing token. */
 export class EndpointLoader {
   readonly endpoint: Endpoint
   readonly token: FencingToken
   private readonly shape: EngineShape
   private readonly dependencies: LoaderDependencies
   private readonly reservations: SlotReservations
-  private readonly line = new LoadQueue<AdapterKey>()
+  private readonly queue = new LoadQueue<AdapterKey>()
   private readonly queuePace = new QueuePace()
   private readonly hidden: HiddenAdapters
   private readonly wake = new Wake()
@@ -53,43 +56,50 @@
     this.dependencies = dependencies
     this.hidden = new HiddenAdapters(dependencies.noticeRoundTripMilliseconds)
     this.storeTurn = new StoreTurn(dependencies.storeLimiter)
-    const { line, hidden } = this
+    const { queue, hidden } = this
     this.reservations = new SlotReservations(shape.adapterSlots, mostCached(shape.adapterSlots))
     this.publisher = new HeldAdapterPublisher(dependencies.clock, (now) => ({
-      endpoint, token, reservations: this.reservations, hidden, waiting: line.keys(), waitMilliseconds: this.queuePace.waitMilliseconds(line.length, now)
+      endpoint, token, reservations: this.reservations, hidden, waiting: queue.keys(), waitMilliseconds: this.queuePace.waitMilliseconds(queue.length, now)
     }), dependencies.publish)
     this.dispatcher = new OrderDispatcher(endpoint, token, this.reservations, dependencies, () => this.showSettledAdapters())
-    this.evictions = new Evictions({ endpoint, reservations: this.reservations, line, hidden, dispatcher: this.dispatcher, publisher: this.publisher, loaderDependencies: dependencies })
+    this.evictions = new Evictions({
+      endpoint, reservations: this.reservations, queue, hidden, dispatcher: this.dispatcher, publisher: this.publisher, loaderDependencies: dependencies
+    })
   }
 
-  /** Asks for an adapter, or says that it is still wanted. @param waiter - the request that waits; undefined for a further copy */
-  requestLoad (key: AdapterKey, version: number, waiter: WaitingRequestFacts | undefined): void {
+  /**
+   * Adds a load to the queue, or renews one that is pending.
+   *
+   * @param version - least version to load
+   * @param waitingRequest - the waiting request; undefined for a further copy that no request waits for
+   */
+  requestLoad (key: AdapterKey, version: number, waitingRequest: WaitingRequestFacts | undefined): void {
     const now = this.dependencies.clock.now()
-    this.line.requestLoad(key, version, waiter, now)
+    this.queue.requestLoad(key, version, waitingRequest, now)
     this.queueChanged(now)
     this.wake.notify()
   }
 
-  /** Runs have ended: a slot that loads wait for may be free. */
+  /** Called when requests on the engine have ended, so that a slot which pending loads wait for may be free. */
   runsEnded (): void {
-    if (this.line.length > 0) this.wake.notify()
+    if (this.queue.length > 0) this.wake.notify()
   }
 
-  /** A newer version was announced: a copy held here is replaced. */
+  /** Queues the replacement of a held adapter after a newer version was announced. */
   versionAnnounced (key: AdapterKey, version: number): void {
     if (this.reservations.held.has(key) && !this.reservations.holds(key, version)) this.requestLoad(key, version, undefined)
   }
 
   /**
-   * Gives orders until the signal ends it.
+   * Sends orders until the signal is aborted.
    *
-   * @param notBefore - monotonic time before which another instance's orders may still arrive
+   * @param notBefore - monotonic time before which the previous load owner's orders may still arrive
    */
   async run (notBefore: number, signal: AbortSignal): Promise<void> {
     const { clock } = this.dependencies
     await clock.sleep(Math.max(0, notBefore - clock.now()), signal)
-    const pauses = new Backoff(REPORT_RETRY_DELAYS, Math.random)
-    while (!signal.aborted && !await this.dispatcher.reconcile(signal)) await clock.sleep(pauses.next(), signal)
+    const delays = new Backoff(REPORT_RETRY_DELAYS, Math.random)
+    while (!signal.aborted && !await this.dispatcher.reconcile(signal)) await clock.sleep(delays.next(), signal)
     this.replaceOldVersions()
     while (!signal.aborted) {
       await this.confirmArrivals(signal)
@@ -104,21 +114,22 @@
 
   private replaceOldVersions (): void {
     for (const [key, slot] of this.reservations.held) {
-      const newest = this.dependencies.latestVersion(key)
-      if (newest > slot.version) this.requestLoad(key, newest, undefined)
+      const latest = this.dependencies.latestVersion(key)
+      if (latest > slot.version) this.requestLoad(key, latest, undefined)
     }
   }
 
   /**
-   * A replacement waits for runs of the old version, longer than a want without a waiter lasts. Were it dropped, the
-   * adapter would stay hidden and its slot would be lost for good.
+   * Renews pending replacements. A replacement waits for requests that run on the old version, for longer than a pending load
+   * without a waiting request lasts. If it were dropped, the adapter would stay hidden and its slot would be lost for good.
    */
   private resumeReplacements (): void {
     for (const key of this.hidden.keys('replacement')) {
       if (this.reservations.inFlight.has(key) || this.reservations.unloading.has(key)) continue
-      const newest = this.dependencies.latestVersion(key)
-      if (this.reservations.held.has(key) && !this.reservations.holds(key, newest)) this.line.requestLoad(key, newest, undefined, this.dependencies.clock.now())
-      else this.hidden.show(key)
+      const latest = this.dependencies.latestVersion(key)
+      if (this.reservations.held.has(key) && !this.reservations.holds(key, latest)) {
+        this.queue.requestLoad(key, latest, undefined, this.dependencies.clock.now())
+      } else this.hidden.show(key)
     }
   }
 
@@ -132,7 +143,7 @@
     for (const key of this.hidden.keys('eviction')) {
       if (!this.reservations.unloading.has(key)) earliest = Math.min(earliest, this.hidden.noticeReceivedAt(key) ?? earliest)
     }
-    if (this.line.length > 0 || this.reservations.unloading.size > 0) earliest = Math.min(earliest, now + CONFIRM_MILLISECONDS)
+    if (this.queue.length > 0 || this.reservations.unloading.size > 0) earliest = Math.min(earliest, now + CONFIRM_MILLISECONDS)
     return Math.max(1, earliest - now)
   }
 
@@ -141,43 +152,50 @@
   }
 
   private expectedStoreLoadTime (): number {
-    const { locations, storeLimiter: storePace, clock } = this.dependencies
-    return storePace.expectedMilliseconds(locations.inFlight.count(clock.now()))
+    const { locations, storeLimiter, clock } = this.dependencies
+    return storeLimiter.expectedMilliseconds(locations.inFlight.count(clock.now()))
   }
 
-  /** @returns whether something was done */
+  /**
+   * Takes the next step: loads a model, evicts, loads an adapter or hides one for eviction.
+   *
+   * @returns whether another step may follow at once
+   */
   private async step (signal: AbortSignal): Promise<boolean> {
     if (this.reservations.models.length === 0) {
       const model = this.modelToLoad()
       return model !== undefined && await this.loadModel(model, signal)
     }
     const now = this.dependencies.clock.now()
-    this.line.expire(now)
+    this.queue.expire(now)
     this.removeFulfilledLoads(now)
     this.hideOldVersions(now)
     this.queueChanged(now)
-    // An engine that waits for the runs of an adapter that it is to drop takes no other order until they have ended.
+    // While an engine waits for the last requests on an adapter that it unloads, it accepts no other order.
     if (this.reservations.unloading.size > 0) return false
-    if (this.line.length === 0 && this.hidden.keys('eviction').length === 0) return false
+    if (this.queue.length === 0 && this.hidden.keys('eviction').length === 0) return false
     if (!this.dependencies.mayOrder(this.endpoint.id)) return false
     if (await this.evictions.evictHidden(now, signal)) return true
-    const requestLoad = this.line.next((key) => !this.mayLoad(key, now), (key) => this.reservations.recentlyEvicted.has(key), this.expectedStoreLoadTime(), now)
-    if (requestLoad !== undefined) return await this.load(requestLoad, signal)
-    return this.evictions.hideVictim(MOST_IN_FLIGHT - this.reservations.inFlight.size, now)
+    const pendingLoad = this.queue.next(
+      (key) => !this.mayLoad(key, now), (key) => this.reservations.recentlyEvicted.has(key), this.expectedStoreLoadTime(), now
+    )
+    if (pendingLoad !== undefined) return await this.load(pendingLoad, signal)
+    return this.evictions.hideVictim(MAXIMUM_IN_FLIGHT - this.reservations.inFlight.size, now)
   }
 
   private modelToLoad (): ModelName | undefined {
     const fitting = this.shape.models.filter((model) => model.megabytes <= this.shape.megabytes)
-    // Engines that come empty take up the models in turn, by what waits for them first.
-    const wanted = this.line.keys().map((key) => modelOf(key))
+    // A model with pending adapter loads comes first on an empty engine.
+    const pendingModels = this.queue.keys().map((key) => modelOf(key))
     const { cachedModels } = this.reservations
     const affordable = fitting.filter(({ name }) => cachedModels.includes(name) || this.dependencies.isModelNeeded(this.endpoint, name))
-    return (affordable.find((model) => wanted.includes(model.name)) ?? affordable[0])?.name
+    return (affordable.find((model) => pendingModels.includes(model.name)) ?? affordable[0])?.name
   }
 
   private async loadModel (model: ModelName, signal: AbortSignal): Promise<boolean> {
     const fromStore = !this.reservations.cachedModels.includes(model)
-    if (!this.dependencies.mayOrder(this.endpoint.id) || (fromStore && !this.dependencies.modelLoadLimiter.tryTake(this.shape.modelLoadsPerSecond))) return false
+    if (!this.dependencies.mayOrder(this.endpoint.id) ||
+      (fromStore && !this.dependencies.modelLoadLimiter.tryTake(this.shape.modelLoadsPerSecond))) return false
     if (!await this.dispatcher.loadModel(model, signal)) return false
     while (!signal.aborted && await this.dispatcher.reconcile(signal) && this.reservations.models.length === 0) {
       await this.dependencies.clock.sleep(MODEL_CHECK_MILLISECONDS, signal)
@@ -185,27 +203,27 @@
     return false
   }
 
-  /** Wants for what is held are met; an adapter that was to leave and is wanted again stays. */
+  /** Removes pending loads of adapters that the engine already holds. An adapter that was hidden for eviction and is requested again stays. */
   private removeFulfilledLoads (now: number): void {
-    for (const key of this.line.keys()) {
-      const requestLoad = this.line.find(key)
-      if (requestLoad === undefined || !this.reservations.holds(key, requestLoad.version) || this.reservations.unloading.has(key)) continue
+    for (const key of this.queue.keys()) {
+      const pendingLoad = this.queue.find(key)
+      if (pendingLoad === undefined || !this.reservations.holds(key, pendingLoad.version) || this.reservations.unloading.has(key)) continue
       if (this.hidden.reasonOf(key) === 'replacement') continue
       this.hidden.show(key)
-      // Nobody waits for it from here on; without this it would be the first to make way again, in the same step.
-      this.reservations.wanted(key, now)
-      this.line.met(key)
+      // No pending load protects the adapter from here on. Without the time of this request it would be evicted first, in the same step.
+      this.reservations.markRequested(key, now)
+      this.queue.met(key)
       this.publisher.publish()
     }
   }
 
   /**
-   * Requests that reach the engine while it replaces an adapter are refused there; peers hear of it before. While the
-   * old version still runs, the order waits as well: it would hold up the adapter until the last of those runs ended,
-   * and new requests are sooner served by a copy on another engine.
+   * Hides held adapters that a newer version is pending for. The engine refuses requests for an adapter while it replaces it,
+   * so peers are notified first. The order also waits until no request runs on the old version: it would block the adapter
+   * until the last of those requests has ended, and a copy on another engine serves new requests sooner.
    */
   private hideOldVersions (now: number): void {
-    for (const key of this.line.keys()) {
+    for (const key of this.queue.keys()) {
       if (!this.reservations.held.has(key) || this.hidden.has(key) || this.reservations.inFlight.has(key)) continue
       this.hidden.hide(key, 'replacement', now)
       this.publisher.publish()
@@ -213,19 +231,19 @@
   }
 
   private mayLoad (key: AdapterKey, now: number): boolean {
-    const { inFlight, unloading: departing, held } = this.reservations
-    const requestLoad = this.line.find(key)
-    if (requestLoad === undefined || inFlight.has(key) || departing.has(key)) return false
+    const { inFlight, unloading, held } = this.reservations
+    const pendingLoad = this.queue.find(key)
+    if (pendingLoad === undefined || inFlight.has(key) || unloading.has(key)) return false
     if (held.has(key) && !this.mayReplace(key, now)) {
-      requestLoad.heldUpBy = 'runs of the old version'
+      pendingLoad.heldUpBy = 'runs of the old version'
       return false
     }
     if (!held.has(key) && !this.reservations.hasFree) {
-      requestLoad.heldUpBy = 'slots in use'
+      pendingLoad.heldUpBy = 'slots in use'
       return false
     }
     if (this.reservations.recentlyEvicted.has(key) || this.hasStoreCapacity(now)) return true
-    requestLoad.heldUpBy = 'travelling loads'
+    pendingLoad.heldUpBy = 'travelling loads'
     return false
   }
 
@@ -234,19 +252,19 @@
   }
 
   private hasStoreCapacity (now: number): boolean {
-    return this.reservations.inFlight.size < MOST_IN_FLIGHT && this.storeTurn.mayBegin(this.dependencies.locations.inFlight.count(now))
+    return this.reservations.inFlight.size < MAXIMUM_IN_FLIGHT && this.storeTurn.mayBegin(this.dependencies.locations.inFlight.count(now))
   }
 
-  private async load (requestLoad: PendingLoad<AdapterKey>, signal: AbortSignal): Promise<boolean> {
-    const { key } = requestLoad
-    const version = Math.max(requestLoad.version, this.dependencies.latestVersion(key))
-    const answer = await this.dispatcher.load(key, version, requestLoad, signal)
+  private async load (pendingLoad: PendingLoad<AdapterKey>, signal: AbortSignal): Promise<boolean> {
+    const { key } = pendingLoad
+    const version = Math.max(pendingLoad.version, this.dependencies.latestVersion(key))
+    const answer = await this.dispatcher.load(key, version, pendingLoad, signal)
     const now = this.dependencies.clock.now()
     if (answer === 'accepted') {
       if (!this.reservations.recentlyEvicted.has(key)) this.storeTurn.loadBegan()
       this.reservations.ordered(key, version, now)
-      this.line.met(key)
-      this.queuePace.recordLoadStart(this.line.length, now)
+      this.queue.met(key)
+      this.queuePace.recordLoadStart(this.queue.length, now)
       this.publisher.changed()
       return true
     }
@@ -257,7 +275,7 @@
     return false
   }
 
-  /** Asks for what should have come by now: an engine that holds the adapter says so at once, a report would be late. */
+  /** Repeats the orders of loads that should be complete by now: an engine that holds the adapter answers so at once, while its report lags behind. */
   private async confirmArrivals (signal: AbortSignal): Promise<void> {
     const now = this.dependencies.clock.now()
     for (const [key, inFlight] of [...this.reservations.inFlight]) {
@@ -269,8 +287,8 @@
         return
       }
       if (!this.dependencies.mayOrder(this.endpoint.id)) return
-      const answer = await this.dispatcher.load(key, inFlight.version, this.line.find(key), signal)
-      // While a load is on its way the engine accepts its repetition without counting it.
+      const answer = await this.dispatcher.load(key, inFlight.version, this.queue.find(key), signal)
+      // While a load is in progress, the engine accepts the same order again without counting it.
       if (answer === 'holds') this.loadCompleted(key, inFlight.version)
     }
   }
@@ -278,23 +296,23 @@
   private loadCompleted (key: AdapterKey, version: number): void {
     this.reservations.completed(key, version, this.dependencies.clock.now())
     this.hidden.show(key)
-    const requestLoad = this.line.find(key)
-    if (requestLoad !== undefined && this.reservations.holds(key, requestLoad.version)) this.line.met(key)
+    const pendingLoad = this.queue.find(key)
+    if (pendingLoad !== undefined && this.reservations.holds(key, pendingLoad.version)) this.queue.met(key)
     this.publisher.publish()
   }
 
-  /** After a report: nothing is hidden any more but what is still on its way in or out. */
+  /** Called after a report was applied: shows all hidden adapters that are neither being loaded nor unloaded. */
   private showSettledAdapters (): void {
-    const { inFlight, unloading: departing } = this.reservations
+    const { inFlight, unloading } = this.reservations
     for (const key of [...this.hidden.keys('eviction'), ...this.hidden.keys('replacement')]) {
-      if (!inFlight.has(key) && !departing.has(key)) this.hidden.show(key)
+      if (!inFlight.has(key) && !unloading.has(key)) this.hidden.show(key)
     }
     this.publisher.publish()
   }
 
   private queueChanged (now: number): void {
-    this.queuePace.recordLength(this.line.length, now)
-    if (this.line.length !== this.publishedQueueLength) this.publisher.changed()
-    this.publishedQueueLength = this.line.length
+    this.queuePace.recordLength(this.queue.length, now)
+    if (this.queue.length !== this.publishedQueueLength) this.publisher.changed()
+    this.publishedQueueLength = this.queue.length
   }
 }
--- a/packages/ingress/src/adapters/engine-control.ts
+++ b/packages/ingress/src/adapters/engine-control.ts
@@ -1,67 +1,68 @@
-/** Orders to engines, and what they report. */
+/** Interface for sending orders to engines and reading their reports. */
 import type { FencingToken, EndpointId, LimpetwinchError } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
 import type { HeldAdapter, ModelName } from '../routes/configuration.js'
 
-/** Who orders whom. */
+/** The engine that an order goes to, and the load owner that sends it. */
 export interface OrderTarget {
   readonly endpoint: EndpointId
   /** `host:port`. */
   readonly address: string
-  /** The name of the instance's host; two processes in turn on one host are one holder. */
+  /** Name of the load owner's host; a restarted process on the same host is the same load owner. */
   readonly holder: string
   readonly token: FencingToken
 }
 
-/** One order. */
+/** An order to load or unload an adapter, or to load a whole model. */
 export interface EngineOrder {
   readonly operation: 'load' | 'unload'
   readonly model: ModelName
   /** Undefined for the whole model. */
   readonly adapter: string | undefined
-  /** Undefined for the newest. */
+  /** Undefined for the latest. */
   readonly version: number | undefined
-  /** Carried out only while the engine has accepted exactly so many orders. */
+  /** The engine carries out the order only if it has accepted exactly this many orders. */
   readonly ifSequence: number
 }
 
-/** What an engine says to an order. */
+/** An engine's answer to an order. */
 export type OrderAnswer =
-  /** It is being carried out. */
+  /** The engine carries out the order. */
   | 'accepted'
-  /** It is already so. */
+  /** Nothing is left to do: the adapter is loaded, or unloaded, already. */
   | 'holds'
-  /** Another order is under way, or the engine has accepted another number of orders. */
+  /** The engine is carrying out another order, or has accepted a different number of orders than the condition says. */
   | 'conflict'
-  /** Someone with a newer token has given orders. */
+  /** The engine has received an order with a newer fencing token. */
   | 'stale-token'
   /** Another endpoint listens at the address. */
   | 'other-endpoint'
+  /** The engine rejects the order for any other reason. */
   | 'refused'
 
-/** What an engine reports of itself; some hundred milliseconds old. */
+/** State that an engine reports about itself, some hundred milliseconds old. */
 export interface EngineReport {
-  /** Orders accepted in this life. */
+  /** Number of orders accepted in this incarnation. */
   readonly sequence: number
   readonly busy: boolean
   readonly models: readonly ModelName[]
-  /** Models that it loads from its own copy, without the weight store. */
+  /** Models that the engine can load from its own cache, without the weight store. */
   readonly cachedModels: readonly ModelName[]
   readonly held: readonly HeldAdapter[]
-  /** Adapters on their way; they take slots. */
+  /** Adapters being loaded; they occupy slots. */
   readonly inFlight: readonly HeldAdapter[]
 }
 
-/** The control side of engines. */
+/** Client of the engines' control interface. */
 export abstract class EngineControl {
   /**
-   * Gives an order.
+   * Sends an order.
    *
-   * @returns the engine's answer; `endpoint-refused` when it was certainly not told, `endpoint-failed` when it may have
-   *   been and may yet carry the order out
+   * @returns the engine's answer; the error `endpoint-refused` when the order certainly did not reach the engine,
+   *   `endpoint-failed` when it may have, and the engine may still carry it out
    */
   abstract order (target: OrderTarget, order: EngineOrder): Promise<Result<OrderAnswer, LimpetwinchError>>
 
-  /** @returns the engine's report */
+  /** @returns the engine's report of its current state */
   abstract report (endpoint: EndpointId, address: string): Promise<Result<EngineReport, LimpetwinchError>>
 }
--- a/packages/ingress/src/adapters/engine-finder.ts
+++ b/packages/ingress/src/adapters/engine-finder.ts
@@ -1,4 +1,4 @@
-/** Finds an engine for a request, and has the adapter loaded where none holds it. */
+/** Finds an engine for a request, and requests a load of the adapter when no engine holds it. */
 import { QueuePosition } from '@limpetwinch/decisions'
 import type { Clock, EndpointId, InstanceId, LoadAskFrame, Logger } from '@limpetwinch/core'
 import type { RequestFacts } from '../relay/request-codec.js'
@@ -6,53 +6,54 @@
 import type { EngineChoice, EngineQuery, EngineRouter, LoadChoice } from '../routing/engine-router.js'
 import type { AdapterLocations } from './adapter-locations.js'
 
-/** Between askings: a want that is not repeated is dropped, and another engine may have room by now. */
+/** Interval between load requests for one search: a load owner drops requests that are not renewed, and another engine may have capacity by now. */
 const LOAD_REQUEST_INTERVAL_MILLISECONDS = 300
-/** A refusal says that the holder has changed; the news of it comes within this. */
+/** How long an engine whose load request was refused is passed over. A refusal means that the load owner has changed; the update arrives within this time. */
 const REFUSAL_VALID_MILLISECONDS = 500
-/** Between looks while no engine can be asked at all. */
+/** Interval between attempts to choose an engine while no engine can load the adapter. */
 const NO_ENGINE_WAIT_MILLISECONDS = 100
 
 /**
- * A request that was refused and comes back before the line is shorter is refused again. No slot and no load comes free much
- * sooner than the first of these; told to wait for longer than the second, callers with a few seconds left would not come back.
+ * Bounds of the retry delay sent to a refused caller. A request that is retried before the load queue is shorter is refused
+ * again, and no slot or load becomes available much sooner than the shortest delay. Callers with a few seconds left would not
+ * retry after more than the longest.
  */
 const SHORTEST_RETRY_AFTER_MILLISECONDS = 400
 const LONGEST_RETRY_AFTER_MILLISECONDS = 1_500
 
-/** What the seeker needs. */
+/** Dependencies of the engine finder. */
 export interface EngineFinderDependencies {
   readonly clock: Clock
   readonly logger: Logger
   readonly router: EngineRouter
   readonly locations: AdapterLocations
-  /** @returns who orders the engine's loads */
+  /** @returns the load owner of the engine; undefined when there is none or it is unreachable */
   readonly loadOwnerOf: (endpoint: EndpointId) => InstanceId | undefined
-  /** Tells the one that orders an engine's loads that an adapter is wanted. */
+  /** Sends a load request to the load owner of an engine. */
   readonly requestLoad: (to: InstanceId, frame: LoadAskFrame) => void
-  /** @returns the least adapter version that a new request may begin on */
+  /** @returns the lowest adapter version that a new request may start on */
   readonly leastVersion: (request: RequestFacts, now: number) => number
 }
 
-/** An engine, and how long its adapter was waited for. */
+/** An engine that was found, and how long the search waited for it. */
 export interface FoundEngine extends EngineChoice {
   readonly stallMilliseconds: number
 }
 
-/** What is looked for, and for how long. */
+/** What a search looks for, and its time limits. */
 export interface EngineSearch extends EngineQuery {
-  /** Monotonic time after which an answer is late. */
+  /** Monotonic time after which a response misses its latency objective. */
   readonly onTimeUntil: number
-  /** Monotonic time at which the search is given up. */
+  /** Monotonic time at which the search times out. */
   readonly until: number
-  /** Ends it as well. */
+  /** Cancels the search. */
   readonly signal: AbortSignal
 }
 
-/** Why a search found nothing. */
+/** Why a search found no engine. */
 type SearchFailure = 'no engine may serve it' | 'its search took too long' | 'its request ended'
 
-/** Finds engines. */
+/** Finds engines for requests. */
 export class EngineFinder {
   private readonly dependencies: EngineFinderDependencies
   private readonly refusals = new Map<string, number>()
@@ -61,18 +62,18 @@
     this.dependencies = dependencies
   }
 
-  /** A load was refused: those that wait for it look elsewhere. */
+  /** Records that a load request was refused, and wakes the requests that wait for the adapter so that they try another engine. */
   refused (endpoint: EndpointId, key: string): void {
     this.refusals.set(`${endpoint} ${key}`, this.dependencies.clock.now())
     this.dependencies.locations.wakeWaitingRequests(key as Parameters<AdapterLocations['wakeWaitingRequests']>[0])
   }
 
-  /** @returns an engine that holds the adapter, or undefined */
+  /** @returns an engine that holds the adapter; undefined when the search ended without one */
   async find (search: EngineSearch): Promise<FoundEngine | undefined> {
     const { facts, until, signal } = search
     const { clock, router } = this.dependencies
     const startedAt = clock.now()
-    const place = new QueuePosition()
+    const queuePosition = new QueuePosition()
     for (let askings = 0; !signal.aborted; askings++) {
       const now = clock.now()
       const choice = router.choose(search, now)
@@ -81,14 +82,16 @@
         return { ...choice, stallMilliseconds: now - startedAt }
       }
       const isLate = now >= until
-      if (facts.adapter === undefined || (isLate && facts.adapter.name === undefined)) return this.logNoEngine(search, 'no engine may serve it', askings, now - startedAt)
+      if (facts.adapter === undefined || (isLate && facts.adapter.name === undefined)) {
+        return this.logNoEngine(search, 'no engine may serve it', askings, now - startedAt)
+      }
       if (isLate) return this.logNoEngine(search, 'its search took too long', askings, now - startedAt)
-      await this.requestLoadAndWait(search, place)
+      await this.requestLoadAndWait(search, queuePosition)
     }
     return this.logNoEngine(search, 'its request ended', undefined, clock.now() - startedAt)
   }
 
-  /** @returns when a request that found no engine is best sent again, seconds */
+  /** @returns seconds after which a request that found no engine should be retried */
   retryAfterSeconds (service: Service): number {
     const wait = this.dependencies.router.shortestWait(service, this.dependencies.clock.now())
     return Math.min(LONGEST_RETRY_AFTER_MILLISECONDS, Math.max(SHORTEST_RETRY_AFTER_MILLISECONDS, wait)) / 1_000
@@ -96,37 +99,43 @@
 
   private logNoEngine ({ facts, excluded, onTimeUntil }: EngineSearch, reason: SearchFailure, askings: number | undefined, milliseconds: number): undefined {
     this.dependencies.logger.debug('No engine was found.', {
-      request: facts.requestId, adapter: facts.adapter?.key, reason, milliseconds: Math.round(milliseconds), askings, excluded: [...excluded], late: this.dependencies.clock.now() >= onTimeUntil
+      request: facts.requestId,
+      adapter: facts.adapter?.key,
+      reason,
+      milliseconds: Math.round(milliseconds),
+      askings,
+      excluded: [...excluded],
+      late: this.dependencies.clock.now() >= onTimeUntil
     })
     return undefined
   }
 
-  /** Asks the best engine for the adapter and waits a while. */
-  private async requestLoadAndWait (search: EngineSearch, place: QueuePosition): Promise<void> {
+  /** Requests a load from the best engine and waits until the adapter arrives or the request is due for renewal. */
+  private async requestLoadAndWait (search: EngineSearch, queuePosition: QueuePosition): Promise<void> {
     const { clock, router, locations } = this.dependencies
     const { facts, until, onTimeUntil, signal } = search
     const { adapter } = facts
     if (adapter === undefined) return
     const now = clock.now()
-    // Whole models are not loaded for one request, but an engine that holds the model may come, or be let in again.
+    // Whole models are not loaded for one request, but an engine that holds the model may join or become available again.
     if (adapter.name === undefined) return await locations.waitForArrival(adapter.key, Math.max(1, Math.min(NO_ENGINE_WAIT_MILLISECONDS, until - now)), signal)
-    const bias = (endpoint: EndpointId): number => place.bias(endpoint, locations.line(endpoint)?.receivedAt, now)
+    const bias = (endpoint: EndpointId): number => queuePosition.bias(endpoint, locations.line(endpoint)?.receivedAt, now)
     const recentlyRefusing = this.recentlyRefusing(adapter.key, now)
-    // A load to an engine that this request may not use again serves others at best.
-    const load = router.chooseForLoad({ ...search, excluded: new Set([...recentlyRefusing, ...search.excluded]) }, bias, now) ??
+    // A load on an engine that this request may not use again can only serve other requests, so such an engine is the last resort.
+    const choice = router.chooseForLoad({ ...search, excluded: new Set([...recentlyRefusing, ...search.excluded]) }, bias, now) ??
       router.chooseForLoad({ ...search, excluded: recentlyRefusing }, bias, now)
-    if (load === undefined) return await locations.waitForArrival(adapter.key, Math.max(1, Math.min(NO_ENGINE_WAIT_MILLISECONDS, until - now)), signal)
-    place.join(load.endpoint.id, now)
-    this.sendLoadRequest(load, facts, { request: facts.requestId, onTimeMilliseconds: onTimeUntil - now }, now)
+    if (choice === undefined) return await locations.waitForArrival(adapter.key, Math.max(1, Math.min(NO_ENGINE_WAIT_MILLISECONDS, until - now)), signal)
+    queuePosition.join(choice.endpoint.id, now)
+    this.sendLoadRequest(choice, facts, { request: facts.requestId, onTimeMilliseconds: onTimeUntil - now }, now)
     await locations.waitForArrival(adapter.key, Math.max(1, Math.min(LOAD_REQUEST_INTERVAL_MILLISECONDS, until - now)), signal)
   }
 
-  /** Engines whose loads the asked instance does not order; the holder that it believed in has changed. */
+  /** @returns engines whose load request was recently refused because the instance that received it no longer owns their loads */
   private recentlyRefusing (key: string, now: number): Set<EndpointId> {
     const engines = new Set<EndpointId>()
-    for (const [what, refusedAt] of this.refusals) {
-      if (now - refusedAt > REFUSAL_VALID_MILLISECONDS) this.refusals.delete(what)
-      else if (what.endsWith(` ${key}`)) engines.add(what.slice(0, what.indexOf(' ')) as EndpointId)
+    for (const [engineAndKey, refusedAt] of this.refusals) {
+      if (now - refusedAt > REFUSAL_VALID_MILLISECONDS) this.refusals.delete(engineAndKey)
+      else if (engineAndKey.endsWith(` ${key}`)) engines.add(engineAndKey.slice(0, engineAndKey.indexOf(' ')) as EndpointId)
     }
     return engines
   }
@@ -136,14 +145,16 @@
     if (copy !== undefined) this.sendLoadRequest(copy, question.facts, undefined, now)
   }
 
-  private sendLoadRequest ({ endpoint, costMilliseconds }: LoadChoice, facts: RequestFacts, waiter: Pick<LoadAskFrame, 'request' | 'onTimeMilliseconds'> | undefined, now: number): void {
-    const holder = this.dependencies.loadOwnerOf(endpoint.id)
-    if (holder === undefined || facts.adapter === undefined) return
+  private sendLoadRequest (
+    { endpoint, costMilliseconds }: LoadChoice, facts: RequestFacts, waitingRequest: Pick<LoadAskFrame, 'request' | 'onTimeMilliseconds'> | undefined, now: number
+  ): void {
+    const owner = this.dependencies.loadOwnerOf(endpoint.id)
+    if (owner === undefined || facts.adapter === undefined) return
     const version = this.dependencies.leastVersion(facts, now)
-    const waiting = waiter !== undefined
+    const waiting = waitingRequest !== undefined
     this.dependencies.logger.debug('A load was asked for.', {
-      request: facts.requestId, adapter: facts.adapter.key, endpoint: endpoint.id, of: holder, version, waiting, costMilliseconds: Math.round(costMilliseconds)
+      request: facts.requestId, adapter: facts.adapter.key, endpoint: endpoint.id, of: owner, version, waiting, costMilliseconds: Math.round(costMilliseconds)
     })
-    this.dependencies.requestLoad(holder, { kind: 'load-ask', endpoint: endpoint.id, key: facts.adapter.key, version, waiting, ...waiter })
+    this.dependencies.requestLoad(owner, { kind: 'load-ask', endpoint: endpoint.id, key: facts.adapter.key, version, waiting, ...waitingRequest })
   }
 }
--- a/packages/ingress/src/adapters/engine-orders.ts
+++ b/packages/ingress/src/adapters/engine-orders.ts
@@ -1,20 +1,20 @@
-/** Orders and reports of one engine under one token, with a line in the log for each. */
+/** Sends orders to one engine under one fencing token and reads its reports; logs each order and each failed report. */
 import type { Clock, FencingToken, LimpetwinchError, Logger } from '@limpetwinch/core'
 import type { PendingLoad } from '@limpetwinch/decisions'
 import type { Result } from 'neverthrow'
 import type { Endpoint } from '../routes/configuration.js'
 import type { EngineControl, EngineOrder, EngineReport, OrderAnswer } from './engine-control.js'
 
-/** What orders need. */
+/** Dependencies of the orders to engines. */
 export interface OrderDependencies {
   readonly control: EngineControl
   readonly clock: Clock
   readonly logger: Logger
-  /** The name of this instance's host, as endpoints see who orders them. */
+  /** Name of this instance's host, by which endpoints identify the load owner. */
   readonly holder: string
 }
 
-/** The control side of one engine. */
+/** Orders to one engine, and its reports. */
 export class EngineOrders {
   private readonly endpoint: Endpoint
   private readonly token: FencingToken
@@ -27,13 +27,13 @@
   }
 
   /**
-   * Gives an order. One without an answer may have been carried out, or may be later. The next one bears the same
-   * condition: if it is accepted, this one can no longer take effect; if it meets a conflict, what the engine holds is
-   * read anew.
+   * Sends an order. An order without an answer may have been carried out, or may still be. The next order has the same
+   * condition: if the engine accepts it, the unanswered one can no longer take effect; if the engine answers with a conflict,
+   * the caller finds out what became of the unanswered one.
    *
-   * @param want - what the order is for; it learns what held it up
+   * @param pendingLoad - load that the order is for; an order without an answer is recorded there as the reason for its delay
    */
-  async send (order: EngineOrder, want: PendingLoad | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
+  async send (order: EngineOrder, pendingLoad: PendingLoad | undefined): Promise<Result<OrderAnswer, LimpetwinchError>> {
     const { control, holder, logger, clock } = this.dependencies
     const { id, address } = this.endpoint
     const result = await control.order({ endpoint: id, address, holder, token: this.token }, order)
@@ -46,19 +46,19 @@
       ifSequence,
       token: this.token,
       outcome: result.isOk() ? result.value : result.error.kind,
-      waited: want === undefined ? undefined : Math.round(clock.now() - want.firstRequestedAt),
-      heldUpBy: want?.heldUpBy
+      waited: pendingLoad === undefined ? undefined : Math.round(clock.now() - pendingLoad.firstRequestedAt),
+      heldUpBy: pendingLoad?.heldUpBy
     })
-    if (result.isErr() && want !== undefined) want.heldUpBy = 'a silent engine'
+    if (result.isErr() && pendingLoad !== undefined) pendingLoad.heldUpBy = 'a silent engine'
     return result
   }
 
-  /** @returns what the engine says of itself; undefined when it says nothing */
+  /** @returns the engine's report; undefined when it sends none */
   async report (): Promise<EngineReport | undefined> {
     const { id, address } = this.endpoint
     const report = await this.dependencies.control.report(id, address)
     if (report.isOk()) return report.value
-    this.dependencies.logger.warn('An engine does not report.', { endpoint: id, reason: report.error.message })
+    this.dependencies.logger.warn('An engine did not send a report.', { endpoint: id, reason: report.error.message })
     return undefined
   }
 }
--- a/packages/ingress/src/adapters/held-adapter-deltas.ts
+++ b/packages/ingress/src/adapters/held-adapter-deltas.ts
@@ -1,17 +1,17 @@
 /**
- * What has changed between two words on what an engine holds.
+ * Deltas between two successive notices about the adapters that an engine holds.
  *
- * Each load changes what is held, waiting or on its way some four times, and each time all peers hear of it. Told in full,
- * seventeen adapters and a line for one that came, these words were most of the bytes between data centres and of the frames
- * that an instance decodes.
+ * Each load changes the adapters held, waiting or being loaded about four times, and every change is sent to all peers. Sent in
+ * full, with seventeen adapters and the load queue for one new adapter, these notices were most of the bytes between data centres
+ * and most of the frames that an instance decodes.
  */
 import type { AdaptersChangedFrame, AdaptersHeldFrame, EndpointId, InstanceId } from '@limpetwinch/core'
 
-/** @returns the change from one word to the next */
+/** @returns the delta from one notice to the next */
 export function deltaBetween (before: AdaptersHeldFrame, after: AdaptersHeldFrame): AdaptersChangedFrame {
   const { endpoint, born, token, sequence, inFlight } = after
   const held = new Map(before.held)
-  const still = new Set(after.held.map(([key]) => key))
+  const heldAfter = new Set(after.held.map(([key]) => key))
   return {
     kind: 'adapters-changed',
     endpoint,
@@ -20,50 +20,54 @@
     sequence,
     inFlight,
     added: after.held.filter(([key, version]) => held.get(key) !== version),
-    removed: before.held.filter(([key]) => !still.has(key)).map(([key]) => key),
+    removed: before.held.filter(([key]) => !heldAfter.has(key)).map(([key]) => key),
     waitingAdded: missing(before.waiting ?? [], after.waiting ?? []),
     waitingRemoved: missing(after.waiting ?? [], before.waiting ?? []),
     waitMilliseconds: after.waitMilliseconds ?? 0
   }
 }
 
-/** @returns the word that the change leads to */
-export function applyDelta (before: AdaptersHeldFrame, change: AdaptersChangedFrame): AdaptersHeldFrame {
-  const { endpoint, born, token, sequence, inFlight, waitMilliseconds } = change
+/** @returns the full notice that results from applying a delta to the notice before it */
+export function applyDelta (before: AdaptersHeldFrame, delta: AdaptersChangedFrame): AdaptersHeldFrame {
+  const { endpoint, born, token, sequence, inFlight, waitMilliseconds } = delta
   const held = new Map(before.held)
-  for (const key of change.removed) held.delete(key)
-  for (const [key, version] of change.added) held.set(key, version)
-  const gone = new Set(change.waitingRemoved)
-  const waiting = [...(before.waiting ?? []).filter((key) => !gone.has(key)), ...change.waitingAdded]
+  for (const key of delta.removed) held.delete(key)
+  for (const [key, version] of delta.added) held.set(key, version)
+  const noLongerWaiting = new Set(delta.waitingRemoved)
+  const waiting = [...(before.waiting ?? []).filter((key) => !noLongerWaiting.has(key)), ...delta.waitingAdded]
   return { kind: 'adapters-held', endpoint, born, token, sequence, inFlight, waitMilliseconds, held: [...held], waiting }
 }
 
-/** The last words of peers, which their changes go on from. */
+/** Keeps the last full notice about each engine, which the sender's next delta is applied to. */
 export class HeldAdapterBaselines {
   private readonly last = new Map<EndpointId, { readonly from: InstanceId, readonly frame: AdaptersHeldFrame }>()
 
-  /** Keeps a whole word. */
+  /** Stores a full notice as the baseline of the deltas that follow. */
   setFull (from: InstanceId, frame: AdaptersHeldFrame): void {
     this.last.set(frame.endpoint, { from, frame })
   }
 
-  /** @returns the word that a change leads to; undefined when the word before it was not heard, until the next whole one */
-  apply (from: InstanceId, change: AdaptersChangedFrame): AdaptersHeldFrame | undefined {
-    const known = this.last.get(change.endpoint)
+  /**
+   * Applies a delta to the baseline.
+   *
+   * @returns the resulting full notice; undefined when the preceding notice was not received, until the next full one
+   */
+  apply (from: InstanceId, delta: AdaptersChangedFrame): AdaptersHeldFrame | undefined {
+    const known = this.last.get(delta.endpoint)
     if (known === undefined || known.from !== from) return undefined
     const { frame } = known
-    if (frame.born !== change.born || frame.token !== change.token || frame.sequence !== change.sequence - 1) return undefined
-    const next = applyDelta(frame, change)
+    if (frame.born !== delta.born || frame.token !== delta.token || frame.sequence !== delta.sequence - 1) return undefined
+    const next = applyDelta(frame, delta)
     this.setFull(from, next)
     return next
   }
 
-  /** The engine is gone. */
+  /** Drops the baseline of an engine that has left. */
   forget (endpoint: EndpointId): void {
     this.last.delete(endpoint)
   }
 
-  /** @returns the last words of all peers, with those who said them */
+  /** @returns the last full notices about all engines, with their senders */
   all (): readonly (readonly [from: InstanceId, frame: AdaptersHeldFrame])[] {
     return [...this.last.values()].map(({ from, frame }) => [from, frame])
   }
--- a/packages/ingress/src/adapters/held-adapter-notices.ts
+++ b/packages/ingress/src/adapters/held-adapter-notices.ts
@@ -1,4 +1,4 @@
-/** Tells all instances which adapters an engine holds, as the one that orders its loads knows it. */
+/** Sends notices about the adapters that an engine holds from its load owner to all instances. */
 import type { AdaptersHeldFrame, Clock, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import type { Urgency } from '../overlay/notice-outbox.js'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
@@ -9,27 +9,28 @@
 import type { SlotReservations } from './slot-reservations.js'
 
 /**
- * One word in so many is whole. A peer that missed one, on a connection that broke, is told all at its next connection;
- * where two connections crossed it is at sea until the next whole word, about a second later on a busy engine.
+ * Every 20th notice is sent in full, the others as deltas. A peer that missed a notice on a broken connection receives all notices
+ * in full on its next connection. If two connections crossed, it cannot apply deltas until the next full notice, about a second
+ * later on a busy engine.
  */
 const FULL_NOTICE_INTERVAL = 20
 
-/** What is told of one engine. */
+/** Content of one notice about an engine. */
 export interface HeldAdaptersUpdate {
   readonly endpoint: Endpoint
   readonly token: FencingToken
-  /** Grows with each statement under one token. */
+  /** Grows with each notice under one fencing token. */
   readonly sequence: number
   readonly reservations: SlotReservations
-  /** Adapters that are held and not offered: they are about to leave or to be replaced. */
+  /** Adapters that are held but not offered: they are about to be evicted or replaced. */
   readonly hidden: { readonly has: (key: AdapterKey) => boolean }
-  /** Adapters that wait for their load. */
+  /** Adapters with a pending load. */
   readonly waiting: readonly AdapterKey[]
-  /** How long one more would wait for its turn. */
+  /** Expected wait of one more load in the queue. */
   readonly waitMilliseconds: number
 }
 
-/** Sends statements, and the last ones again to whoever connects. */
+/** Sends notices about held adapters to all peers, and the last ones again to a peer that connects. */
 export class HeldAdapterNotices {
   private readonly peers: Pick<PeerOverlay, 'broadcast'>
   private readonly locations: AdapterLocations
@@ -38,7 +39,7 @@
   private readonly self: InstanceId
   private readonly last = new Map<EndpointId, AdaptersHeldFrame>()
 
-  /** @param self - this process */
+  /** @param self - id of this process, under which the notices are applied locally */
   constructor (peers: Pick<PeerOverlay, 'broadcast'>, locations: AdapterLocations, metrics: IngressMetrics, clock: Clock, self: InstanceId) {
     this.peers = peers
     this.locations = locations
@@ -47,29 +48,42 @@
     this.self = self
   }
 
-  /** Tells this instance and all peers. @param urgency - `urgent` when requests go elsewhere by it */
-  publish ({ endpoint, token, sequence, reservations: ledger, hidden, waiting, waitMilliseconds }: HeldAdaptersUpdate, urgency: Urgency): void {
-    const held = [...ledger.held].filter(([key]) => !hidden.has(key)).map(([key, slot]): [string, number] => [key, slot.version])
+  /**
+   * Applies a notice to this instance and sends it to all peers.
+   *
+   * @param urgency - `urgent` when the notice changes where requests may go
+   */
+  publish ({ endpoint, token, sequence, reservations, hidden, waiting, waitMilliseconds }: HeldAdaptersUpdate, urgency: Urgency): void {
+    const held = [...reservations.held].filter(([key]) => !hidden.has(key)).map(([key, slot]): [string, number] => [key, slot.version])
     const frame: AdaptersHeldFrame = {
-      kind: 'adapters-held', endpoint: endpoint.id, born: endpoint.born, token, sequence, held, inFlight: [...ledger.inFlight.keys()], waiting, waitMilliseconds: Math.round(waitMilliseconds)
+      kind: 'adapters-held',
+      endpoint: endpoint.id,
+      born: endpoint.born,
+      token,
+      sequence,
+      held,
+      inFlight: [...reservations.inFlight.keys()],
+      waiting,
+      waitMilliseconds: Math.round(waitMilliseconds)
     }
     const before = this.last.get(endpoint.id)
     this.last.set(endpoint.id, frame)
     this.locations.applyNotice(this.self, frame, this.clock.now())
-    const goesOn = before !== undefined && before.born === frame.born && before.token === frame.token && before.sequence === sequence - 1
-    const word = goesOn && sequence % FULL_NOTICE_INTERVAL !== 0 ? deltaBetween(before, frame) : frame
+    const isSuccessor = before !== undefined && before.born === frame.born && before.token === frame.token && before.sequence === sequence - 1
+    const notice = isSuccessor && sequence % FULL_NOTICE_INTERVAL !== 0 ? deltaBetween(before, frame) : frame
     this.metrics.adapterNotice('sent')
-    this.peers.broadcast(word, urgency)
+    this.peers.broadcast(notice, urgency)
   }
 
   /**
-   * A peer that has just connected has heard nothing; what it believes would otherwise be as old as engines' statements.
+   * Lists the last notices for a peer that has just connected and received none. It would otherwise know only the engines' own
+   * statements, which are older.
    *
-   * @param isOrdered - whether this instance still orders the engine's loads
-   * @returns the last statements, whole
+   * @param isOwner - whether this instance is still the load owner of the engine
+   * @returns the last notices, in full
    */
-  present (isOrdered: (endpoint: EndpointId) => boolean): readonly AdaptersHeldFrame[] {
-    for (const id of [...this.last.keys()]) if (!isOrdered(id)) this.last.delete(id)
+  present (isOwner: (endpoint: EndpointId) => boolean): readonly AdaptersHeldFrame[] {
+    for (const id of [...this.last.keys()]) if (!isOwner(id)) this.last.delete(id)
     return [...this.last.values()]
   }
 }
--- a/packages/ingress/src/adapters/hidden-adapters.ts
+++ b/packages/ingress/src/adapters/hidden-adapters.ts
@@ -1,7 +1,7 @@
-/** Adapters that an engine holds and that requests are kept away from: they are about to be evicted or replaced. */
+/** Tracks the adapters of an engine that are not offered to requests because they are about to be evicted or replaced. */
 import type { AdapterKey } from '../routes/configuration.js'
 
-/** Why an adapter is hidden. */
+/** Reason why an adapter is hidden. */
 export type HiddenReason = 'eviction' | 'replacement'
 
 interface Hidden {
@@ -9,27 +9,34 @@
   readonly since: number
 }
 
-/** The hidden adapters of one engine. Several wait for their notice to be heard at the same time. */
+/** The hidden adapters of one engine. Several may wait at the same time until all peers have received their notices. */
 export class HiddenAdapters {
   private readonly byKey = new Map<AdapterKey, Hidden>()
   private readonly noticeRoundTripMilliseconds: () => number
 
-  /** @param noticeRoundTripMilliseconds - in which peers hear that an adapter leaves; a request that was on its way before has begun by then */
+  /**
+   * @param noticeRoundTripMilliseconds - time within which all peers receive the notice that an adapter is hidden; a request that a
+   *   peer sent before has started on the engine by then
+   */
   constructor (noticeRoundTripMilliseconds: () => number) {
     this.noticeRoundTripMilliseconds = noticeRoundTripMilliseconds
   }
 
-  /** @returns whether requests are kept away from the adapter */
+  /** @returns whether the adapter is hidden */
   has (key: AdapterKey): boolean {
     return this.byKey.has(key)
   }
 
-  /** Keeps requests away from an adapter; its notice is young again. */
+  /** Hides an adapter. One that is hidden already waits for a new notice to reach all peers. */
   hide (key: AdapterKey, reason: HiddenReason, now: number): void {
     this.byKey.set(key, { reason, since: now })
   }
 
-  /** Offers the adapter again, or forgets it when it has left. @returns whether it was hidden */
+  /**
+   * Ends the hiding of an adapter that is offered again, or that the engine no longer holds.
+   *
+   * @returns whether it was hidden
+   */
   show (key: AdapterKey): boolean {
     return this.byKey.delete(key)
   }
@@ -39,13 +46,13 @@
     return this.byKey.get(key)?.reason
   }
 
-  /** @returns when all peers have heard of it, monotonic milliseconds; undefined when it is not hidden */
+  /** @returns monotonic time in milliseconds by which all peers have received the notice; undefined when the adapter is not hidden */
   noticeReceivedAt (key: AdapterKey): number | undefined {
     const hidden = this.byKey.get(key)
     return hidden === undefined ? undefined : hidden.since + this.noticeRoundTripMilliseconds()
   }
 
-  /** @returns adapters that are hidden for the reason */
+  /** @returns the adapters that are hidden for this reason */
   keys (reason: HiddenReason): readonly AdapterKey[] {
     return [...this.byKey].filter(([, hidden]) => hidden.reason === reason).map(([key]) => key)
   }
--- a/packages/ingress/src/adapters/in-flight-loads.ts
+++ b/packages/ingress/src/adapters/in-flight-loads.ts
@@ -1,44 +1,45 @@
-/** Adapters on their way to engines, as those who order the loads tell it. */
+/** Tracks the loads in progress on all engines, as reported by the load owners. */
 import type { EndpointId } from '@limpetwinch/core'
 import type { CompletedLoad } from './weight-store-limiter.js'
 
-/** A load takes a quarter of a second, some times as long in a crowd. */
+/** Upper bound on the duration of a load. A load takes a quarter of a second, and several times as long when many engines load at once. */
 const LONGEST_LOAD_MILLISECONDS = 1_000
 
 interface InFlight {
   readonly firstReportedAt: number
-  /** Whether the engine loads it from its own cache; such loads say nothing about the weight store. */
+  /** Whether the engine loads the adapter from its own cache; the duration of such a load says nothing about the weight store. */
   readonly cached: boolean
-  /** Most loads on their way at any time since, itself left out. */
+  /** Highest number of other loads that were in progress at the same time since. */
   mostOthersInFlight: number
 }
 
-/** Loads by engine and adapter. */
+/** Loads in progress, by engine and adapter. */
 export class InFlightLoads {
   private readonly byEndpoint = new Map<EndpointId, ReadonlyMap<string, InFlight>>()
   private readonly listeners: ((load: CompletedLoad) => void)[] = []
 
-  /** Calls the listener with each load from the weight store that is complete. */
+  /** Registers a listener that is called with each completed load from the weight store. */
   onCompleted (listener: (load: CompletedLoad) => void): void {
     this.listeners.push(listener)
   }
 
-  /** @returns whether the adapter is on its way to the engine, and for no longer than a load takes */
+  /** @returns whether the engine is loading the adapter, and has been for no longer than a load can take */
   has (endpoint: EndpointId, key: string, now: number): boolean {
     const load = this.byEndpoint.get(endpoint)?.get(key)
     return load !== undefined && isStillInFlight(load, now)
   }
 
-  /** @returns adapters on their way to the engine */
+  /** @returns the number of loads in progress on the engine, overdue ones included */
   countFor (endpoint: EndpointId): number {
     return this.byEndpoint.get(endpoint)?.size ?? 0
   }
 
   /**
-   * Loads that an engine took with it when it ended stay among those on their way until it is known to be gone. Counted
-   * for so long, the end of three engines would hold up all loads of the others for seconds.
+   * Counts the loads in progress, without those that are overdue. The loads of an engine that has crashed stay listed until the
+   * engine is known to have left. If they were counted until then, the crash of three engines would block all loads of the other
+   * engines for seconds.
    *
-   * @returns adapters on their way to all engines, those left out that are on it for longer than any load takes
+   * @returns the number of loads in progress on all engines that have not taken longer than a load can
    */
   count (now: number): number {
     let sum = 0
@@ -49,34 +50,37 @@
   }
 
   /**
-   * Takes up which loads are on their way to an engine now.
+   * Replaces the loads in progress on an engine, and reports the loads that have completed to the listeners.
    *
-   * @param keys - their adapters
-   * @param arrived - whether the engine holds an adapter now
-   * @param isCached - whether the engine has an adapter in its cache
+   * @param keys - adapters being loaded
+   * @param isHeld - tells whether the engine holds an adapter now
+   * @param isCached - tells whether the engine has an adapter in its cache
    */
-  replace (endpoint: EndpointId, keys: readonly string[], arrived: (key: string) => boolean, isCached: (key: string) => boolean, now: number): void {
+  replace (endpoint: EndpointId, keys: readonly string[], isHeld: (key: string) => boolean, isCached: (key: string) => boolean, now: number): void {
     const before = this.byEndpoint.get(endpoint) ?? NO_LOADS
     const after = new Map(keys.map((key) => [key, before.get(key) ?? { firstReportedAt: now, cached: isCached(key), mostOthersInFlight: 0 }]))
     if (after.size === 0 && before.size === 0) return
     this.byEndpoint.set(endpoint, after)
     this.updatePeaks(now)
     for (const [key, load] of before) {
-      if (after.has(key) || !arrived(key) || load.cached) continue
+      if (after.has(key) || !isHeld(key) || load.cached) continue
       for (const listener of this.listeners) listener({ milliseconds: now - load.firstReportedAt, mostOthersInFlight: load.mostOthersInFlight, now })
     }
   }
 
-  /** The engine is gone, or nothing is known of its loads any more. */
+  /** Drops the loads of an engine that has left, or whose loads are unknown. */
   forget (endpoint: EndpointId): void {
     this.byEndpoint.delete(endpoint)
   }
 
-  /** A crowd's loads start and end together: the first and the last of them would look as if they had been alone. */
+  /**
+   * Updates the highest number of concurrent loads for each load. The current number is not enough: loads of a burst start and
+   * end together, so the first and the last of them would look as if they had run alone.
+   */
   private updatePeaks (now: number): void {
-    const beside = this.count(now) - 1
+    const others = this.count(now) - 1
     for (const loads of this.byEndpoint.values()) {
-      for (const load of loads.values()) load.mostOthersInFlight = Math.max(load.mostOthersInFlight, beside)
+      for (const load of loads.values()) load.mostOthersInFlight = Math.max(load.mostOthersInFlight, others)
     }
   }
 }
--- a/packages/ingress/src/adapters/load-ownership.ts
+++ b/packages/ingress/src/adapters/load-ownership.ts
@@ -1,4 +1,4 @@
-/** Decides which engines' loads this instance orders, claims them in the store, and runs a loader for each. */
+/** Decides which engines' loads this instance owns, claims the load ownership in the store, and runs a loader for each of these engines. */
 import type { Clock, DeletingObjectStore, EndpointId, InstanceId, Logger } from '@limpetwinch/core'
 import { rendezvousWeight } from '@limpetwinch/decisions'
 import { Backoff } from '@limpetwinch/entry'
@@ -13,33 +13,37 @@
 import type { LoaderDependencies } from './loader-dependencies.js'
 
 const CHECK_MILLISECONDS = 300
-/** Instances find each other in this time after the first is listed; claims made before would go to whoever came first. */
+/** Instances discover each other within this time after the first listing. Claims made earlier would all go to the instance that started first. */
 const DISCOVERY_MILLISECONDS = 1_500
-/** Added to the lease: how late the holder before may have heard that it holds no more. */
+/** Added to the lease: how late the previous load owner may have learned that it lost the ownership. */
 const LEASE_MARGIN_MILLISECONDS = 800
 /**
- * A host whose instance is stopped or killed mostly has another one within some two seconds. It goes on at once with the
- * engines that it ordered; anybody else would have to wait a lease before its first order. So a claim waits for so long,
- * which costs as much where the host is lost for good, and saves a lease without loads where it is not.
+ * How long a load owner must be unreachable before another instance claims its engines. A host whose instance was stopped or killed
+ * usually runs a new one within about two seconds. The new instance continues with the host's engines at once, while any other
+ * instance would have to wait a lease before its first order. The grace period delays the claim if the host is lost for good, and
+ * saves a lease without loads if it is not.
  */
 const RESTART_GRACE_MILLISECONDS = 2_500
-/** Before an instance takes back engines of its data centre: connections to all peers are there by then, and lines were told. */
+/** Delay before an instance takes back engines of its data centre. By then it is connected to all peers and has received their load queues. */
 const TAKE_BACK_AFTER_MILLISECONDS = 2_000
-/** It waits no longer than this for a moment without a line: a busy engine has none, and a cut would find it ordered from elsewhere. */
+/**
+ * Longest wait for an empty load queue before an engine is taken back. The queue of a busy engine is never empty, and a network
+ * partition would leave the engine with a load owner in another data centre.
+ */
 const TAKE_BACK_LATEST_MILLISECONDS = 15_000
-/** A host's time of day drifts and is corrected by less than this; a claim's age is taken to be less by it. */
+/** Bound on the drift and correction of a host's wall clock, subtracted from the age of a claim. */
 const CLOCK_MARGIN_MILLISECONDS = 500
-/** A claim this old was made long before the lease, whatever the clocks of two hosts say. */
+/** A claim of at least this age was made well over a lease ago, whatever the wall clocks of the two hosts say. */
 const CERTAINLY_OLD_MILLISECONDS = 30_000
-/** Holder objects of engines that are gone are deleted after this; an engine may come back under its id before. */
+/** Load owner objects of engines that have left are deleted after this time, since an engine may return under the same id. */
 const DELETE_ORPHANED_AFTER_MILLISECONDS = 20_000
-/** Where endpoints do not check tokens, an instance that has heard nothing from the store for this part of a lease stops. */
+/** If endpoints do not check fencing tokens, an instance without a response from the store for this share of a lease stops sending orders. */
 const STORE_SILENCE_SHARE = 0.5
 
-/** A loader that failed starts again after these. */
+/** Delays before a loader that failed starts again. */
 const RESTART_DELAYS = { first: 500, largest: 10_000 }
 
-/** What the duty needs. */
+/** Dependencies of the load ownership. */
 export interface LoadOwnershipDependencies {
   readonly store: DeletingObjectStore
   readonly health: StoreHealth
@@ -52,24 +56,25 @@
   readonly fencedEndpoints: boolean
 }
 
+/** A loader, and the controller that stops it. */
 interface Running {
   readonly loader: EndpointLoader
   readonly ending: AbortController
 }
 
-/** The engines whose loads this instance orders. */
+/** Load ownership of this instance: the engines whose loads it orders. */
 export class LoadOwnership {
   private readonly dependencies: LoadOwnershipDependencies
   private readonly loaderDependencies: Omit<LoaderDependencies, 'mayOrder' | 'onLost' | 'holder'>
   private readonly owners = new Map<EndpointId, LoadOwner>()
   private readonly running = new Map<EndpointId, Running>()
   private readonly endpointMissingSince = new Map<EndpointId, number>()
-  /** Since when an engine's holder has not been heard, while the store was. */
+  /** Monotonic time at which an engine's load owner became unreachable; cleared while the store is unreachable. */
   private readonly ownerAbsentSince = new Map<EndpointId, number>()
-  /** Claims of this process, by monotonic time. */
+  /** Monotonic times of the claims that this process made. */
   private readonly claimedAt = new Map<EndpointId, number>()
-  /** Engines whose loader failed, and when it may start again. */
-  private readonly restartPostponed = new Map<EndpointId, { readonly pauses: Backoff, readonly until: number }>()
+  /** Engines whose loader failed, with the time at which it may start again. */
+  private readonly restartPostponed = new Map<EndpointId, { readonly delays: Backoff, readonly until: number }>()
   private pausedUntil = -Infinity
   private claimsAllowedFrom: number | undefined
   private stopping = false
@@ -83,62 +88,62 @@
   }
 
   /**
-   * Takes the holders as the store lists them.
+   * Applies a listing of the load owners in the store.
    *
-   * @param revision - the store's, of the listing; it says nothing of what was claimed later
+   * @param revision - store revision of the listing; claims made after it are not part of the listing and are kept
    */
   apply (owners: readonly LoadOwner[], revision: number): void {
-    const listed = new Map(owners.map((holder) => [holder.endpoint, holder]))
+    const listed = new Map(owners.map((owner) => [owner.endpoint, owner]))
     for (const [id, { token }] of this.owners) if (!listed.has(id) && token <= revision) this.owners.delete(id)
-    for (const [id, holder] of listed) {
+    for (const [id, owner] of listed) {
       const known = this.owners.get(id)
-      if (known !== undefined && known.token > holder.token) continue
-      this.owners.set(id, holder)
-      if (known?.token !== holder.token) this.ownerChanged(holder)
+      if (known !== undefined && known.token > owner.token) continue
+      this.owners.set(id, owner)
+      if (known?.token !== owner.token) this.ownerChanged(owner)
     }
   }
 
-  /** @returns who orders the loads of an engine; undefined when nobody does or it is not heard */
+  /** @returns the load owner of an engine; undefined when there is none or it is unreachable */
   loadOwnerOf (endpoint: EndpointId): InstanceId | undefined {
-    const holder = this.owners.get(endpoint)
-    if (holder === undefined || !this.dependencies.members.isReachable(holder.holder)) return undefined
-    if (holder.holder === this.dependencies.members.self.name) return this.dependencies.members.self.instance
-    return this.dependencies.members.find(holder.holder)?.instance
+    const owner = this.owners.get(endpoint)
+    if (owner === undefined || !this.dependencies.members.isReachable(owner.holder)) return undefined
+    if (owner.holder === this.dependencies.members.self.name) return this.dependencies.members.self.instance
+    return this.dependencies.members.find(owner.holder)?.instance
   }
 
-  /** @returns the loader of an engine that this instance orders */
+  /** @returns the loader of an engine that this instance owns */
   loader (endpoint: EndpointId): EndpointLoader | undefined {
     return this.running.get(endpoint)?.loader
   }
 
-  /** A peer has told what runs. */
+  /** Called when a peer has reported which requests it runs, so that slots may have become free. */
   runsEnded (): void {
     for (const { loader } of this.running.values()) loader.runsEnded()
   }
 
-  /** A newer version of an adapter was announced. */
+  /** Called when a newer version of an adapter was announced. */
   versionAnnounced (key: AdapterKey, version: number): void {
     for (const { loader } of this.running.values()) loader.versionAnnounced(key, version)
   }
 
-  /** Gives no order until the time: after a pause of the process another may hold what this one believes to hold. */
+  /** Sends no order until the given time: after a process pause, another instance may own engines that this one believes it owns. */
   pauseUntil (time: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, time)
   }
 
-  /** Gives no order from now on. */
+  /** Stops all loaders, and sends no order from now on. */
   stop (): void {
     this.stopping = true
     for (const id of [...this.running.keys()]) this.stopLoader(id)
   }
 
-  /** Looks after the duty until the signal ends it. */
+  /** Claims engines and keeps their loaders running until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     const { clock, members } = this.dependencies
     while (!signal.aborted) {
       await clock.sleep(CHECK_MILLISECONDS, signal)
       if (!members.hasListing || this.stopping) continue
-      // Cut off, this instance hears nobody. What it has not heard meanwhile says nothing of its peers.
+      // If the store is unreachable, this instance may be partitioned from its peers as well, and an unreachable owner may be running.
       if (!this.dependencies.health.reachable) this.ownerAbsentSince.clear()
       this.claimsAllowedFrom ??= clock.now() + DISCOVERY_MILLISECONDS
       for (const endpoint of this.dependencies.directory.all()) {
@@ -157,34 +162,37 @@
 
   private async checkEndpoint (endpoint: Endpoint, shape: EngineShape): Promise<void> {
     const { members } = this.dependencies
-    const holder = this.owners.get(endpoint.id)
-    if (holder?.holder === members.self.name) return this.startLoader(endpoint, holder, shape)
-    if (holder !== undefined && members.isReachable(holder.holder)) {
+    const owner = this.owners.get(endpoint.id)
+    if (owner?.holder === members.self.name) return this.startLoader(endpoint, owner, shape)
+    if (owner !== undefined && members.isReachable(owner.holder)) {
       this.ownerAbsentSince.delete(endpoint.id)
-      if (this.shouldTakeBack(endpoint, holder)) await this.claim(endpoint, holder)
+      if (this.shouldTakeBack(endpoint, owner)) await this.claim(endpoint, owner)
       return
     }
-    if (holder !== undefined && !this.isOwnerLost(endpoint.id)) return
+    if (owner !== undefined && !this.isOwnerLost(endpoint.id)) return
     if (this.dependencies.clock.now() < (this.claimsAllowedFrom ?? Infinity) || this.preferredOwner(endpoint) !== members.self.name) return
-    if (holder === undefined || await this.canReach(endpoint)) await this.claim(endpoint, holder)
+    if (owner === undefined || await this.canReach(endpoint)) await this.claim(endpoint, owner)
   }
 
   /**
-   * An engine that an instance of another data centre orders, since its own had none for a while, is taken back. Cut off
-   * together they would otherwise serve only what the engine holds: nobody who reaches it could order its loads. Taking it
-   * costs a lease without loads, so it waits for a moment in which none are asked for, but not for ever.
+   * An engine may be owned by an instance of another data centre because its own had no instance for a while. This instance then
+   * takes it back: if the engine's data centre were partitioned, no instance that reaches the engine could order loads, and it
+   * would serve only the adapters it holds. A takeover costs a lease without loads, so it waits for an empty load queue, but not
+   * indefinitely.
+   *
+   * @returns whether this instance should take over the engine now
    */
-  private shouldTakeBack (endpoint: Endpoint, holder: LoadOwner): boolean {
+  private shouldTakeBack (endpoint: Endpoint, owner: LoadOwner): boolean {
     const { members, clock } = this.dependencies
     const since = this.claimsAllowedFrom ?? Infinity
-    const holdsItHere = members.find(holder.holder)?.dataCentre === members.self.dataCentre
-    if (endpoint.dataCentre !== members.self.dataCentre || holdsItHere || this.preferredOwner(endpoint) !== members.self.name) return false
+    const ownerIsLocal = members.find(owner.holder)?.dataCentre === members.self.dataCentre
+    if (endpoint.dataCentre !== members.self.dataCentre || ownerIsLocal || this.preferredOwner(endpoint) !== members.self.name) return false
     if (clock.now() < since + TAKE_BACK_AFTER_MILLISECONDS) return false
-    const isQuiet = (this.loaderDependencies.locations.line(endpoint.id)?.waiting.size ?? 0) === 0
-    return isQuiet || clock.now() > since + TAKE_BACK_LATEST_MILLISECONDS
+    const queueIsEmpty = (this.loaderDependencies.locations.line(endpoint.id)?.waiting.size ?? 0) === 0
+    return queueIsEmpty || clock.now() > since + TAKE_BACK_LATEST_MILLISECONDS
   }
 
-  /** @returns whether the holder of the engine has been away for longer than a start takes */
+  /** @returns whether the load owner of the engine has been unreachable for longer than a restart takes */
   private isOwnerLost (id: EndpointId): boolean {
     const now = this.dependencies.clock.now()
     const since = this.ownerAbsentSince.get(id) ?? now
@@ -193,23 +201,30 @@
   }
 
   /**
-   * When a data centre is cut off, its engines' holder is lost to all others, and the engines with it. Claimed from
-   * elsewhere they would be ordered by nobody: neither by the claimant, which does not reach them, nor by their holder,
-   * nor for a lease after the cut by anyone.
+   * Checks that this instance can reach an engine before it claims it. If a data centre is partitioned, both its engines and their
+   * load owner are unreachable from all others. If another instance claimed such an engine, nothing would be loaded: the claimant
+   * cannot reach the engine, the previous owner has lost the ownership, and after the partition the lease must pass first.
    */
   private async canReach (endpoint: Endpoint): Promise<boolean> {
     const report = await this.loaderDependencies.control.report(endpoint.id, endpoint.address)
     if (report.isOk()) return true
-    this.dependencies.logger.info('The loads of an engine are not claimed, since it cannot be reached.', { endpoint: endpoint.id, reason: report.error.message })
+    this.dependencies.logger.info('The load ownership of an engine was not claimed because the engine is unreachable.', {
+      endpoint: endpoint.id, reason: report.error.message
+    })
     this.ownerAbsentSince.set(endpoint.id, this.dependencies.clock.now())
     return false
   }
 
-  /** The instances of the engine's own data centre come first: they can still order it when data centres are apart. */
+  /**
+   * Chooses by rendezvous hashing. Instances of the engine's own data centre take precedence: they can still send it orders when
+   * the data centres are partitioned from each other.
+   *
+   * @returns name of the member that should own the engine's loads; undefined without a live member
+   */
   private preferredOwner (endpoint: Endpoint): string | undefined {
     const live = this.dependencies.members.live()
-    const near = live.filter((member) => member.dataCentre === endpoint.dataCentre)
-    const candidates = near.length > 0 ? near : live
+    const local = live.filter((member) => member.dataCentre === endpoint.dataCentre)
+    const candidates = local.length > 0 ? local : live
     let best: string | undefined
     let bestWeight = -1
     for (const { name } of candidates) {
@@ -226,85 +241,102 @@
     const value = { holder: members.self.name, ...(before === undefined ? {} : { previous: before.holder }), claimedAt: Date.now() }
     const written = await store.put({ path: loadOwnerPath(endpoint.id), ifVersion: before?.token ?? 0, value })
     const outcome = written.isOk() ? 'done' : written.error.kind
-    logger.info('The loads of an engine were claimed.', { endpoint: endpoint.id, previous: before?.holder, token: written.isOk() ? written.value : undefined, outcome })
+    logger.info('This instance tried to claim the load ownership of an engine.', {
+      endpoint: endpoint.id, previous: before?.holder, token: written.isOk() ? written.value : undefined, outcome
+    })
     if (written.isErr()) return
     this.claimedAt.set(endpoint.id, this.dependencies.clock.now())
-    const holder: LoadOwner = { endpoint: endpoint.id, holder: members.self.name, previous: before?.holder, claimedAt: value.claimedAt, token: written.value as LoadOwner['token'] }
+    const owner: LoadOwner = {
+      endpoint: endpoint.id, holder: members.self.name, previous: before?.holder, claimedAt: value.claimedAt, token: written.value as LoadOwner['token']
+    }
     const known = this.owners.get(endpoint.id)
-    if (known !== undefined && known.token > holder.token) return
-    this.owners.set(endpoint.id, holder)
+    if (known !== undefined && known.token > owner.token) return
+    this.owners.set(endpoint.id, owner)
   }
 
-  private startLoader (endpoint: Endpoint, holder: LoadOwner, shape: EngineShape): void {
-    const present = this.running.get(endpoint.id)
-    if (present !== undefined) {
-      if (present.loader.token === holder.token && present.loader.endpoint.born === endpoint.born) return
+  private startLoader (endpoint: Endpoint, owner: LoadOwner, shape: EngineShape): void {
+    const current = this.running.get(endpoint.id)
+    if (current !== undefined) {
+      if (current.loader.token === owner.token && current.loader.endpoint.born === endpoint.born) return
       this.stopLoader(endpoint.id)
     }
     const { clock, logger } = this.dependencies
     if (clock.now() < (this.restartPostponed.get(endpoint.id)?.until ?? -Infinity)) return
-    const loader = new EndpointLoader(endpoint, holder.token, shape, {
+    const loader = new EndpointLoader(endpoint, owner.token, shape, {
       ...this.loaderDependencies,
       holder: this.dependencies.members.self.name,
-      mayOrder: () => this.mayOrder(holder),
+      mayOrder: () => this.mayOrder(owner),
       onLost: (id, reason) => {
-        logger.warn('An engine took no order from this instance.', { endpoint: id, token: holder.token, reason })
+        logger.warn('An engine rejected the orders of this instance.', { endpoint: id, token: owner.token, reason })
         this.stopLoader(id)
         if (reason === 'stale-token') this.owners.delete(id)
       }
     })
     const ending = new AbortController()
     this.running.set(endpoint.id, { loader, ending })
-    const notBefore = this.notBefore(holder)
-    logger.info('This instance orders the loads of an engine.', { endpoint: endpoint.id, token: holder.token, inMilliseconds: Math.max(0, Math.round(notBefore - clock.now())) })
+    const notBefore = this.notBefore(owner)
+    logger.info('This instance became the load owner of an engine.', {
+      endpoint: endpoint.id, token: owner.token, inMilliseconds: Math.max(0, Math.round(notBefore - clock.now()))
+    })
     void loader.run(notBefore, ending.signal).catch((cause: unknown) => {
       const inMilliseconds = this.postponeRestart(endpoint.id)
-      logger.error('The loads of an engine stopped and start again.', { endpoint: endpoint.id, inMilliseconds, reason: cause instanceof Error ? cause.stack : String(cause) })
+      logger.error('The loader of an engine failed and will be restarted.', {
+        endpoint: endpoint.id, inMilliseconds, reason: cause instanceof Error ? cause.stack : String(cause)
+      })
       this.stopLoader(endpoint.id)
     })
   }
 
-  /** A fault that comes back at once would otherwise fill the log and the engine's orders three times a second. */
+  /**
+   * Postpones the restart of a loader. A fault that occurs at every start would otherwise write to the log and send orders to the
+   * engine three times a second.
+   *
+   * @returns the delay in milliseconds
+   */
   private postponeRestart (endpoint: EndpointId): number {
-    const pauses = this.restartPostponed.get(endpoint)?.pauses ?? new Backoff(RESTART_DELAYS, Math.random)
-    const milliseconds = Math.round(pauses.next())
-    this.restartPostponed.set(endpoint, { pauses, until: this.dependencies.clock.now() + milliseconds })
+    const delays = this.restartPostponed.get(endpoint)?.delays ?? new Backoff(RESTART_DELAYS, Math.random)
+    const milliseconds = Math.round(delays.next())
+    this.restartPostponed.set(endpoint, { delays, until: this.dependencies.clock.now() + milliseconds })
     return milliseconds
   }
 
   /**
-   * The holder before may have been cut off or paused and have orders on the way. It hears of its loss within the
-   * margin, and nobody orders for a lease after that: two instances never take turns within one lease.
+   * The previous load owner may be partitioned or paused and still have orders in flight. It learns within the margin that it lost
+   * the ownership, and no instance sends an order for a lease after that: two instances never order loads within the same lease.
+   *
+   * @returns monotonic time before which this instance must not send orders to the engine
    */
-  private notBefore (holder: LoadOwner): number {
+  private notBefore (owner: LoadOwner): number {
     const { clock, members, leaseMilliseconds } = this.dependencies
-    if (holder.previous === undefined || holder.previous === members.self.name) return clock.now()
-    const apart = leaseMilliseconds + LEASE_MARGIN_MILLISECONDS
-    const claimedAt = this.claimedAt.get(holder.endpoint)
-    if (claimedAt !== undefined) return claimedAt + apart
-    // Claimed by an earlier process of this host: only its time of day is known.
-    const age = Date.now() - holder.claimedAt
+    if (owner.previous === undefined || owner.previous === members.self.name) return clock.now()
+    const separation = leaseMilliseconds + LEASE_MARGIN_MILLISECONDS
+    const claimedAt = this.claimedAt.get(owner.endpoint)
+    if (claimedAt !== undefined) return claimedAt + separation
+    // An earlier process of this host made the claim, so only its wall clock time is known.
+    const age = Date.now() - owner.claimedAt
     if (Math.abs(age) > CERTAINLY_OLD_MILLISECONDS) return clock.now()
-    // A clock that was set meanwhile would make the claim look older than it is. Endpoints that check tokens refuse the holder
-    // before from the first order on; before others only the whole wait keeps the two apart.
-    if (!this.dependencies.fencedEndpoints) return clock.now() + apart
-    return clock.now() + Math.min(apart, Math.max(0, apart + CLOCK_MARGIN_MILLISECONDS - Math.max(0, age)))
+    // A wall clock that was set since would make the claim look older than it is. Endpoints that check fencing tokens refuse the
+    // previous owner from the first order of the new one on. With other endpoints, only the full wait separates the two owners.
+    if (!this.dependencies.fencedEndpoints) return clock.now() + separation
+    return clock.now() + Math.min(separation, Math.max(0, separation + CLOCK_MARGIN_MILLISECONDS - Math.max(0, age)))
   }
 
-  private mayOrder (holder: LoadOwner): boolean {
+  private mayOrder (owner: LoadOwner): boolean {
     const { clock, health, fencedEndpoints, leaseMilliseconds } = this.dependencies
     const now = clock.now()
-    if (this.stopping || now < this.pausedUntil || this.owners.get(holder.endpoint)?.token !== holder.token) return false
-    // An endpoint that checks tokens refuses a holder that has lost its place without knowing. One that does not must
-    // not hear from it at all, so it stops before anybody else may begin.
+    if (this.stopping || now < this.pausedUntil || this.owners.get(owner.endpoint)?.token !== owner.token) return false
+    // An endpoint that checks fencing tokens refuses an owner that has lost the ownership without knowing. An endpoint that does
+    // not check them must receive no order from that owner, so the owner stops before any other instance may begin.
     return fencedEndpoints || health.millisecondsSinceAnswer(now) < leaseMilliseconds * STORE_SILENCE_SHARE
   }
 
-  private ownerChanged (holder: LoadOwner): void {
-    const present = this.running.get(holder.endpoint)
-    if (present === undefined || present.loader.token === holder.token) return
-    this.dependencies.logger.info('Another instance orders the loads of an engine.', { endpoint: holder.endpoint, holder: holder.holder, token: holder.token })
-    this.stopLoader(holder.endpoint)
+  private ownerChanged (owner: LoadOwner): void {
+    const current = this.running.get(owner.endpoint)
+    if (current === undefined || current.loader.token === owner.token) return
+    this.dependencies.logger.info('Another instance became the load owner of an engine.', {
+      endpoint: owner.endpoint, holder: owner.holder, token: owner.token
+    })
+    this.stopLoader(owner.endpoint)
   }
 
   private stopLoader (id: EndpointId): void {
@@ -314,20 +346,20 @@
 
   private async deleteOrphanedOwners (): Promise<void> {
     const now = this.dependencies.clock.now()
-    for (const holder of [...this.owners.values()]) {
-      if (this.dependencies.directory.find(holder.endpoint) !== undefined) {
-        this.endpointMissingSince.delete(holder.endpoint)
+    for (const owner of [...this.owners.values()]) {
+      if (this.dependencies.directory.find(owner.endpoint) !== undefined) {
+        this.endpointMissingSince.delete(owner.endpoint)
         continue
       }
-      const since = this.endpointMissingSince.get(holder.endpoint) ?? now
-      this.endpointMissingSince.set(holder.endpoint, since)
-      if (holder.holder !== this.dependencies.members.self.name || now - since < DELETE_ORPHANED_AFTER_MILLISECONDS) continue
-      const removed = await this.dependencies.store.remove(loadOwnerPath(holder.endpoint), holder.token)
+      const since = this.endpointMissingSince.get(owner.endpoint) ?? now
+      this.endpointMissingSince.set(owner.endpoint, since)
+      if (owner.holder !== this.dependencies.members.self.name || now - since < DELETE_ORPHANED_AFTER_MILLISECONDS) continue
+      const removed = await this.dependencies.store.remove(loadOwnerPath(owner.endpoint), owner.token)
       if (removed.isErr()) continue
-      this.owners.delete(holder.endpoint)
-      this.endpointMissingSince.delete(holder.endpoint)
-      this.ownerAbsentSince.delete(holder.endpoint)
-      this.claimedAt.delete(holder.endpoint)
+      this.owners.delete(owner.endpoint)
+      this.endpointMissingSince.delete(owner.endpoint)
+      this.ownerAbsentSince.delete(owner.endpoint)
+      this.claimedAt.delete(owner.endpoint)
     }
   }
 }
--- a/packages/ingress/src/adapters/loader-dependencies.ts
+++ b/packages/ingress/src/adapters/loader-dependencies.ts
@@ -1,4 +1,4 @@
-/** What the loads of one engine are ordered with. */
+/** Dependencies of the loader of an engine. */
 import type { EndpointId } from '@limpetwinch/core'
 import type { EvictionPolicy } from '@limpetwinch/decisions'
 import type { AdapterKey, Endpoint, ModelName } from '../routes/configuration.js'
@@ -11,25 +11,25 @@
 import type { ModelLoadRateLimiter } from './model-load-rate-limiter.js'
 import type { WeightStoreLimiter } from './weight-store-limiter.js'
 
-/** What a loader needs. */
+/** Dependencies of a loader. */
 export interface LoaderDependencies extends OrderDependencies {
   readonly locations: AdapterLocations
   readonly workTracker: EndpointWorkTracker
   readonly policy: EvictionPolicy
   readonly modelLoadLimiter: ModelLoadRateLimiter
   readonly storeLimiter: WeightStoreLimiter
-  /** @returns the newest announced version; 0 for none */
+  /** @returns the latest announced version of the adapter; 0 for none */
   readonly latestVersion: (key: AdapterKey) => number
-  /** @returns whether one more engine with the model is worth a load from the weight store */
+  /** @returns whether loading the model on one more engine is worth a load from the weight store */
   readonly isModelNeeded: (endpoint: Endpoint, model: ModelName) => boolean
-  /** @returns whether orders may be given now */
+  /** @returns whether orders may be sent to the engine now */
   readonly mayOrder: (endpoint: EndpointId) => boolean
-  /** Tells all instances what the engine holds. */
-  readonly publish: (statement: HeldAdaptersUpdate, urgency: Urgency) => void
-  /** @returns milliseconds in which all instances have heard of it and answered */
+  /** Sends a notice about what the engine holds to all instances. */
+  readonly publish: (update: HeldAdaptersUpdate, urgency: Urgency) => void
+  /** @returns milliseconds within which all instances have received a notice and their replies have arrived */
   readonly noticeRoundTripMilliseconds: () => number
-  /** Someone else orders this engine, or another one listens at its address. */
+  /** Called when the engine has a newer load owner, or another endpoint listens at its address. */
   readonly onLost: (endpoint: EndpointId, reason: OrderAnswer) => void
-  /** The engine could not be reached. */
+  /** Called when the engine was unreachable. */
   readonly onUnreachable: (endpoint: EndpointId, reason: string) => void
 }
--- a/packages/ingress/src/adapters/model-load-rate-limiter.ts
+++ b/packages/ingress/src/adapters/model-load-rate-limiter.ts
@@ -1,10 +1,10 @@
-/** Whole models come from a store that hands out few a second to all engines together; each instance takes its share. */
+/** Limits the loads of whole models. The weight store delivers only a few models per second to all engines; each instance uses an equal share. */
 import type { Clock } from '@limpetwinch/core'
 
-/** Loads that an instance may order at once after a pause. */
+/** Loads that an instance may order at once after an idle period. */
 const BURST = 1
 
-/** This instance's share of the rate. */
+/** Token bucket with this instance's share of the rate. */
 export class ModelLoadRateLimiter {
   private readonly clock: Clock
   private readonly instances: () => number
@@ -12,8 +12,8 @@
   private refilledAt: number
 
   /**
-   * @param clock - for the rate
-   * @param instances - how many share the rate
+   * @param clock - measures the time in which tokens are refilled
+   * @param instances - returns the number of instances that share the rate
    */
   constructor (clock: Clock, instances: () => number) {
     this.clock = clock
@@ -22,8 +22,10 @@
   }
 
   /**
-   * @param perSecond - the rate of all instances together
-   * @returns whether one load may be ordered now; it is then counted
+   * Takes a token if there is one.
+   *
+   * @param perSecond - rate of all instances together
+   * @returns whether one load may be ordered now; the load is then counted
    */
   tryTake (perSecond: number): boolean {
     const now = this.clock.now()
--- a/packages/ingress/src/adapters/model-need.ts
+++ b/packages/ingress/src/adapters/model-need.ts
@@ -1,23 +1,23 @@
 /**
- * Whether an empty engine should get a whole model from the weight store.
+ * Decides whether an empty engine should load a whole model from the weight store.
  *
- * Such a load is the dearest thing that can be ordered: it takes one of some four a second of the whole deployment, and is
- * priced like some ten requests. Engines join empty in quiet times as well, where those that hold the model have room
- * for everything that comes; there the load buys nothing.
+ * Such a load is the most expensive order: the whole deployment can make only about four per second, and each costs about as much
+ * as ten requests. Engines also join empty while traffic is low. The engines that hold the model can then serve all requests, and
+ * the load would bring no benefit.
  */
 
-/** How much of an engine that holds the model is in use. */
+/** Adapter slots of an engine that holds the model, and how many of them are in use. */
 export interface EngineUsage {
   readonly slots: number
   readonly adaptersInUse: number
 }
 
-/** Above this part of all slots in use, requests begin to wait for one: the crowd's own slots are spread unevenly. */
+/** Share of all slots in use above which requests begin to wait for a slot, since the slots in use are spread unevenly over the engines. */
 const BUSY_SHARE = 0.4
 
 /**
- * @param holders - the engines that hold the model and take work
- * @returns whether one more is worth a load from the weight store
+ * @param holders - engines that hold the model and accept requests
+ * @returns whether loading the model on one more engine is worth a load from the weight store
  */
 export function isModelNeeded (holders: readonly EngineUsage[]): boolean {
   const slots = holders.reduce((sum, { slots: each }) => sum + each, 0)
--- a/packages/ingress/src/adapters/order-dispatcher.ts
+++ b/packages/ingress/src/adapters/order-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Gives the orders of one engine, one after the other, and settles what became of those without an answer. */
+/** Sends orders to one engine, one at a time, and determines the outcome of orders without an answer. */
 import type { FencingToken } from '@limpetwinch/core'
 import type { PendingLoad } from '@limpetwinch/decisions'
 import { modelOf } from '../routes/configuration.js'
@@ -9,15 +9,15 @@
 import type { SlotReservations } from './slot-reservations.js'
 import { UnansweredOrders } from './unanswered-orders.js'
 
-/** Reports are some hundred milliseconds old; one taken after this shows the last order. */
+/** Delay before a report is read. Reports are some hundred milliseconds old; after this delay they include the last order. */
 const REPORT_LAG_MILLISECONDS = 250
-/** An engine that could not be connected to is left in peace for this. */
+/** Pause after a connection to the engine failed. */
 const UNREACHABLE_PAUSE_MILLISECONDS = 300
-/** An engine that is still at work on an order meets the next one with a conflict; it is done within a few of these. */
+/** Pause after a conflict. An engine that is still carrying out an order answers the next one with a conflict; it finishes within a few pauses. */
 const CONFLICT_PAUSE_MILLISECONDS = 25
-const MOST_CONFLICT_PAUSES = 2
+const MAXIMUM_CONFLICT_PAUSES = 2
 
-/** The orders of one engine under one token. */
+/** Orders to one engine under one fencing token. */
 export class OrderDispatcher {
   private readonly endpoint: Endpoint
   private readonly reservations: SlotReservations
@@ -27,7 +27,7 @@
   private readonly onReconciled: () => void
   private conflicts = 0
 
-  /** @param onReconciled - called when the ledger has taken over what the engine reports */
+  /** @param onReconciled - called after a report of the engine was applied to the slot reservations */
   constructor (endpoint: Endpoint, token: FencingToken, reservations: SlotReservations, dependencies: LoaderDependencies, onReconciled: () => void) {
     this.endpoint = endpoint
     this.reservations = reservations
@@ -36,17 +36,32 @@
     this.onReconciled = onReconciled
   }
 
-  /** @param version - 0 for the newest. @param pendingLoad - what the load is for. @returns the engine's answer; undefined when it gave none */
+  /**
+   * Orders the load of an adapter.
+   *
+   * @param version - 0 for the latest
+   * @param pendingLoad - load that the order is for
+   * @returns the engine's answer; undefined when it gave none
+   */
   async load (key: AdapterKey, version: number, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     return await this.sendAdapterOrder('load', key, version, pendingLoad, signal)
   }
 
-  /** @returns the engine's answer; undefined when it gave none */
+  /**
+   * Orders the unload of an adapter.
+   *
+   * @param pendingLoad - pending load of the same adapter, if there is one
+   * @returns the engine's answer; undefined when it gave none
+   */
   async unload (key: AdapterKey, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
     return await this.sendAdapterOrder('unload', key, 0, pendingLoad, signal)
   }
 
-  /** Orders a whole model; the engine takes no other order until it has come. @returns whether it was accepted */
+  /**
+   * Orders the load of a whole model. The engine accepts no other order until the model is loaded.
+   *
+   * @returns whether the order was accepted
+   */
   async loadModel (model: ModelName, signal: AbortSignal): Promise<boolean> {
     const order: EngineOrder = { operation: 'load', model, adapter: undefined, version: undefined, ifSequence: this.reservations.sequence }
     if (await this.send(order, undefined, undefined, signal) !== 'accepted') return false
@@ -54,7 +69,11 @@
     return true
   }
 
-  /** Reads what the engine holds, late enough that the report shows the last order. @returns whether it was read */
+  /**
+   * Reads the engine's report, late enough that it includes the last order, and applies it to the slot reservations.
+   *
+   * @returns whether a report was read
+   */
   async reconcile (signal: AbortSignal): Promise<boolean> {
     await this.dependencies.clock.sleep(REPORT_LAG_MILLISECONDS, signal)
     if (signal.aborted) return false
@@ -66,13 +85,17 @@
     return true
   }
 
-  private async sendAdapterOrder (operation: 'load' | 'unload', key: AdapterKey, version: number, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  private async sendAdapterOrder (
+    operation: 'load' | 'unload', key: AdapterKey, version: number, pendingLoad: PendingLoad | undefined, signal: AbortSignal
+  ): Promise<OrderAnswer | undefined> {
     const adapter = key.slice(key.indexOf('/') + 1)
     const order = { operation, model: modelOf(key), adapter, version: version === 0 ? undefined : version, ifSequence: this.reservations.sequence }
     return await this.send(order, key, pendingLoad, signal)
   }
 
-  private async send (order: EngineOrder, key: AdapterKey | undefined, pendingLoad: PendingLoad | undefined, signal: AbortSignal): Promise<OrderAnswer | undefined> {
+  private async send (
+    order: EngineOrder, key: AdapterKey | undefined, pendingLoad: PendingLoad | undefined, signal: AbortSignal
+  ): Promise<OrderAnswer | undefined> {
     const { clock, onLost, onUnreachable: onSilent } = this.dependencies
     const { operation, version, ifSequence } = order
     const result = await this.orders.send(order, pendingLoad)
@@ -99,11 +122,13 @@
       return
     }
     if (this.unanswered.assumeCarriedOut(this.reservations, clock.now())) {
-      logger.debug('An order without an answer was carried out.', { endpoint: this.endpoint.id, ifSequence: this.reservations.sequence - 1 })
+      logger.debug('A conflict shows that an order without an answer was carried out.', {
+        endpoint: this.endpoint.id, ifSequence: this.reservations.sequence - 1
+      })
       return
     }
     this.conflicts += 1
-    if (this.conflicts <= MOST_CONFLICT_PAUSES) return await clock.sleep(CONFLICT_PAUSE_MILLISECONDS, signal)
+    if (this.conflicts <= MAXIMUM_CONFLICT_PAUSES) return await clock.sleep(CONFLICT_PAUSE_MILLISECONDS, signal)
     this.conflicts = 0
     await this.reconcile(signal)
   }
--- a/packages/ingress/src/adapters/slot-reservations.ts
+++ b/packages/ingress/src/adapters/slot-reservations.ts
@@ -1,68 +1,69 @@
-/** The adapter slots of one engine, as the instance that orders its loads knows them. */
+/** The adapter slots of one engine, as known to its load owner. */
 import type { AdapterKey, HeldAdapter, ModelName } from '../routes/configuration.js'
 import type { EngineReport } from './engine-control.js'
 
-/** Evicted adapters that an engine caches, for each of its slots: five on the smallest engines known, six on larger ones. */
+/** Evicted adapters that an engine caches per slot: five on the smallest known engines, six on larger ones. */
 const CACHED_PER_SLOT = 5
 
-/** @returns evicted adapters that an engine with so many slots is taken to cache */
+/** @returns the number of evicted adapters that an engine with this many slots is assumed to cache */
 export function mostCached (slots: number): number {
   return CACHED_PER_SLOT * slots
 }
 
-/** An adapter in its slot. */
+/** An adapter that occupies a slot. */
 export interface HeldSlot {
   version: number
   loadedAt: number
   lastUsedAt: number
-  /** When somebody last asked for it, who is about to use it. */
+  /** Time of the last load request for the adapter; the request behind it is about to use the adapter. */
   lastRequestedAt: number
 }
 
-/** A load that was accepted and is not complete. */
+/** A load that the engine accepted and has not completed. */
 export interface InFlightLoad {
   readonly version: number
   readonly orderedAt: number
-  /** When the engine was last asked whether it has come. */
+  /** Time at which the engine was last asked whether the load is complete. */
   lastCheckedAt: number
 }
 
 /**
- * Slots and the count of orders. The count goes into each order as its condition, so that an order whose answer was
- * lost and which the engine carries out seconds later cannot take effect once a newer one has been accepted. Without
- * that, a late load would take a slot that was given away meanwhile, and an engine with too many adapters ends.
+ * Slots of an engine, and the number of orders that it has accepted. Each order carries this number as a condition, so that an
+ * order whose answer was lost, and which the engine carries out seconds later, cannot take effect once a newer order has been
+ * accepted. Without the condition, a late load would take a slot that was reassigned in the meantime, and an engine that exceeds its
+ * slots crashes.
  */
 export class SlotReservations {
   readonly held = new Map<AdapterKey, HeldSlot>()
   readonly inFlight = new Map<AdapterKey, InFlightLoad>()
-  /** Adapters that leave once their last run has ended; they keep their slots until then. */
+  /** Adapters that are unloaded once the last request on them has ended; they keep their slots until then. */
   readonly unloading = new Set<AdapterKey>()
-  /** Adapters evicted of late: engines cache them and load them in a tenth of the time. */
+  /** Recently evicted adapters: engines cache them and load them in a tenth of the time. */
   readonly recentlyEvicted = new Set<AdapterKey>()
   models: readonly ModelName[] = []
   cachedModels: readonly ModelName[] = []
-  /** Orders that the engine has accepted. */
+  /** Number of orders that the engine has accepted. */
   sequence = 0
   private readonly slots: number
   private readonly mostCached: number
 
   /**
-   * @param slots - adapters that the engine takes
-   * @param mostCached - evicted adapters remembered
+   * @param slots - number of adapters that the engine can hold
+   * @param mostCached - number of evicted adapters to remember
    */
   constructor (slots: number, mostCached: number) {
     this.slots = slots
     this.mostCached = mostCached
   }
 
-  /** Slots taken by adapters held or on their way. A replacement takes no second one. */
+  /** Number of slots occupied by adapters that are held or being loaded. A replacement does not occupy a second slot. */
   get occupied (): number {
     let sum = this.held.size
     for (const key of this.inFlight.keys()) if (!this.held.has(key)) sum += 1
     return sum
   }
 
-  /** Slots that nothing takes. */
+  /** Number of unoccupied slots. */
   get free (): number {
     return Math.max(0, this.slots - this.occupied)
   }
@@ -77,32 +78,36 @@
     return (this.held.get(key)?.version ?? -1) >= version
   }
 
-  /** Somebody asks for an adapter that is held. */
-  wanted (key: AdapterKey, now: number): void {
+  /** Records a load request for an adapter that is held. */
+  markRequested (key: AdapterKey, now: number): void {
     const slot = this.held.get(key)
     if (slot !== undefined) slot.lastRequestedAt = now
   }
 
-  /** An order to load was accepted. */
+  /** Records a load order that the engine accepted. */
   ordered (key: AdapterKey, version: number, now: number): void {
     this.sequence += 1
     this.inFlight.set(key, { version, orderedAt: now, lastCheckedAt: now })
   }
 
-  /** The engine holds the adapter, in this version or a newer one. */
+  /** Records a completed load; the engine holds the adapter in this version or a newer one. */
   completed (key: AdapterKey, version: number, now: number): void {
     this.inFlight.delete(key)
     this.recentlyEvicted.delete(key)
     this.held.set(key, { version, loadedAt: now, lastUsedAt: now, lastRequestedAt: now })
   }
 
-  /** An order to unload was accepted; the adapter leaves when its runs have ended. */
+  /** Records an unload order that the engine accepted; the adapter is unloaded when the last request on it has ended. */
   unloadAccepted (key: AdapterKey): void {
     this.sequence += 1
     this.unloading.add(key)
   }
 
-  /** An adapter left. @param counted - whether the engine counted the order that said so */
+  /**
+   * Records that an adapter was unloaded.
+   *
+   * @param counted - whether the engine counted the unload order
+   */
   unloaded (key: AdapterKey, counted: boolean): void {
     if (counted) this.sequence += 1
     this.held.delete(key)
@@ -113,7 +118,7 @@
     if (this.recentlyEvicted.size > this.mostCached && oldest !== undefined) this.recentlyEvicted.delete(oldest)
   }
 
-  /** Takes over what the engine reports. */
+  /** Replaces the state by what the engine reports. */
   applyReport (report: EngineReport, now: number): void {
     this.sequence = report.sequence
     this.models = report.models
--- a/packages/ingress/src/adapters/store-throughput.ts
+++ b/packages/ingress/src/adapters/store-throughput.ts
@@ -1,21 +1,21 @@
-/** How many loads the weight store hands out to all engines together, by what was seen of late. */
+/** Estimates the rate of completed loads from the weight store, over all engines. */
 
-/** Loads in a time, the older ones counting ever less. */
+/** Exponentially decaying rate of completed loads. */
 export class StoreThroughput {
   private loadsPerMillisecond = 0
   private lastAt = -Infinity
 
   /**
-   * A load has come.
+   * Counts a completed load.
    *
-   * @param memory - milliseconds after which what came before counts a third
+   * @param memory - time constant in milliseconds, after which earlier loads count about a third
    */
   record (now: number, memory: number): void {
     this.loadsPerMillisecond = this.loadsPerMillisecond * Math.exp(-Math.max(0, now - this.lastAt) / memory) + 1 / memory
     this.lastAt = now
   }
 
-  /** @returns loads that come within the time, as of the last one */
+  /** @returns the number of loads expected to complete within this time, at the rate as of the last load */
   expectedWithin (milliseconds: number): number {
     return this.loadsPerMillisecond * milliseconds
   }
--- a/packages/ingress/src/adapters/store-turn.ts
+++ b/packages/ingress/src/adapters/store-turn.ts
@@ -1,44 +1,48 @@
 /**
- * When one engine may load from the weight store.
+ * Decides when one engine may load from the weight store.
  *
- * Each instance learns the store's limit by itself and holds the loads of all against it. One to which all news comes late
- * takes every load for a slowed one, and its limit stays below what the others keep on their way. By the limit alone it would order
- * no load for as long as they go on, while its engines look idle and draw requests that are then refused.
+ * Each instance learns the store's limit by itself and compares it with the loads in progress of all instances. An instance that
+ * receives all messages late measures every load as slow, and its limit stays below the number of loads that the other instances
+ * keep in progress. With the limit alone it would order no load for as long as the others go on, while its engines look idle and
+ * attract requests that are then refused.
  *
- * So an engine also has its turn when loads enough have come to all engines since its last one, whatever the limit says.
+ * Therefore an engine also gets a turn, whatever the limit says, once enough loads have completed on all engines since its last turn.
  */
 import type { WeightStoreLimiter } from './weight-store-limiter.js'
 
 /**
- * Loads that come to all engines between two turns of one of them, for each engine. With two, at most half of the loads
- * that begin do so by turn: a store that is too full empties, since the limit holds back the other half.
+ * Loads completed on all engines between two turns of one engine, per engine. With two, at most half of the loads begin by turn:
+ * a congested store recovers, since the limit still applies to the other half.
  */
 const LOADS_PER_TURN = 2
-/** An engine that has loaded nothing for long has no more than so many turns in a row. */
-const MOST_ACCUMULATED_TURNS = 2
+/** Most turns that an engine without loads accumulates. */
+const MAXIMUM_ACCUMULATED_TURNS = 2
 
-/** The turns of one engine. */
+/** Turns of one engine. */
 export class StoreTurn {
   private readonly limiter: WeightStoreLimiter
-  /** Loads handed out for which this engine has had its turns. */
+  /** Part of the completed loads that is used up by this engine's past turns. */
   private accountedLoads: number
 
-  /** @param limiter - what is learnt of the store; its engines take turns */
+  /** @param limiter - concurrency limiter of the store whose engines take turns */
   constructor (limiter: WeightStoreLimiter) {
     this.limiter = limiter
     this.accountedLoads = limiter.completedLoadCount
   }
 
-  /** @param inFlight - loads on their way to all engines. @returns whether one more may begin here */
+  /**
+   * @param inFlight - number of loads in progress on all engines
+   * @returns whether one more load from the store may begin on this engine
+   */
   mayBegin (inFlight: number): boolean {
     return inFlight < this.limiter.limit || this.limiter.completedLoadCount - this.accountedLoads >= this.loadsPerTurn
   }
 
-  /** A load from the store has begun here. */
+  /** Records that a load from the store has begun on this engine. */
   loadBegan (): void {
     const { completedLoadCount: handedOut } = this.limiter
-    const earliest = handedOut - MOST_ACCUMULATED_TURNS * this.loadsPerTurn
-    // Loads come in bursts: what came beyond a turn counts for the next one.
+    const earliest = handedOut - MAXIMUM_ACCUMULATED_TURNS * this.loadsPerTurn
+    // Loads complete in bursts: completed loads beyond one turn count towards the next.
     this.accountedLoads = Math.min(handedOut, Math.max(this.accountedLoads, earliest) + this.loadsPerTurn)
   }
 
--- a/packages/ingress/src/adapters/unanswered-orders.ts
+++ b/packages/ingress/src/adapters/unanswered-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders that an engine has not answered. Each bears the count of orders that the engine had accepted, so at most one of
- * those with the same count can have been carried out.
+ * Tracks orders that an engine has not answered. Each order carries the number of orders that the engine had accepted, so at most
+ * one of the orders with the same number can have been carried out.
  */
 import type { AdapterKey } from '../routes/configuration.js'
 import type { SlotReservations } from './slot-reservations.js'
@@ -13,47 +13,49 @@
 }
 
 /**
- * The orders in doubt of one engine.
+ * Unanswered orders of one engine whose outcome is unknown.
  *
- * When a third of the answers are lost, each conflict that follows was answered by reading the engine's report, which is
- * some hundred milliseconds old: all loads of the engine stood still for a quarter of a second each time. A conflict right
- * after an unanswered order says that it was carried out, and no report is needed.
+ * A conflict right after an unanswered order shows that the order was carried out, so the engine's report is not needed. Reading
+ * it would block all loads of the engine for a quarter of a second each time, because the report lags by some hundred
+ * milliseconds, and up to a third of the answers may be lost.
  */
 export class UnansweredOrders {
   private orders: UnansweredOrder[] = []
 
-  /** Notes an order without an answer. */
+  /** Adds an order without an answer. */
   add (order: UnansweredOrder): void {
     this.orders = [...this.orders.filter(({ ifSequence }) => ifSequence === order.ifSequence), order]
   }
 
-  /** A newer order was accepted: none of these can take effect any more. */
+  /** Removes all orders after the engine accepted a newer one: none of them can take effect any more. */
   clear (): void {
     this.orders = []
   }
 
-  /** The engine reports its count: those with a lower one are settled by what it reports. */
+  /** Removes the orders with a lower number than the engine reports: the report shows their outcome. */
   sequenceReported (sequence: number): void {
     this.orders = this.orders.filter(({ ifSequence }) => ifSequence >= sequence)
   }
 
   /**
-   * Two loads for one slot can both stay without an answer; one of them took the slot. Were both taken to have been carried
-   * out, the other one would be asked for again, and the engine would take it for a load beyond its slots and end. Only a
-   * report tells which one it was.
+   * Two loads for the same slot can both stay unanswered, although only one of them took the slot. If both were assumed to have been
+   * carried out, the other one would be ordered again to confirm it; the engine would load it beyond its slots and crash. Only a
+   * report tells which of them was carried out.
    *
-   * @returns whether more loads are in doubt than there are slots for
+   * @returns whether there are more unanswered loads than free slots
    */
   isBeyondSlots (reservations: SlotReservations): boolean {
-    const loads = this.unsettled(reservations).filter(({ operation, key }) => operation === 'load' && !reservations.inFlight.has(key) && !reservations.held.has(key))
+    const loads = this.unsettled(reservations).filter(({ operation, key }) =>
+      operation === 'load' && !reservations.inFlight.has(key) && !reservations.held.has(key))
     return new Set(loads.map(({ key }) => key)).size > reservations.free
   }
 
   /**
-   * An order met a conflict. Of the orders in doubt one was carried out, and which one is not known: each is taken to have
-   * been, so that no slot is given away that a load may have taken. Asking for arrival and leaving settles them.
+   * Explains a conflict by an unanswered order. One of the unanswered orders was carried out, but it is unknown which one. All are
+   * assumed to have been, so that no slot that a load may have taken is assigned again. The later checks of loads and unloads
+   * determine which of them were.
    *
-   * @returns whether the conflict is explained
+   * @returns whether an unanswered order explains the conflict
    */
   assumeCarriedOut (reservations: SlotReservations, now: number): boolean {
     const orders = this.unsettled(reservations)
--- a/packages/ingress/src/adapters/weight-store-limiter.ts
+++ b/packages/ingress/src/adapters/weight-store-limiter.ts
@@ -1,81 +1,85 @@
 /**
- * How many adapters may be on their way from the weight store to all engines at once.
+ * Limits the number of concurrent adapter loads from the weight store to all engines.
  *
- * The load it answers: a crowd asks for rare adapters, far more of them than the store hands out. Up to some number at a
- * time each load takes the same; beyond it all take longer in proportion. With fewer in flight the store idles while
- * requests wait; with more, the loads that end the longest waits are slowed down by those behind them. Neither number nor
- * time is said anywhere, so both are learnt, from all loads of all instances.
+ * Workload it is designed for: a burst of requests for rare adapters, far more of them than the store delivers. Up to some number
+ * of concurrent loads, each takes the same time; beyond it, all take proportionally longer. With fewer loads in flight the store
+ * idles while requests wait; with more, the loads that end the longest waits are slowed down by those behind them. Neither the
+ * number nor the time is configured, so both are learned, from all loads of all instances.
  *
- * How long a load took is the weaker sign: it is as late as the news of it. How many loads come is the stronger one, since late news
- * is news all the same. So the limit never stays below what was seen to come within the time of one load.
+ * The duration of a load is the weaker signal: a message about its completion that arrives late makes the load look slow. The
+ * number of completed loads is the stronger signal, because late messages still count. The limit therefore never stays below the
+ * number of loads seen to complete within the duration of one load.
  */
 import { StoreThroughput } from './store-throughput.js'
 
 /**
- * In flight for each engine, before anything is learnt: what one engine takes. Stores take a fraction of a load to some loads for
- * each engine at full speed. Begun too low, the store idles while a crowd waits, and the limit grows by a load at a
- * time; begun too high, the first loads of a crowd take longer, and they say at once how much room there is.
+ * Initial limit per engine: the number of loads that one engine accepts. At full speed, stores deliver between a fraction of a load
+ * and several loads per engine. If the limit starts too low, the store idles while a burst of requests waits, and the limit grows by
+ * one load at a time. If it starts too high, the first loads of a burst take longer, and they show at once how much capacity there is.
  */
 const INITIAL_LIMIT_PER_ENGINE = 4
-/** One engine takes four loads at once; below this a single engine could not fill its slots. */
-const LEAST_LIMIT = 4
-const MOST_LIMIT = 1_000
-/** Time of an adapter from an idle store before anything is learnt, milliseconds: an adapter of some tens of megabytes. */
+/** One engine accepts four concurrent loads; below this limit a single engine could not fill its slots. */
+const MINIMUM_LIMIT = 4
+const MAXIMUM_LIMIT = 1_000
+/** Initial estimate of the duration of a load from an idle store, for an adapter of some tens of megabytes. */
 const INITIAL_LOAD_MILLISECONDS = 250
-/** Least weight of the newest load in the time of one; the first ones weigh more, since the first guess is only that. */
+/** Least weight of the latest load in the estimated load duration. The first loads weigh more, since the initial estimate is only a guess. */
 const SMOOTHING = 0.1
-/** One load counts as no faster and no slower than this: an engine may have held the adapter in its cache, or hung. */
+/** Bounds on the ratio of one load to the estimated duration: an engine may have had the adapter in its cache, or may have hung. */
 const FASTEST_LOAD_RATIO = 0.8
 const SLOWEST_LOAD_RATIO = 2.5
 /**
- * A load that took so many times the usual time met a full store. Arrival is asked for each 40 ms, so a load of an idle
- * store is seen up to a sixth late; a third beyond it is no accident, and costs a third of a load's time at most.
+ * Ratio to the usual duration above which a load indicates a congested store. Completion is checked every 40 ms, so a load from an
+ * idle store can appear up to a sixth too long. A third too long is no coincidence, and tolerating it costs at most a third of the
+ * duration of a load.
  */
 const CONGESTED_LOAD_RATIO = 1.35
 /**
- * A full store slows all loads alike. One that is late alone was held up elsewhere: its order was carried out late, its engine
- * stood still, or the news of it came late. A few of these would cut the limit at each of them, and the store would idle
- * while callers wait; so the limit is cut only when three in four of the last loads were slow.
+ * Loads that a decision to lower the limit is based on. A congested store slows all loads alike. A single late load was delayed
+ * elsewhere: its order was carried out late, its engine was paused, or the message about it arrived late. If each of these lowered
+ * the limit, the store would idle while callers wait. The limit is therefore lowered only if three in four recent loads were slow.
  */
 const RECENT_LOADS = 8
-const LEAST_RECENT_LOADS = 3
+const MINIMUM_RECENT_LOADS = 3
 const LOWER_QUARTILE = 0.25
-/** Loads count as recent for so many times the time of one. */
+/** Time for which a load counts as recent, in multiples of the duration of one load. */
 const RECENT_LOAD_TIMES = 4
-/** Added after a load that was not slowed while the limit was reached, at most once in the time of a load. */
+/** Increase, in loads and as a share of the limit, after a load that was not slowed while the limit was reached; at most once per load duration. */
 const INCREASE = 0.25
 const INCREASE_SHARE = 0.05
 /**
- * A slowed load tells the room of the store: what was in flight, over how many times longer it took. The limit is set a
- * little above it, so that the store never idles between an arrival and the news of it, and by one load to no less than half.
+ * A slowed load shows the capacity of the store: the loads in flight, divided by the ratio by which it took longer. The limit is set
+ * slightly above the capacity, so that the store never idles between the completion of a load and the message about it. One load
+ * lowers the limit to no less than half.
  */
 const CAPACITY_MARGIN = 1.15
-const LEAST_REMAINING_SHARE = 0.5
+const MINIMUM_REMAINING_SHARE = 0.5
 /**
- * The time of one load is learnt while no more than this part of the limit, and no more than so many for each engine, are
- * on their way: with a limit that stands too high, slowed loads would pass for usual ones, and it would stay there.
+ * The duration of one load is learned only while the loads in flight are below both this share of the limit and this number per
+ * engine. Otherwise, with a limit that is too high, slowed loads would pass for usual ones, and the limit would stay too high.
  */
 const IDLE_SHARE = 0.4
 const IDLE_PER_ENGINE = 0.25
 
-/** A load from the weight store that is complete. */
+/** A completed load from the weight store. */
 export interface CompletedLoad {
-  /** From the order until the engine said that it holds the adapter. */
+  /** Time from the order until the engine reported that it holds the adapter. */
   readonly milliseconds: number
-  /** Most loads that were on their way to all engines at any time meanwhile, itself left out. */
+  /** Highest number of other loads in progress on all engines at any time during this load. */
   readonly mostOthersInFlight: number
-  /** Monotonic milliseconds. */
+  /** Monotonic time of completion, milliseconds. */
   readonly now: number
 }
 
+/** A completed load in relation to an idle store. */
 interface RecentLoad {
-  /** How many times longer it took than a load of an idle store. */
+  /** Ratio of its duration to that of a load from an idle store. */
   readonly slowness: number
-  readonly mostInFlightBeside: number
+  readonly mostOthersInFlight: number
   readonly now: number
 }
 
-/** The limit and the time of one load, learnt from loads. */
+/** Learns the limit and the duration of one load from completed loads. */
 export class WeightStoreLimiter {
   private readonly engines: () => number
   private learnedLimit: number | undefined
@@ -86,70 +90,70 @@
   private idleLoads = 0
   private recent: RecentLoad[] = []
 
-  /** @param engines - how many engines load from the store */
+  /** @param engines - returns the number of engines that load from the store */
   constructor (engines: () => number) {
     this.engines = engines
   }
 
-  /** Engines that load from the store. */
+  /** Number of engines that load from the store. */
   get engineCount (): number {
     return this.engines()
   }
 
-  /** Loads from the store that were seen to be complete, on all engines. */
+  /** Number of loads from the store that were seen to complete, on all engines. */
   get completedLoadCount (): number {
     return this.completedCount
   }
 
-  /** Loads that may be on their way to all engines at once. */
+  /** Number of loads that may be in progress on all engines at once. */
   get limit (): number {
     return Math.floor(this.exactLimit)
   }
 
-  /** @returns milliseconds that a load takes while so many are on their way */
+  /** @returns expected duration of a load, in milliseconds, while this many are in progress */
   expectedMilliseconds (inFlight: number): number {
     return this.loadMilliseconds * Math.max(1, inFlight / this.exactLimit)
   }
 
-  /** Learns from a load. */
+  /** Learns from a completed load. */
   completed (load: CompletedLoad): void {
     const { exactLimit: before } = this
     this.completedCount += 1
     this.throughput.record(load.now, RECENT_LOAD_TIMES * this.loadMilliseconds)
-    // At the least limit nothing more can be held back; a store that is slow for one load would else seem full for ever.
-    const idle = Math.max(LEAST_LIMIT, Math.min(before * IDLE_SHARE, this.engines() * IDLE_PER_ENGINE))
-    if (load.mostOthersInFlight < idle) this.learnLoadTime(load.milliseconds)
-    const quick = this.lowerQuartileOfRecent(load)
-    // All loads of one moment meet the same store; changed once for each of them, the limit would swing.
+    // At the lowest limit nothing more can be deferred. Without this bound, a store that is slow even for one load would always appear congested.
+    const idleBound = Math.max(MINIMUM_LIMIT, Math.min(before * IDLE_SHARE, this.engines() * IDLE_PER_ENGINE))
+    if (load.mostOthersInFlight < idleBound) this.learnLoadTime(load.milliseconds)
+    const lowerQuartile = this.lowerQuartileOfRecent(load)
+    // Concurrent loads all measure the same congestion. If each of them changed the limit, it would oscillate.
     if (load.now - this.changedAt < this.loadMilliseconds) return
-    const limit = Math.max(this.limitFromLoadTimes(load, quick, idle), this.throughput.expectedWithin(this.loadMilliseconds) * CAPACITY_MARGIN)
+    const limit = Math.max(this.limitFromLoadTimes(load, lowerQuartile, idleBound), this.throughput.expectedWithin(this.loadMilliseconds) * CAPACITY_MARGIN)
     if (limit !== before) this.change(limit, load.now)
   }
 
-  /** @returns the limit as the times of loads have it */
-  private limitFromLoadTimes (load: CompletedLoad, { slowness, mostInFlightBeside }: RecentLoad, idle: number): number {
+  /** @returns the limit that follows from the durations of loads */
+  private limitFromLoadTimes (load: CompletedLoad, { slowness, mostOthersInFlight }: RecentLoad, idleBound: number): number {
     const { exactLimit: limit } = this
-    if (slowness > CONGESTED_LOAD_RATIO && mostInFlightBeside >= idle) {
-      if (this.recent.length < LEAST_RECENT_LOADS) return limit
-      const room = (mostInFlightBeside + 1) / slowness * CAPACITY_MARGIN
-      return Math.min(limit, Math.max(limit * LEAST_REMAINING_SHARE, room))
+    if (slowness > CONGESTED_LOAD_RATIO && mostOthersInFlight >= idleBound) {
+      if (this.recent.length < MINIMUM_RECENT_LOADS) return limit
+      const capacity = (mostOthersInFlight + 1) / slowness * CAPACITY_MARGIN
+      return Math.min(limit, Math.max(limit * MINIMUM_REMAINING_SHARE, capacity))
     }
-    // Raised only where the limit held something back; else it would grow through any quiet hour.
-    const heldBack = slowness <= CONGESTED_LOAD_RATIO && load.mostOthersInFlight + 1 >= Math.floor(limit)
-    return heldBack ? limit + INCREASE + INCREASE_SHARE * limit : limit
+    // The limit grows only if it deferred a load; otherwise it would grow during any period of low traffic.
+    const deferred = slowness <= CONGESTED_LOAD_RATIO && load.mostOthersInFlight + 1 >= Math.floor(limit)
+    return deferred ? limit + INCREASE + INCREASE_SHARE * limit : limit
   }
 
-  /** @returns the load that a quarter of the recent ones were not slower than */
-  private lowerQuartileOfRecent ({ milliseconds, mostOthersInFlight: mostInFlightBeside, now }: CompletedLoad): RecentLoad {
-    const newest = { slowness: milliseconds / this.loadMilliseconds, mostInFlightBeside, now }
+  /** @returns the recent load at the lower quartile of slowness */
+  private lowerQuartileOfRecent ({ milliseconds, mostOthersInFlight, now }: CompletedLoad): RecentLoad {
+    const latest = { slowness: milliseconds / this.loadMilliseconds, mostOthersInFlight, now }
     const since = now - RECENT_LOAD_TIMES * this.loadMilliseconds
-    this.recent = [...this.recent.filter((load) => load.now >= since), newest].slice(-RECENT_LOADS)
+    this.recent = [...this.recent.filter((load) => load.now >= since), latest].slice(-RECENT_LOADS)
     const bySlowness = this.recent.toSorted((left, right) => left.slowness - right.slowness)
-    return bySlowness[Math.floor(bySlowness.length * LOWER_QUARTILE)] ?? newest
+    return bySlowness[Math.floor(bySlowness.length * LOWER_QUARTILE)] ?? latest
   }
 
   private get initialLimit (): number {
-    return Math.max(LEAST_LIMIT, this.engines() * INITIAL_LIMIT_PER_ENGINE)
+    return Math.max(MINIMUM_LIMIT, this.engines() * INITIAL_LIMIT_PER_ENGINE)
   }
 
   private get exactLimit (): number {
@@ -157,9 +161,9 @@
   }
 
   private change (limit: number, now: number): void {
-    this.learnedLimit = Math.min(MOST_LIMIT, Math.max(LEAST_LIMIT, limit))
+    this.learnedLimit = Math.min(MAXIMUM_LIMIT, Math.max(MINIMUM_LIMIT, limit))
     this.changedAt = now
-    // What was loaded before met another limit.
+    // Earlier loads ran under the previous limit.
     this.recent = []
   }
 
--- a/packages/ingress/test/adapter-locations.failure.test.ts
+++ b/packages/ingress/test/adapter-locations.failure.test.ts
@@ -1,6 +1,7 @@
-// Three engines end while four adapters travel to each. They stay listed until their entries lapse, seconds later. If
-// their loads counted as travelling for so long, no other engine would be ordered a load in that time, and every request
-// for a cold adapter would wait or be refused. Notices of earlier lives and holders must not bring back what is gone.
+// Guards against loads being blocked by crashed engines: three engines crash while each loads four adapters. They stay listed until
+// their entries lapse, seconds later. If their loads counted as in progress for that long, no other engine would be sent a load order,
+// and every request for a cold adapter would wait or be refused.
+// Also guards against notices of earlier incarnations and load owners that would restore adapters an engine no longer holds.
 import { describe, expect, it } from 'vitest'
 import type { AdaptersHeldFrame, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import { AdapterLocations } from '../src/adapters/adapter-locations.js'
@@ -11,7 +12,7 @@
 }
 
 describe('adapter locations', () => {
-  it('count a load as travelling for no longer than a load takes', () => {
+  it('count a load as in progress for no longer than a load can take', () => {
     const locations = new AdapterLocations()
     for (const id of ['a', 'b', 'c']) locations.applyNotice(LOAD_OWNER, notice({ endpoint: id as EndpointId, inFlight: ['base/1', 'base/2', 'base/3', 'base/4'] }), 1_000)
     expect([1_900, 2_000].map((now) => locations.inFlight.count(now))).toEqual([12, 0])
@@ -24,7 +25,7 @@
     expect(locations.inFlight.count(2_100)).toBe(1)
   })
 
-  it('believe the newest life, holder and notice', () => {
+  it('apply only notices of the latest incarnation, load owner and sequence number', () => {
     const locations = new AdapterLocations()
     locations.applyNotice(LOAD_OWNER, notice({ token: 7 as FencingToken, held: [[key('new'), 1]] }), 0)
     locations.applyNotice(LOAD_OWNER, notice({ token: 6 as FencingToken, sequence: 99, held: [[key('old'), 1]] }), 0)
@@ -35,17 +36,17 @@
     expect(locations.holders(key('new')).size).toBe(0)
   })
 
-  // The host that orders an engine's loads starts again and goes on under its token. Its new process says again what the
-  // engine holds, as its first statement; peers that still compare it with the last one of the old process would send
-  // nobody there, and callers would be refused beside adapters that have come.
-  it('believe a new process of the same holder from its first statement', () => {
+  // The load owner's host restarts and keeps its fencing token. The first notice of its new process has a lower sequence number than
+  // the last one of the old process. If peers rejected it, they would send no request to the engine, and callers would be refused
+  // although their adapters are loaded.
+  it('apply the first notice of a new process of the same load owner', () => {
     const locations = new AdapterLocations()
     locations.applyNotice('before' as InstanceId, notice({ sequence: 300, held: [[key('x'), 1]] }), 0)
     locations.applyNotice('after' as InstanceId, notice({ sequence: 1, held: [[key('y'), 1]] }), 10)
     expect([key('x'), key('y')].map((each) => locations.holders(each).size)).toEqual([0, 1])
   })
 
-  it('remember what an engine caches, until the engine is gone', () => {
+  it('remember what an engine caches until the engine is removed', () => {
     const locations = new AdapterLocations()
     locations.applyNotice(LOAD_OWNER, notice({ sequence: 1, held: [[key('x'), 1]] }), 0)
     locations.applyNotice(LOAD_OWNER, notice({ sequence: 2 }), 0)
@@ -54,7 +55,7 @@
     expect([before, locations.isCached('a' as EndpointId, key('x'), 0)]).toEqual([true, false])
   })
 
-  it('wake those that wait when the adapter arrives', async () => {
+  it('wake waiting requests when the adapter arrives', async () => {
     const locations = new AdapterLocations()
     const arrived = locations.waitForArrival(key('x'), 60_000, new AbortController().signal)
     locations.applyNotice(LOAD_OWNER, notice({ held: [[key('x'), 1]] }), 0)
@@ -64,7 +65,7 @@
 })
 
 describe('a load that was lost', () => {
-  it('draws no further requests to its engine once it takes longer than any load', () => {
+  it('attracts no further requests to its engine once it takes longer than any load', () => {
     const locations = new AdapterLocations()
     locations.applyNotice(LOAD_OWNER, notice({ inFlight: ['base/x'] }), 1_000)
     expect([1_500, 2_100].map((now) => locations.inFlight.has('a' as EndpointId, key('x'), now))).toEqual([true, false])
--- a/packages/ingress/test/endpoint-loader.failure.test.ts
+++ b/packages/ingress/test/endpoint-loader.failure.test.ts
@@ -1,7 +1,7 @@
-// An engine has two adapter slots and ends when it is ordered a third adapter. Its answers may be lost, and an order
-// whose answer was lost may be carried out seconds later, after newer ones. Callers then see every request of that engine
-// fail. The loader bears the engine's count of orders in each order, so that a late one can no longer take effect; these
-// tests let orders be lost and late at random and count slots at the engine itself.
+// Guards against an engine that is ordered to load more adapters than it has slots for, which crashes it and fails every request on it.
+// The engine here has two slots. Its answers may be lost, and an order whose answer was lost may be carried out seconds later, after
+// newer orders. The loader sends the number of orders that the engine has accepted as a condition of each order, so that a late order
+// can no longer take effect. The tests lose and delay orders at random and count the slots at the engine itself.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
@@ -18,11 +18,11 @@
 import { SimulatedEngineControl } from './support/simulated-engine-control.js'
 import { endpoint, engineShape, key, LOAD_OWNER } from './support/samples.js'
 
-/** Peers hear of an eviction within this. */
+/** Time within which peers receive the notice of an eviction. */
 const NOTICE_MILLISECONDS = 30
 
 const ENGINES = 13
-/** Other engines have so many loads on their way at any time; each takes so long. */
+/** Number of loads in progress on other engines at any time, and the duration of each. */
 const OTHER_LOADS = 12
 const OTHER_LOAD_MILLISECONDS = 400
 
@@ -30,75 +30,75 @@
   readonly engine: SimulatedEngine
   readonly loader: EndpointLoader
   readonly locations: AdapterLocations
-  readonly board: EndpointWorkTracker
+  readonly workTracker: EndpointWorkTracker
   readonly stop: () => Promise<void>
 }
 
-/** What once made a loader order a load beyond the slots. */
+/** Order fates and load requests that once made a loader order a load beyond the slots. */
 const LOST_FATES: OrderFate[] = ['done', 'lost', 'silent', 'silent', 'lost', 'silent', 'done', 'done', 'done', 'done', 'done']
-const LOST_CROWD = [
-  { name: 'a', waiters: 1, pause: 0 },
-  { name: 'c', waiters: 1, pause: 0 },
-  { name: 'a', waiters: 1, pause: 0 },
-  { name: 'a', waiters: 4, pause: 18 },
-  { name: 'a', waiters: 1, pause: 0 },
-  { name: 'a', waiters: 2, pause: 0 },
-  { name: 'a', waiters: 2, pause: 8 },
-  { name: 'b', waiters: 4, pause: 2 },
-  { name: 'c', waiters: 2, pause: 15 },
-  { name: 'c', waiters: 4, pause: 28 }
+const LOST_FATE_REQUESTS = [
+  { name: 'a', requestCount: 1, pause: 0 },
+  { name: 'c', requestCount: 1, pause: 0 },
+  { name: 'a', requestCount: 1, pause: 0 },
+  { name: 'a', requestCount: 4, pause: 18 },
+  { name: 'a', requestCount: 1, pause: 0 },
+  { name: 'a', requestCount: 2, pause: 0 },
+  { name: 'a', requestCount: 2, pause: 8 },
+  { name: 'b', requestCount: 4, pause: 2 },
+  { name: 'c', requestCount: 2, pause: 15 },
+  { name: 'c', requestCount: 4, pause: 28 }
 ]
 
-/** More runs by hand. */
+/** Number of random runs; set CROWD_RUNS for more. */
 const CROWD_RUNS = Number(process.env['CROWD_RUNS'] ?? 8)
 
-function start (engine: SimulatedEngine, newest: ReadonlyMap<string, number> = new Map(), adapterSlots = 2, storePace = new WeightStoreLimiter(() => ENGINES)): Run {
+function start (engine: SimulatedEngine, latest: ReadonlyMap<string, number> = new Map(), adapterSlots = 2, storeLimiter = new WeightStoreLimiter(() => ENGINES)): Run {
   const clock = new SystemClock()
   const locations = new AdapterLocations()
-  const board = new EndpointWorkTracker()
+  const workTracker = new EndpointWorkTracker()
   const subject = endpoint('engine')
   const loader = new EndpointLoader(subject, 7 as FencingToken, engineShape({ adapterSlots }), {
     control: new SimulatedEngineControl(engine),
     clock,
     logger: silentLogger(),
     locations,
-    workTracker: board,
+    workTracker,
     policy: new StallEvictionPolicy(),
     modelLoadLimiter: new ModelLoadRateLimiter(clock, () => 1),
-    storeLimiter: storePace,
+    storeLimiter,
     holder: 'me',
-    latestVersion: (name) => newest.get(name) ?? 0,
+    latestVersion: (name) => latest.get(name) ?? 0,
     isModelNeeded: () => true,
     mayOrder: () => true,
     noticeRoundTripMilliseconds: () => NOTICE_MILLISECONDS,
-    publish: ({ token, sequence, reservations: ledger, hidden }) => {
-      const held = [...ledger.held].filter(([name]) => !hidden.has(name)).map(([name, slot]): [string, number] => [name, slot.version])
-      locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: subject.id, born: 100, token, sequence, held, inFlight: [...ledger.inFlight.keys()] }, clock.now())
+    publish: ({ token, sequence, reservations, hidden }) => {
+      const held = [...reservations.held].filter(([name]) => !hidden.has(name)).map(([name, slot]): [string, number] => [name, slot.version])
+      locations.applyNotice(LOAD_OWNER, { kind: 'adapters-held', endpoint: subject.id, born: 100, token, sequence, held, inFlight: [...reservations.inFlight.keys()] }, clock.now())
     },
     onLost: () => {},
     onUnreachable: () => {}
   })
   const ending = new AbortController()
   const running = loader.run(clock.now(), ending.signal)
-  return { engine, loader, locations, board, stop: async () => { ending.abort(); await running } }
+  return { engine, loader, locations, workTracker, stop: async () => { ending.abort(); await running } }
 }
 
-/** @returns the pace of an instance that was short of processor time: all loads that it heard of seemed three times as long as they were */
-function paceOfOneThatHearsLate (): WeightStoreLimiter {
-  const storePace = new WeightStoreLimiter(() => ENGINES)
-  for (let now = -60_000; now < 0; now += 100) storePace.completed({ milliseconds: 3 * OTHER_LOAD_MILLISECONDS, mostOthersInFlight: 30, now })
-  return storePace
+/** @returns the limiter of an instance that was short of processor time: all loads appeared three times as long to it as they were */
+function limiterOfDelayedInstance (): WeightStoreLimiter {
+  const storeLimiter = new WeightStoreLimiter(() => ENGINES)
+  for (let now = -60_000; now < 0; now += 100) storeLimiter.completed({ milliseconds: 3 * OTHER_LOAD_MILLISECONDS, mostOthersInFlight: 30, now })
+  return storeLimiter
 }
 
-/** Other engines load one adapter after the other until the signal ends it, and this instance hears of it. */
+/** Lets other engines load one adapter after another until the signal is aborted, and sends this instance the notices. */
 async function loadElsewhere ({ locations }: Run, signal: AbortSignal): Promise<void> {
   await Promise.all(Array.from({ length: OTHER_LOADS }, async (_, index) => {
-    const told = { kind: 'adapters-held' as const, endpoint: endpoint(`other-${index}`).id, born: 100, token: 1 as FencingToken }
+    const base = { kind: 'adapters-held' as const, endpoint: endpoint(`other-${index}`).id, born: 100, token: 1 as FencingToken }
     const now = (): number => performance.now()
     for (let load = 0; !signal.aborted; load += 1) {
-      locations.applyNotice(LOAD_OWNER, { ...told, sequence: 2 * load, held: [], inFlight: [key(`other-${load}`)] }, now())
+      locations.applyNotice(LOAD_OWNER, { ...base, sequence: 2 * load, held: [], inFlight: [key(`other-${load}`)] }, now())
       await sleep(OTHER_LOAD_MILLISECONDS)
-      locations.applyNotice(LOAD_OWNER, { ...told, sequence: 2 * load + 1, held: [[key(`other-${load}`), 0]], inFlight: [] }, now())
+      locations.applyNotice(LOAD_OWNER, { ...base, sequence: 2 * load + 1, held: [[key(`other-${load}`), 0]], inFlight: [] }, now())
     }
   }))
 }
@@ -112,7 +112,7 @@
   return condition()
 }
 
-async function wanted (run: Run, name: string): Promise<boolean> {
+async function loadAdapter (run: Run, name: string): Promise<boolean> {
   return await until(() => {
     run.loader.requestLoad(key(name), 0, { request: 'r', onTimeMilliseconds: undefined })
     return run.locations.holders(key(name)).size > 0
@@ -120,34 +120,34 @@
 }
 
 describe('the loads of an engine', () => {
-  it('bring an adapter, and make room for a third one by an unused one', async () => {
+  it('load an adapter, and evict an unused one to load a third', async () => {
     const run = start(new SimulatedEngine({ slots: 2 }))
-    const brought = [await wanted(run, 'x'), await wanted(run, 'y'), await wanted(run, 'z')]
+    const loaded = [await loadAdapter(run, 'x'), await loadAdapter(run, 'y'), await loadAdapter(run, 'z')]
     await run.stop()
-    expect({ brought, most: run.engine.mostOccupied }).toEqual({ brought: [true, true, true], most: 2 })
+    expect({ loaded, most: run.engine.mostOccupied }).toEqual({ loaded: [true, true, true], most: 2 })
   })
 
   it('never evict an adapter that a request uses', async () => {
     const run = start(new SimulatedEngine({ slots: 2 }))
-    await wanted(run, 'x')
-    await wanted(run, 'y')
-    run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
-    const ticket = run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('y') })
+    await loadAdapter(run, 'x')
+    await loadAdapter(run, 'y')
+    run.workTracker.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
+    const ticket = run.workTracker.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('y') })
     run.loader.requestLoad(key('z'), 0, { request: 'r', onTimeMilliseconds: undefined })
     await sleep(300)
     const held = run.engine.held()
     ticket.ended()
-    const brought = await wanted(run, 'z')
+    const loaded = await loadAdapter(run, 'z')
     await run.stop()
-    expect({ held, brought, unloaded: run.engine.unloaded }).toEqual({ held: ['x', 'y'], brought: true, unloaded: ['y'] })
+    expect({ held, loaded, unloaded: run.engine.unloaded }).toEqual({ held: ['x', 'y'], loaded: true, unloaded: ['y'] })
   })
 
-  it('replace an old version once its last run has ended, however long that takes, and offer the adapter again', async () => {
-    const newest = new Map<string, number>()
-    const run = start(new SimulatedEngine({ slots: 2 }), newest)
-    await wanted(run, 'x')
-    const ticket = run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
-    newest.set(key('x'), 2)
+  it('replace an old version once the last request on it has ended, however long that takes, and offer the adapter again', async () => {
+    const latest = new Map<string, number>()
+    const run = start(new SimulatedEngine({ slots: 2 }), latest)
+    await loadAdapter(run, 'x')
+    const ticket = run.workTracker.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
+    latest.set(key('x'), 2)
     run.loader.versionAnnounced(key('x'), 2)
     await sleep(1_100)
     const during = { version: run.engine.versionOf('x'), offered: run.locations.holders(key('x')).size }
@@ -157,93 +157,95 @@
     expect({ during, after, version: run.engine.versionOf('x') }).toEqual({ during: { version: 1, offered: 0 }, after: true, version: 2 })
   })
 
-  it('go on when an order is carried out late, after newer ones', async () => {
+  it('continue when an order is carried out late, after newer ones', async () => {
     const engine = new SimulatedEngine({ slots: 2 })
     const run = start(engine)
-    await wanted(run, 'x')
-    engine.next = ['late']
-    await wanted(run, 'y')
-    await wanted(run, 'z')
+    await loadAdapter(run, 'x')
+    engine.nextFates = ['late']
+    await loadAdapter(run, 'y')
+    await loadAdapter(run, 'z')
     engine.carryOutLate()
     await sleep(100)
-    const brought = await wanted(run, 'x')
+    const loaded = await loadAdapter(run, 'x')
     await run.stop()
-    expect({ brought, most: engine.mostOccupied }).toEqual({ brought: true, most: 2 })
+    expect({ loaded, most: engine.mostOccupied }).toEqual({ loaded: true, most: 2 })
   })
 
-  // A third of all answers to orders are lost, and what was ordered is done all the same. Each conflict that followed was
-  // settled by a report, a quarter of a second later; callers of all adapters of the engine waited for that.
-  it('go on at once when an order was carried out and its answer lost', async () => {
+  // A third of the answers to orders are lost although the orders are carried out. If each conflict that follows were resolved by a
+  // report, a quarter of a second later, the callers of all adapters of the engine would wait for it.
+  it('continue at once when an order was carried out and its answer lost', async () => {
     const engine = new SimulatedEngine({ slots: 4 })
     const run = start(engine, new Map(), 4)
-    await wanted(run, 'a')
+    await loadAdapter(run, 'a')
     const reports = engine.reportCount
     for (const name of ['b', 'c', 'd', 'e', 'f']) {
-      engine.next = ['lost']
-      await wanted(run, name)
+      engine.nextFates = ['lost']
+      await loadAdapter(run, name)
     }
     await run.stop()
     expect({ asked: engine.reportCount - reports, most: engine.mostOccupied }).toEqual({ asked: 0, most: 4 })
   })
 
-  // An engine takes no order for a moment, and two loads for its last free slot stay without an answer, one after the other. Only
-  // one of them was carried out. Asked for again as if both had been, the other one would be a load beyond the slots, which ends
-  // the engine and every answer on it.
-  it('take no slot twice when two loads for the same one stay without an answer', async () => {
+  // Two loads for the last free slot stay unanswered, one after the other, and only one of them was carried out. If the loader assumed
+  // that both were, it would order the other one again to confirm it. That load would exceed the slots, which crashes the engine and
+  // truncates every response on it.
+  it('do not assign a slot twice when two loads for it stay unanswered', async () => {
     const engine = new SimulatedEngine({ slots: 2 })
     const run = start(engine)
-    await wanted(run, 'x')
-    run.board.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
-    engine.next = ['silent', 'lost']
-    // More requests ask for the second adapter while the first order waits for its answer, so that its load comes next.
-    engine.afterNext = () => { for (const request of ['r2', 'r3', 'r4', 'r5']) run.loader.requestLoad(key('z'), 0, { request, onTimeMilliseconds: 600 }) }
+    await loadAdapter(run, 'x')
+    run.workTracker.begin(endpoint('engine').id, { prefillTokens: 0, memoryTokens: 0, adapter: key('x') })
+    engine.nextFates = ['silent', 'lost']
+    // More requests ask for the second adapter while the first order waits for its answer, so that its load is ordered next.
+    engine.afterNextOrder = () => { for (const request of ['r2', 'r3', 'r4', 'r5']) run.loader.requestLoad(key('z'), 0, { request, onTimeMilliseconds: 600 }) }
     run.loader.requestLoad(key('y'), 0, { request: 'r1', onTimeMilliseconds: undefined })
-    const brought = await wanted(run, 'z')
+    const loaded = await loadAdapter(run, 'z')
     await sleep(400)
     await run.stop()
-    expect({ brought, most: engine.mostOccupied }).toEqual({ brought: true, most: 2 })
+    expect({ loaded, most: engine.mostOccupied }).toEqual({ loaded: true, most: 2 })
   })
 
-  // An instance that hears late takes the weight store for full. The others do not, so there are always more loads on their way than it
-  // would bear; it ordered none for as long as the others went on, and whoever was sent to its idle engines was refused.
-  it('go on where this instance takes the store for full and all others do not', async () => {
-    const storePace = paceOfOneThatHearsLate()
-    const run = start(new SimulatedEngine({ slots: 2 }), new Map(), 2, storePace)
-    run.locations.inFlight.onCompleted((load) => storePace.completed({ ...load, milliseconds: 3 * load.milliseconds }))
+  // To an instance that receives messages late, the weight store appears congested. To the others it does not, so there are always more
+  // loads in progress than the limit of this instance allows. Without turns it would order none for as long as the others go on, and
+  // requests sent to its idle engines would be refused.
+  it('continue where the store appears congested to this instance only', async () => {
+    const storeLimiter = limiterOfDelayedInstance()
+    const run = start(new SimulatedEngine({ slots: 2 }), new Map(), 2, storeLimiter)
+    run.locations.inFlight.onCompleted((load) => storeLimiter.completed({ ...load, milliseconds: 3 * load.milliseconds }))
     const ending = new AbortController()
     const elsewhere = loadElsewhere(run, ending.signal)
-    const brought = [await wanted(run, 'x'), await wanted(run, 'y')]
-    const { limit } = storePace
+    const loaded = [await loadAdapter(run, 'x'), await loadAdapter(run, 'y')]
+    const { limit } = storeLimiter
     ending.abort()
     await Promise.all([elsewhere, run.stop()])
-    expect({ brought, wouldBearMore: limit > OTHER_LOADS }).toEqual({ brought: [true, true], wouldBearMore: false })
+    expect({ loaded, allowsMore: limit > OTHER_LOADS }).toEqual({ loaded: [true, true], allowsMore: false })
   }, 15_000)
 
-  // A request asks for an adapter that is held and about to be evicted. The adapter was offered again and, since nobody waited for it any more,
-  // chosen as the one to make way at the same moment; so the request was refused by an engine that had held its adapter all along.
-  it('keep an adapter that is wanted again while it was to make way, and take another one', async () => {
+  // A request asks for an adapter that is held and about to be evicted. Once the adapter is offered again, no load request waits for it,
+  // and it could be chosen for eviction again at the same moment. The request would then be refused by an engine that held its adapter
+  // all along.
+  it('keep an adapter that is requested again while it was about to be evicted, and evict another one', async () => {
     const engine = new SimulatedEngine({ slots: 2 })
     const run = start(engine)
-    await wanted(run, 'x')
-    await wanted(run, 'y')
+    await loadAdapter(run, 'x')
+    await loadAdapter(run, 'y')
     await sleep(300)
     const offered = (name: string): boolean => run.locations.holders(key(name)).size > 0
-    const waits = { request: 'other', onTimeMilliseconds: undefined }
-    run.loader.requestLoad(key('z'), 0, waits)
+    const otherRequest = { request: 'other', onTimeMilliseconds: undefined }
+    run.loader.requestLoad(key('z'), 0, otherRequest)
     await until(() => !offered('x') || !offered('y'))
     const [again, other] = offered('x') ? ['y', 'x'] : ['x', 'y']
     run.loader.requestLoad(key(again), 0, { request: 'r', onTimeMilliseconds: undefined })
-    await until(() => { run.loader.requestLoad(key('z'), 0, waits); return offered('z') })
+    await until(() => { run.loader.requestLoad(key('z'), 0, otherRequest); return offered('z') })
     await run.stop()
     expect({ unloaded: engine.unloaded, held: engine.held().toSorted() }).toEqual({ unloaded: [other], held: [again, 'z'] })
   })
 
-  // An engine lets a run end before it drops its adapter. Asked without a pause whether it has, it is sent a hundred orders a second, each
-  // of which takes processor time from the requests of the instance.
-  it('ask an engine now and then whether an adapter has left that a request still runs', async () => {
+  // An engine lets a request end before it unloads its adapter. If the loader asked without a pause whether that has happened, it would
+  // send a hundred orders per second, each of which takes processor time from the instance's requests.
+  it('ask an engine at intervals whether it has unloaded an adapter that a request was using', async () => {
     const engine = new SimulatedEngine({ slots: 1 })
     const run = start(engine, new Map(), 1)
-    await wanted(run, 'x')
+    await loadAdapter(run, 'x')
     await sleep(300)
     engine.use('x')
     run.loader.requestLoad(key('y'), 0, { request: 'r', onTimeMilliseconds: undefined })
@@ -252,17 +254,17 @@
     await sleep(500)
     const during = engine.orderCount('unload') - before
     engine.release('x')
-    const brought = await wanted(run, 'y')
+    const loaded = await loadAdapter(run, 'y')
     await run.stop()
-    expect({ few: during <= 500 / 40 + 2, brought }).toEqual({ few: true, brought: true })
+    expect({ few: during <= 500 / 40 + 2, loaded }).toEqual({ few: true, loaded: true })
   })
 
-  // Ten requests wait for ten adapters on an engine whose slots all hold something idle. Hidden one after the other, each
-  // for the time in which peers hear of it, the tenth adapter would come after ten such times.
-  it('make room for several loads at the same time', async () => {
+  // Several requests wait for adapters on an engine whose slots all hold idle adapters. If the adapters to evict were hidden one after
+  // the other, each until peers have received its notice, the last load would wait for all of these notices in turn.
+  it('free slots for several loads at the same time', async () => {
     const engine = new SimulatedEngine({ slots: 4 })
     const run = start(engine, new Map(), 4)
-    for (const name of ['a', 'b', 'c', 'd']) await wanted(run, name)
+    for (const name of ['a', 'b', 'c', 'd']) await loadAdapter(run, name)
     await sleep(300)
     const asked = performance.now()
     for (const name of ['e', 'f', 'g', 'h']) run.loader.requestLoad(key(name), 0, { request: name, onTimeMilliseconds: 600 })
@@ -272,7 +274,7 @@
     expect({ unloaded: engine.unloaded.length, together: milliseconds < 4 * NOTICE_MILLISECONDS, most: engine.mostOccupied }).toEqual({ unloaded: 4, together: true, most: 4 })
   })
 
-  it('never take more slots than there are, whatever orders are lost or late (seeds are kept)', async () => {
+  it('never occupy more slots than there are, whichever orders are lost or late (fixed seed)', async () => {
     const fates = fc.array(fc.constantFrom('done' as const, 'lost' as const, 'silent' as const, 'late' as const), { minLength: 10, maxLength: 30 })
     await fc.assert(fc.asyncProperty(fates, async (next) => {
       const engine = new SimulatedEngine({ slots: 2, next })
@@ -286,21 +288,21 @@
     }), { seed: 31, numRuns: 6 })
   })
 
-  // A crowd asks for several adapters at once while answers are lost: which load comes next changes between two orders without
-  // an answer.
-  it('never take more slots than there are while a crowd asks for several adapters at once', async () => {
+  // Many requests ask for several adapters at once while answers are lost, so the load that is ordered next changes between two
+  // unanswered orders.
+  it('never occupy more slots than there are while many requests ask for several adapters at once', async () => {
     const fates = fc.array(fc.constantFrom<OrderFate>('done', 'lost', 'silent', 'silent'), { minLength: 10, maxLength: 30 })
-    const crowd = fc.array(fc.record({ name: fc.constantFrom<string>('a', 'b', 'c', 'd'), waiters: fc.integer({ min: 1, max: 4 }), pause: fc.integer({ min: 0, max: 40 }) }), { minLength: 10, maxLength: 20 })
-    await fc.assert(fc.asyncProperty(fates, crowd, async (next, asked) => {
+    const requests = fc.array(fc.record({ name: fc.constantFrom<string>('a', 'b', 'c', 'd'), requestCount: fc.integer({ min: 1, max: 4 }), pause: fc.integer({ min: 0, max: 40 }) }), { minLength: 10, maxLength: 20 })
+    await fc.assert(fc.asyncProperty(fates, requests, async (next, asked) => {
       const engine = new SimulatedEngine({ slots: 2, next })
       const run = start(engine)
-      for (const { name, waiters, pause } of asked) {
-        for (let waiter = 0; waiter < waiters; waiter += 1) run.loader.requestLoad(key(name), 0, { request: `${name}${waiter}`, onTimeMilliseconds: waiter % 2 === 0 ? 600 : undefined })
+      for (const { name, requestCount, pause } of asked) {
+        for (let index = 0; index < requestCount; index += 1) run.loader.requestLoad(key(name), 0, { request: `${name}${index}`, onTimeMilliseconds: index % 2 === 0 ? 600 : undefined })
         await sleep(pause)
       }
       await sleep(600)
       await run.stop()
       expect(engine.mostOccupied).toBeLessThanOrEqual(2)
-    }), { seed: 31, numRuns: CROWD_RUNS, examples: [[LOST_FATES, LOST_CROWD]] })
+    }), { seed: 31, numRuns: CROWD_RUNS, examples: [[LOST_FATES, LOST_FATE_REQUESTS]] })
   }, CROWD_RUNS * 5_000)
 })
--- a/packages/ingress/test/held-adapter-deltas.failure.test.ts
+++ b/packages/ingress/test/held-adapter-deltas.failure.test.ts
@@ -1,5 +1,6 @@
-// Peers hear what an engine holds as a whole word now and then and as changes between. A change that is applied to another
-// word than the one it goes on from would send callers to adapters that are not there, or keep them from those that are.
+// Peers receive the adapters that an engine holds as occasional full notices and as deltas between them. Guards against a delta that
+// is applied to a notice other than its predecessor: requests would be sent to engines that do not hold their adapter, or kept from
+// engines that do.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { AdaptersHeldFrame, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
@@ -7,7 +8,7 @@
 
 const PEER = 'peer' as InstanceId
 
-function word (sequence: number, held: Readonly<Record<string, number>>, waiting: readonly string[] = [], inFlight: readonly string[] = []): AdaptersHeldFrame {
+function notice (sequence: number, held: Readonly<Record<string, number>>, waiting: readonly string[] = [], inFlight: readonly string[] = []): AdaptersHeldFrame {
   return { kind: 'adapters-held', endpoint: 'e' as EndpointId, born: 1, token: 3 as FencingToken, sequence, held: Object.entries(held), inFlight, waiting, waitMilliseconds: sequence }
 }
 
@@ -18,22 +19,22 @@
   return { ...frame, held: [...frame.held].sort(), waiting: [...frame.waiting ?? []].sort() }
 }
 
-describe('a change of what an engine holds', () => {
-  it('leads from any word to any other', () => {
+describe('a delta of the adapters that an engine holds', () => {
+  it('leads from any full notice to any other', () => {
     fc.assert(fc.property(holdings, holdings, names, names, (held, next, waiting, nextWaiting) => {
-      const [before, after] = [word(1, held, waiting), word(2, next, nextWaiting, ['x'])]
+      const [before, after] = [notice(1, held, waiting), notice(2, next, nextWaiting, ['x'])]
       expect(sorted(applyDelta(before, deltaBetween(before, after)))).toEqual(sorted(after))
     }), { seed: 11 })
   })
 
-  it('is passed over when the word before it was not heard, or came from another process, until the next whole word', () => {
-    const words = new HeldAdapterBaselines()
-    const [first, second, third] = [word(1, { a: 1 }), word(2, { a: 1, b: 1 }), word(3, { b: 1 })]
-    words.setFull(PEER, first)
-    const skipped = words.apply(PEER, deltaBetween(second, third))
-    const foreign = words.apply('other' as InstanceId, deltaBetween(first, second))
-    words.setFull(PEER, second)
-    const taken = words.apply(PEER, deltaBetween(second, third))
-    expect([skipped, foreign, taken?.held]).toEqual([undefined, undefined, [['b', 1]]])
+  it('is ignored when its predecessor was not received, or came from another process, until the next full notice', () => {
+    const baselines = new HeldAdapterBaselines()
+    const [first, second, third] = [notice(1, { a: 1 }), notice(2, { a: 1, b: 1 }), notice(3, { b: 1 })]
+    baselines.setFull(PEER, first)
+    const skipped = baselines.apply(PEER, deltaBetween(second, third))
+    const foreign = baselines.apply('other' as InstanceId, deltaBetween(first, second))
+    baselines.setFull(PEER, second)
+    const applied = baselines.apply(PEER, deltaBetween(second, third))
+    expect([skipped, foreign, applied?.held]).toEqual([undefined, undefined, [['b', 1]]])
   })
 })
