--- a/packages/ingress/test/load-ownership.failure.test.ts
+++ b/packages/ingress/test/load-ownership.failure.test.ts
@@ -1,6 +1,7 @@
-// One instance orders an engine's loads; it is lost, cut off or paused, and another takes over. Were both to order within one
-// lease, the engine could load for one what it evicts for the other, and callers would find their adapter gone. The successor
-// claims in the store, waits a lease, and only then begins; whoever learns that it holds no more stops at once.
+// Guards against two load owners of one engine. The owner is lost, partitioned or paused, and another instance takes over. If both
+// sent orders within one lease, the engine could evict for one what it has loaded for the other, and callers would be refused. The new
+// owner therefore claims the ownership in the store and waits a lease before its first order, and an instance that learns that it has
+// lost the ownership stops at once.
 import { describe, expect, it } from 'vitest'
 import { LimpetwinchError, silentLogger } from '@limpetwinch/core'
 import type { DataCentreId, DeletingObjectStore, InstanceId } from '@limpetwinch/core'
@@ -39,7 +40,7 @@
   readonly at: number
 }
 
-/** Engines whose tokens are checked, and who ordered them when. */
+/** An engine that checks fencing tokens if requested, and records who sent it orders and when. */
 class EnginesUnderTest extends SimulatedEngineControl {
   readonly seen: OrderSeen[] = []
   private highest = 0
@@ -56,45 +57,59 @@
   }
 }
 
-interface World {
+interface TestCluster {
   readonly clock: ManualClock
   readonly store: StoreUnderTest
   readonly engines: EnginesUnderTest
-  /** Names of the instances that others hear. */
-  readonly heard: Set<string>
-  /** Names of the instances that do not reach the engine. */
-  readonly apart: Set<string>
-  /** Data centres of instances that are not in the engine's own. */
-  readonly places: Map<string, string>
+  /** Names of the instances that are reachable by others. */
+  readonly reachable: Set<string>
+  /** Names of the instances that cannot reach the engine. */
+  readonly engineUnreachableFrom: Set<string>
+  /** Data centres of the instances that are not in the engine's own data centre. */
+  readonly dataCentres: Map<string, string>
 }
 
 interface Instance {
-  readonly duty: LoadOwnership
+  readonly ownership: LoadOwnership
   readonly health: StoreHealth
-  /** Reads the store, as a follower would. */
-  readonly look: () => Promise<void>
-  readonly want: () => void
+  /** Reads the store and applies the listing, as the instance's store follower would. */
+  readonly readStore: () => Promise<void>
+  readonly requestLoad: () => void
 }
 
-function world (checksTokens = true): World {
+function testCluster (checksTokens = true): TestCluster {
   const clock = new ManualClock()
-  return { clock, store: new StoreUnderTest(), engines: new EnginesUnderTest(clock, checksTokens), heard: new Set(['one', 'two']), apart: new Set(), places: new Map() }
+  return {
+    clock,
+    store: new StoreUnderTest(),
+    engines: new EnginesUnderTest(clock, checksTokens),
+    reachable: new Set(['one', 'two']),
+    engineUnreachableFrom: new Set(),
+    dataCentres: new Map()
+  }
 }
 
-function instance (name: string, { clock, store, engines, heard, apart, places }: World, fencedEndpoints = true): Instance {
+function instance (name: string, { clock, store, engines, reachable, engineUnreachableFrom, dataCentres }: TestCluster, fencedEndpoints = true): Instance {
   const logger = silentLogger()
   const health = new StoreHealth(logger)
   const configuration = new AcceptedConfiguration(logger)
   configuration.apply({ version: 1, routes: [route()], services: [service('engines', engineShape())], limits: { headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1 } }, 'store')
   const directory = new EndpointDirectory(logger)
   directory.apply({ revision: 1, endpoints: [endpoint('e', { service: 'engines' })] }, undefined, clock.now())
-  const placeOf = (each: string): DataCentreId => (places.get(each) ?? HERE) as DataCentreId
-  const live = (): { name: string, dataCentre: DataCentreId }[] => [...heard].map((each) => ({ name: each, dataCentre: placeOf(each) }))
+  const dataCentreOf = (each: string): DataCentreId => (dataCentres.get(each) ?? HERE) as DataCentreId
+  const live = (): { name: string, dataCentre: DataCentreId }[] => [...reachable].map((each) => ({ name: each, dataCentre: dataCentreOf(each) }))
   const members = {
-    self: { name, instance: name as InstanceId, address: '', dataCentre: placeOf(name) }, hasListing: true, live, isLive: (each: string) => heard.has(each), isReachable: (each: string) => heard.has(each), find: (each: string) => ({ dataCentre: placeOf(each) })
+    self: { name, instance: name as InstanceId, address: '', dataCentre: dataCentreOf(name) },
+    hasListing: true,
+    live,
+    isLive: (each: string) => reachable.has(each),
+    isReachable: (each: string) => reachable.has(each),
+    find: (each: string) => ({ dataCentre: dataCentreOf(each) })
   } as unknown as MemberList
-  const duty = new LoadOwnership({ store: store as unknown as DeletingObjectStore, health, clock, logger, members, directory, configuration, leaseMilliseconds: LEASE, fencedEndpoints }, {
-    control: seenBy(name, engines, apart),
+  const ownership = new LoadOwnership({
+    store: store as unknown as DeletingObjectStore, health, clock, logger, members, directory, configuration, leaseMilliseconds: LEASE, fencedEndpoints
+  }, {
+    control: engineControlOf(name, engines, engineUnreachableFrom),
     clock,
     logger,
     locations: new AdapterLocations(),
@@ -108,208 +123,209 @@
     noticeRoundTripMilliseconds: () => 30,
     onUnreachable: () => {}
   })
-  const look = async (): Promise<void> => {
+  const readStore = async (): Promise<void> => {
     const listing = await store.list(`${CLUSTER_KIND}/`)
     if (listing.isErr()) return
     health.answered(clock.now())
-    const holders = listing.value.objects.flatMap((object) => {
+    const owners = listing.value.objects.flatMap((object) => {
       const decoded = decodeClusterObject(object)
       return decoded?.kind === 'holder' ? [decoded.holder] : []
     })
-    duty.apply(holders, listing.value.cursor)
+    ownership.apply(owners, listing.value.cursor)
   }
-  void duty.run(new AbortController().signal)
-  let wanted = 0
-  const want = (): void => duty.loader(endpoint('e').id)?.requestLoad(key(`${name}${wanted++}`), 0, { request: name, onTimeMilliseconds: undefined })
-  return { duty, health, look, want }
+  void ownership.run(new AbortController().signal)
+  let requested = 0
+  const requestLoad = (): void => ownership.loader(endpoint('e').id)?.requestLoad(key(`${name}${requested++}`), 0, { request: name, onTimeMilliseconds: undefined })
+  return { ownership, health, readStore, requestLoad }
 }
 
-/** The engines as one instance reaches them, or does not. */
-function seenBy (name: string, engines: EnginesUnderTest, apart: ReadonlySet<string>): EngineControl {
-  const silent = err(new LimpetwinchError('endpoint-refused', { endpoint: 'e', reason: 'no connection' }))
+/** @returns the engine control of one instance, which fails while the instance cannot reach the engine */
+function engineControlOf (name: string, engines: EnginesUnderTest, engineUnreachableFrom: ReadonlySet<string>): EngineControl {
+  const unreachable = err(new LimpetwinchError('endpoint-refused', { endpoint: 'e', reason: 'no connection' }))
   return {
-    order: async (target: OrderTarget, order: EngineOrder) => apart.has(name) ? silent : await engines.order(target, order),
-    report: async () => apart.has(name) ? silent : await engines.report()
+    order: async (target: OrderTarget, order: EngineOrder) => engineUnreachableFrom.has(name) ? unreachable : await engines.order(target, order),
+    report: async () => engineUnreachableFrom.has(name) ? unreachable : await engines.report()
   } as unknown as EngineControl
 }
 
-async function pass (milliseconds: number, { clock }: World, ...instances: readonly Instance[]): Promise<void> {
+async function advance (milliseconds: number, { clock }: TestCluster, ...instances: readonly Instance[]): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 100) {
     await clock.advance(100)
     for (const each of instances) {
-      await each.look()
-      each.want()
+      await each.readStore()
+      each.requestLoad()
     }
   }
 }
 
-describe('the duty to order an engine\'s loads', () => {
-  it('falls to exactly one of two instances, which begins at once', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    expect(new Set(around.engines.seen.map(({ by }) => by)).size).toBe(1)
+describe('the load ownership of an engine', () => {
+  it('goes to exactly one of two instances, which begins at once', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    expect(new Set(cluster.engines.seen.map(({ by }) => by)).size).toBe(1)
   })
 
-  it('passes to the other after a loss, and never within a lease of the last order', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
-    around.heard.delete(first)
-    await pass(8_000, around, first === 'one' ? two : one)
-    const last = around.engines.seen.findLast(({ by }) => by === first)
-    const next = around.engines.seen.find(({ by }) => by !== first)
-    expect({ taken: next !== undefined, apart: (next?.at ?? 0) - (last?.at ?? 0) > LEASE, newer: (next?.token ?? 0) > (last?.token ?? 0) }).toEqual({ taken: true, apart: true, newer: true })
+  it('passes to the other instance after a loss, but not within a lease of the last order', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
+    cluster.reachable.delete(first)
+    await advance(8_000, cluster, first === 'one' ? two : one)
+    const last = cluster.engines.seen.findLast(({ by }) => by === first)
+    const next = cluster.engines.seen.find(({ by }) => by !== first)
+    expect({ taken: next !== undefined, apartByLease: (next?.at ?? 0) - (last?.at ?? 0) > LEASE, newer: (next?.token ?? 0) > (last?.token ?? 0) }).toEqual({ taken: true, apartByLease: true, newer: true })
   })
 
-  it('ends for the one before as soon as it reads of its successor, and stays apart by a lease', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
-    around.heard.delete(first)
-    // The one before is only unheard by the other: it goes on until the store's watch tells it.
-    await pass(8_000, around, one, two)
-    const turns = around.engines.seen.filter(({ by }, index) => index > 0 && by !== around.engines.seen[index - 1]?.by)
-    const last = around.engines.seen.findLast(({ by }) => by === first)
-    expect({ turns: turns.length, apart: (turns[0]?.at ?? 0) - (last?.at ?? 0) > LEASE }).toEqual({ turns: 1, apart: true })
+  it('ends for the previous owner as soon as it reads the new claim, at least a lease before the first order of the new owner', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
+    cluster.reachable.delete(first)
+    // The first owner is only unreachable by the other instance: it goes on until it learns of the claim from the store.
+    await advance(8_000, cluster, one, two)
+    const turns = cluster.engines.seen.filter(({ by }, index) => index > 0 && by !== cluster.engines.seen[index - 1]?.by)
+    const last = cluster.engines.seen.findLast(({ by }) => by === first)
+    expect({ turns: turns.length, apartByLease: (turns[0]?.at ?? 0) - (last?.at ?? 0) > LEASE }).toEqual({ turns: 1, apartByLease: true })
   })
 
-  it('stops by itself where engines check no tokens and the store is unheard, before anybody else may begin', async () => {
-    const around = world(false)
-    const [one, two] = [instance('one', around, false), instance('two', around, false)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
+  it('ends by itself where engines check no tokens and the store is unreachable, before another instance may begin', async () => {
+    const cluster = testCluster(false)
+    const [one, two] = [instance('one', cluster, false), instance('two', cluster, false)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
     const [cut, other] = first === 'one' ? [one, two] : [two, one]
-    around.heard.delete(first)
+    cluster.reachable.delete(first)
     for (let passed = 0; passed < 8_000; passed += 100) {
-      await around.clock.advance(100)
-      cut.want()
-      await other.look()
-      other.want()
+      await cluster.clock.advance(100)
+      cut.requestLoad()
+      await other.readStore()
+      other.requestLoad()
     }
-    const last = around.engines.seen.findLast(({ by }) => by === first)
-    const next = around.engines.seen.find(({ by }) => by !== first)
-    expect({ taken: next !== undefined, apart: (next?.at ?? 0) - (last?.at ?? 0) > LEASE }).toEqual({ taken: true, apart: true })
+    const last = cluster.engines.seen.findLast(({ by }) => by === first)
+    const next = cluster.engines.seen.find(({ by }) => by !== first)
+    expect({ taken: next !== undefined, apartByLease: (next?.at ?? 0) - (last?.at ?? 0) > LEASE }).toEqual({ taken: true, apartByLease: true })
   })
 
-  // An instance is stopped and its host has another one soon. Were its engines claimed at once, the claimant would have to
-  // wait a lease, and callers of cold adapters with it; the new instance of the same host goes on at once.
-  it('stays with a host whose instance is back soon', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
-    around.heard.delete(first)
-    await pass(1_800, around, first === 'one' ? two : one)
-    around.heard.add(first)
-    await pass(3_000, around, one, two)
-    expect(new Set(around.engines.seen.map(({ by }) => by)).size).toBe(1)
+  // An instance is stopped, and its host soon runs a new one, which may continue at once. If another instance claimed the engines
+  // immediately, it would have to wait a lease, and so would the callers of cold adapters.
+  it('stays with a host whose instance restarts soon', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
+    cluster.reachable.delete(first)
+    await advance(1_800, cluster, first === 'one' ? two : one)
+    cluster.reachable.add(first)
+    await advance(3_000, cluster, one, two)
+    expect(new Set(cluster.engines.seen.map(({ by }) => by)).size).toBe(1)
   })
 
-  // A data centre is cut off with its engine and the instance that orders it. The others hear neither. Claimed by one of
-  // them the engine would be ordered by nobody, and after the cut by nobody for a lease: its callers would find cold
-  // adapters refused all that time.
-  it('is not claimed by an instance that does not reach the engine', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
+  // A data centre is partitioned together with its engine and the engine's load owner. If another instance claimed the engine, no instance
+  // could order its loads, and after the partition none for another lease: requests for cold adapters would be refused all that time.
+  it('is not claimed by an instance that cannot reach the engine', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
     const other = first === 'one' ? two : one
-    around.heard.delete(first)
-    around.apart.add(first === 'one' ? 'two' : 'one')
-    await pass(9_000, around, other)
-    around.heard.add(first)
-    around.apart.clear()
-    await pass(2_000, around, one, two)
-    expect(new Set(around.engines.seen.map(({ by }) => by)).size).toBe(1)
+    cluster.reachable.delete(first)
+    cluster.engineUnreachableFrom.add(first === 'one' ? 'two' : 'one')
+    await advance(9_000, cluster, other)
+    cluster.reachable.add(first)
+    cluster.engineUnreachableFrom.clear()
+    await advance(2_000, cluster, one, two)
+    expect(new Set(cluster.engines.seen.map(({ by }) => by)).size).toBe(1)
   })
 
-  // An instance is cut off from the store and its peers for a while. When the store answers again it still hears nobody for
-  // a moment; were it to claim all engines then, each would rest for a lease.
-  it('is not claimed by an instance that comes back from a cut and does not hear its peers yet', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const first = around.engines.seen.at(-1)?.by ?? ''
+  // An instance is partitioned from the store and its peers for a while. When the store responds again, its peers are still
+  // unreachable for a moment. If it claimed all engines then, each would go without loads for a lease.
+  it('is not claimed by an instance that was partitioned and cannot reach its peers yet', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const first = cluster.engines.seen.at(-1)?.by ?? ''
     const [holder, cut] = first === 'one' ? [one, two] : [two, one]
-    around.heard.delete(first)
+    cluster.reachable.delete(first)
     for (let passed = 0; passed < 6_000; passed += 100) {
-      cut.health.failed('cut off', around.clock.now())
-      await around.clock.advance(100)
-      holder.want()
+      cut.health.failed('cut off', cluster.clock.now())
+      await cluster.clock.advance(100)
+      holder.requestLoad()
     }
-    await pass(1_000, around, cut)
-    around.heard.add(first)
-    await pass(3_000, around, one, two)
-    expect(new Set(around.engines.seen.map(({ by }) => by)).size).toBe(1)
+    await advance(1_000, cluster, cut)
+    cluster.reachable.add(first)
+    await advance(3_000, cluster, one, two)
+    expect(new Set(cluster.engines.seen.map(({ by }) => by)).size).toBe(1)
   })
 
-  // The only instance of a data centre was replaced; meanwhile one of another data centre ordered its engine. Left so, the
-  // data centre would serve nothing cold the next time it is cut off. The new instance takes the engine back.
-  it('comes back to the engine\'s own data centre when that has an instance again', async () => {
-    const around = world()
-    around.heard.delete('one')
-    around.places.set('two', 'there')
-    const two = instance('two', around)
-    await pass(4_000, around, two)
-    around.heard.add('one')
-    const one = instance('one', around)
-    await pass(25_000, around, one, two)
-    const by = around.engines.seen.map((each) => each.by)
+  // The only instance of a data centre was replaced; in the meantime an instance of another data centre owned its engine. If it kept
+  // the engine, the data centre could load no adapter during its next partition. The new instance takes the engine back.
+  it('returns to the engine\'s own data centre when that has an instance again', async () => {
+    const cluster = testCluster()
+    cluster.reachable.delete('one')
+    cluster.dataCentres.set('two', 'there')
+    const two = instance('two', cluster)
+    await advance(4_000, cluster, two)
+    cluster.reachable.add('one')
+    const one = instance('one', cluster)
+    await advance(25_000, cluster, one, two)
+    const by = cluster.engines.seen.map((each) => each.by)
     const turn = by.indexOf('one')
-    const [last, first] = [around.engines.seen[turn - 1], around.engines.seen[turn]]
-    expect({ before: by[0], after: by.at(-1), turns: by.filter((each, index) => index > 0 && each !== by[index - 1]).length, apart: (first?.at ?? 0) - (last?.at ?? 0) > LEASE })
-      .toEqual({ before: 'two', after: 'one', turns: 1, apart: true })
+    const [last, first] = [cluster.engines.seen[turn - 1], cluster.engines.seen[turn]]
+    expect({ before: by[0], after: by.at(-1), turns: by.filter((each, index) => index > 0 && each !== by[index - 1]).length, apartByLease: (first?.at ?? 0) - (last?.at ?? 0) > LEASE })
+      .toEqual({ before: 'two', after: 'one', turns: 1, apartByLease: true })
   })
 
-  // A host claimed an engine three seconds ago, and its process was killed and started again. Only the time of day says how old
-  // the claim is, and that may have been set. Endpoints that check tokens refuse the holder before anyhow, so the rest of the
-  // lease is enough; before others the new process waits for all of it.
-  it.each([[true, 'sooner'], [false, 'later']])('is gone on with by a new process of its host, where tokens are checked (%s) %s than after a lease', async (fenced, when) => {
-    const around = world(fenced)
-    around.heard.delete('two')
-    await around.store.put({ path: loadOwnerPath(endpoint('e').id), ifVersion: 0, value: { holder: 'one', previous: 'two', claimedAt: Date.now() - 3_000 } })
-    const startedAt = around.clock.now()
-    const one = instance('one', around, fenced)
-    await pass(7_000, around, one)
-    const first = (around.engines.seen[0]?.at ?? Infinity) - startedAt
+  // A host claimed an engine three seconds ago, and its process was killed and restarted. Only the wall clock shows how old the claim
+  // is, and the clock may have been set. Endpoints that check fencing tokens refuse the previous owner in any case, so the rest of the
+  // lease is enough; with other endpoints the new process waits for the whole lease.
+  it.each([
+    [true, 'sooner'], [false, 'later']
+  ])('is continued by a new process of its host, where tokens are checked (%s) %s than after a lease', async (fenced, when) => {
+    const cluster = testCluster(fenced)
+    cluster.reachable.delete('two')
+    await cluster.store.put({ path: loadOwnerPath(endpoint('e').id), ifVersion: 0, value: { holder: 'one', previous: 'two', claimedAt: Date.now() - 3_000 } })
+    const startedAt = cluster.clock.now()
+    const one = instance('one', cluster, fenced)
+    await advance(7_000, cluster, one)
+    const first = (cluster.engines.seen[0]?.at ?? Infinity) - startedAt
     expect({ ordered: first < 7_000, when: first < LEASE ? 'sooner' : 'later' }).toEqual({ ordered: true, when })
   })
 
-  it('rests after a pause until the store has been read', async () => {
-    const around = world()
-    const [one, two] = [instance('one', around), instance('two', around)]
-    await pass(4_000, around, one, two)
-    const before = around.engines.seen.length
-    for (const each of [one, two]) each.duty.pauseUntil(around.clock.now() + 1_000)
-    await pass(900, around, one, two)
-    const during = around.engines.seen.length
-    await pass(1_000, around, one, two)
-    expect({ during: during - before, after: around.engines.seen.length > during }).toEqual({ during: 0, after: true })
+  it('is suspended after a process pause until the store has been read', async () => {
+    const cluster = testCluster()
+    const [one, two] = [instance('one', cluster), instance('two', cluster)]
+    await advance(4_000, cluster, one, two)
+    const before = cluster.engines.seen.length
+    for (const each of [one, two]) each.ownership.pauseUntil(cluster.clock.now() + 1_000)
+    await advance(900, cluster, one, two)
+    const during = cluster.engines.seen.length
+    await advance(1_000, cluster, one, two)
+    expect({ during: during - before, after: cluster.engines.seen.length > during }).toEqual({ during: 0, after: true })
   })
 
-  // Callers of the engine's adapters wait or are refused. Its reports end the loader each time, as a fault of this program
-  // would. Tried again at each look, three times a second, it would fill the log and the engine's connections; tried ever
-  // more rarely, it is still there when the fault is over.
-  it('is taken up ever more rarely while it fails, and at last succeeds', async () => {
-    const around = world()
+  // The loader fails on every report of the engine, as it would by a fault in this program. If it were restarted at each check, three
+  // times a second, it would fill the log and overload the engine with connections. With growing delays it still recovers once the
+  // fault is over.
+  it('restarts a failing loader with growing delays, and finally succeeds', async () => {
+    const cluster = testCluster()
     let failing = true
     const reports: number[] = []
-    const { engines, clock } = around
+    const { engines, clock } = cluster
     const report = engines.report.bind(engines)
     engines.report = async () => {
       reports.push(clock.now())
       if (failing) throw new Error('a fault of the loader')
       return await report()
     }
-    const one = instance('one', { ...around, heard: new Set(['one']) })
-    await pass(40_000, around, one)
+    const one = instance('one', { ...cluster, reachable: new Set(['one']) })
+    await advance(40_000, cluster, one)
     const gaps = reports.slice(1).map((at, index) => at - (reports[index] ?? 0))
     expect({ often: reports.length > 12, first: (gaps[0] ?? 0) < 1_500, last: (gaps.at(-1) ?? 0) >= 5_000 }).toEqual({ often: false, first: true, last: true })
     failing = false
-    await pass(12_000, around, one)
+    await advance(12_000, cluster, one)
     expect(engines.seen.length).toBeGreaterThan(0)
   })
 })
--- a/packages/ingress/test/support/samples.ts
+++ b/packages/ingress/test/support/samples.ts
@@ -1,4 +1,4 @@
-/** Small configurations and endpoints for tests. */
+/** Builders of small configurations and endpoints for tests. */
 import type { EndpointId, InstanceId } from '@limpetwinch/core'
 import type { AdapterKey, Endpoint, EngineShape, ModelName, Route, Service, ServiceName } from '@limpetwinch/ingress'
 
@@ -6,7 +6,7 @@
   readonly targets?: readonly { readonly service: string, readonly weight: number }[]
 }
 
-/** @returns a route with what a test does not care about filled in */
+/** @returns a route; members that the test does not set have default values */
 export function route ({ targets = [{ service: 'guide', weight: 1 }], ...sample }: RouteSample = {}): Route {
   return {
     name: 'r',
@@ -37,7 +37,7 @@
   }
 }
 
-/** @returns a service; with an engine shape it is a service of engines */
+/** @returns a service; one of model engines if an engine shape is given */
 export function service (name: string, engine?: EngineShape): Service {
   return { name: name as ServiceName, connectionLimit: 100, engine }
 }
@@ -67,5 +67,5 @@
   return `base/${adapter}` as AdapterKey
 }
 
-/** The process that orders an engine's loads and says what it holds. */
+/** Process id of the load owner, which sends the notices about what an engine holds. */
 export const LOAD_OWNER = 'speaker' as InstanceId
--- a/packages/ingress/test/support/simulated-engine-control.ts
+++ b/packages/ingress/test/support/simulated-engine-control.ts
@@ -1,11 +1,11 @@
-/** The control side of one simulated engine. */
+/** Control client of one simulated engine. */
 import type { LimpetwinchError } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
 import { EngineControl } from '../../src/adapters/engine-control.js'
 import type { EngineOrder, EngineReport, OrderAnswer, OrderTarget } from '../../src/adapters/engine-control.js'
 import type { SimulatedEngine } from './simulated-engine.js'
 
-/** Passes everything on. */
+/** Passes orders and report requests directly to the simulated engine. */
 export class SimulatedEngineControl extends EngineControl {
   constructor (readonly engine: SimulatedEngine) {
     super()
--- a/packages/ingress/test/support/simulated-engine.ts
+++ b/packages/ingress/test/support/simulated-engine.ts
@@ -1,25 +1,28 @@
-/** An engine's orders as engines carry them out: counted, conditional, some without an answer, some late. */
+/** Simulated engine that counts orders and checks their conditions; some orders stay unanswered, some are carried out late. */
 import { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { EngineOrder, EngineReport, ModelName, OrderAnswer } from '@limpetwinch/ingress'
 import { key } from './samples.js'
 
-/** What becomes of an order: done and answered, done without an answer, never seen, or carried out on call. */
+/**
+ * Fate of an order: `done` is carried out and answered, `lost` carried out without an answer, `silent` never received, and `late`
+ * carried out when the test calls for it.
+ */
 export type OrderFate = 'done' | 'lost' | 'silent' | 'late'
 
 const LOAD_MILLISECONDS = 30
 
 /** One engine that holds the model `base`. */
 export class SimulatedEngine {
-  /** Fates of the next orders; all others are done. */
-  next: OrderFate[]
-  /** Called once when the next order has met its fate. */
-  afterNext: (() => void) | undefined
-  /** Most adapters held or on their way at once. */
+  /** Fates of the next orders; all further orders are `done`. */
+  nextFates: OrderFate[]
+  /** Called once, when the next order arrives and before its fate takes effect. */
+  afterNextOrder: (() => void) | undefined
+  /** Highest number of adapters that were held or being loaded at once. */
   mostOccupied = 0
   readonly unloaded: string[] = []
-  /** How often it was asked what it holds. */
+  /** Number of reports that were read. */
   reportCount = 0
   private readonly slots: number
   private readonly adapters = new Map<string, 'held' | 'inFlight'>()
@@ -32,7 +35,7 @@
 
   constructor ({ slots, next = [] }: { readonly slots: number, readonly next?: readonly OrderFate[] }) {
     this.slots = slots
-    this.next = [...next]
+    this.nextFates = [...next]
   }
 
   /** @returns names of the adapters held */
@@ -45,44 +48,44 @@
     return this.adapters.get(name) === 'held' ? this.versions.get(name) : undefined
   }
 
-  /** A run uses the adapter of which nobody else knows. */
+  /** Starts a request on the adapter that no instance knows about. */
   use (name: string): void {
     this.inUse.add(name)
   }
 
-  /** That run has ended. */
+  /** Ends that request. */
   release (name: string): void {
     this.inUse.delete(name)
     if (this.departing.delete(name)) this.drop(name)
   }
 
-  /** @returns orders of the kind that came */
+  /** @returns the number of orders of this kind that were received */
   orderCount (operation: EngineOrder['operation']): number {
     return this.counts.get(operation) ?? 0
   }
 
-  /** Takes an order. */
+  /** Handles an order according to its fate. */
   async order (order: EngineOrder): Promise<Result<OrderAnswer, LimpetwinchError>> {
     this.counts.set(order.operation, this.orderCount(order.operation) + 1)
-    const fate = this.next.shift() ?? 'done'
-    const { afterNext } = this
-    this.afterNext = undefined
-    afterNext?.()
+    const fate = this.nextFates.shift() ?? 'done'
+    const { afterNextOrder } = this
+    this.afterNextOrder = undefined
+    afterNextOrder?.()
     if (fate === 'done') return ok(this.carryOut(order))
     if (fate === 'late') this.late.push(order)
     if (fate === 'lost') this.carryOut(order)
     return err(new LimpetwinchError('endpoint-failed', { endpoint: 'engine', reason: 'no answer' }))
   }
 
-  /** Carries out what was held up. */
+  /** Carries out the delayed orders. */
   carryOutLate (): void {
     for (const order of this.late.splice(0)) this.carryOut(order)
   }
 
-  /** @returns the engine's own account */
+  /** @returns the engine's report */
   report (): Result<EngineReport, LimpetwinchError> {
     this.reportCount += 1
-    const inState = (wanted: string): EngineReport['held'] => [...this.adapters].filter(([, state]) => state === wanted).map(([name]) => ({ key: key(name), version: this.versions.get(name) ?? 1 }))
+    const inState = (requested: string): EngineReport['held'] => [...this.adapters].filter(([, state]) => state === requested).map(([name]) => ({ key: key(name), version: this.versions.get(name) ?? 1 }))
     return ok({ sequence: this.sequence, busy: false, models: ['base' as ModelName], cachedModels: [], held: inState('held'), inFlight: inState('inFlight') })
   }
 
@@ -97,7 +100,7 @@
     this.sequence += 1
     this.adapters.set(name, 'inFlight')
     this.mostOccupied = Math.max(this.mostOccupied, this.adapters.size)
-    if (this.adapters.size > this.slots) throw new Error('the engine ended: more adapters than slots')
+    if (this.adapters.size > this.slots) throw new Error('the engine crashed: more adapters than slots')
     setTimeout(() => { if (this.adapters.has(name)) this.adapters.set(name, 'held') }, LOAD_MILLISECONDS)
     return 'accepted'
   }
