--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -2,11 +2,11 @@
 import { readFileSync } from 'node:fs'
 import { Args, Flags } from '@oclif/core'
 import { z } from 'zod'
-import { requestStory } from '../logs/request-story.js'
-import { AdminCommand, EXIT } from '../server/admin-command.js'
+import { requestTimeline } from '../logs/request-timeline.js'
+import { AdminCommand, EXIT_CODES } from '../server/admin-command.js'
 import { table } from '../show/table.js'
 
-const storySchema = z.object({
+const explanationSchema = z.object({
   requestId: z.string(),
   adapter: z.string(),
   steps: z.array(z.object({ at: z.number(), what: z.string(), fields: z.record(z.string(), z.unknown()).default({}) }))
@@ -25,9 +25,9 @@
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(Explain)
     if (flags.logs !== undefined) return this.fromLogs(args.request, flags.logs)
-    const answer = await this.must(this.client(flags).ask({ method: 'GET', target: `/admin/explain/${encodeURIComponent(args.request)}` }))
+    const answer = await this.valueOrExit(this.client(flags).send({ method: 'GET', target: `/admin/explain/${encodeURIComponent(args.request)}` }))
     if (this.jsonEnabled()) return JSON.parse(answer.text)
-    const story = this.bodyOf(storySchema, answer)
+    const story = this.bodyOf(explanationSchema, answer)
     const start = story.steps[0]?.at ?? 0
     this.log(`Request ${story.requestId} for ${story.adapter}`)
     this.log(table(['AT', 'WHAT', 'WHY'], story.steps.map(({ at, what, fields }) => [`+${Math.round(at - start)} ms`, what, fieldsText(fields)])))
@@ -35,8 +35,8 @@
   }
 
   private fromLogs (request: string, files: readonly string[]): unknown {
-    const steps = requestStory(files.flatMap((file) => this.readLines(file)), request)
-    if (steps.length === 0) this.error(`No line names request ${request}. Give the logs of all instances that it may have reached.`, { exit: EXIT.notFound })
+    const steps = requestTimeline(files.flatMap((file) => this.readLines(file)), request)
+    if (steps.length === 0) this.error(`No line names request ${request}. Give the logs of all instances that it may have reached.`, { exit: EXIT_CODES.notFound })
     if (this.jsonEnabled()) return { request, steps }
     const start = steps.find((step) => step.own)?.at ?? 0
     const rows = steps.map(({ at, part, what, fields, own }) => [`${own ? '' : '  '}${signed(Math.round(at - start))} ms`, part, what, fieldsText(fields)])
@@ -48,7 +48,7 @@
     try {
       return readFileSync(file, 'utf8').split('\n')
     } catch (cause) {
-      this.error(`${file} cannot be read (${cause instanceof Error ? cause.message : String(cause)}). Give a file that exists.`, { exit: EXIT.usage })
+      this.error(`${file} cannot be read (${cause instanceof Error ? cause.message : String(cause)}). Give a file that exists.`, { exit: EXIT_CODES.usage })
     }
   }
 }
--- a/packages/cli/src/commands/report.ts
+++ b/packages/cli/src/commands/report.ts
@@ -6,7 +6,7 @@
 import { parseLogLine } from '../logs/log-line.js'
 import { reportText } from '../report/report-text.js'
 import { RunReporter } from '../report/run-report.js'
-import { EXIT } from '../server/admin-command.js'
+import { EXIT_CODES } from '../server/admin-command.js'
 
 /** Tells from log lines what became of requests and where their time went. */
 export default class Report extends Command {
@@ -25,11 +25,11 @@
   override async run (): Promise<unknown> {
     const { argv, flags } = await this.parse(Report)
     const files = argv.map(String)
-    if (files.length === 0) this.error('No file is given. Name the files with the log lines of the instances.', { exit: EXIT.usage })
+    if (files.length === 0) this.error('No file is given. Name the files with the log lines of the instances.', { exit: EXIT_CODES.usage })
     const reporter = new RunReporter()
     for (const file of files) await this.readInto(reporter, file)
     const report = reporter.report()
-    if (report.lines === 0) this.error('No line of an ingress instance was found. Give what the instances wrote to standard output.', { exit: EXIT.notFound })
+    if (report.lines === 0) this.error('No line of an ingress instance was found. Give what the instances wrote to standard output.', { exit: EXIT_CODES.notFound })
     if (flags.html !== undefined) {
       // The plots need a library that other commands would load for nothing.
       const { reportPage } = await import('../report/report-page.js')
@@ -45,10 +45,10 @@
     try {
       for await (const line of createInterface({ input: createReadStream(file), crlfDelay: Infinity })) {
         const parsed = parseLogLine(line)
-        if (parsed !== undefined) reporter.take(parsed)
+        if (parsed !== undefined) reporter.record(parsed)
       }
     } catch (cause) {
-      this.error(`${file} cannot be read (${cause instanceof Error ? cause.message : String(cause)}). Give a file that exists.`, { exit: EXIT.usage })
+      this.error(`${file} cannot be read (${cause instanceof Error ? cause.message : String(cause)}). Give a file that exists.`, { exit: EXIT_CODES.usage })
     }
   }
 }
--- a/packages/cli/src/commands/settings/delete.ts
+++ b/packages/cli/src/commands/settings/delete.ts
@@ -15,8 +15,8 @@
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(SettingsDelete)
     const client = this.client(flags)
-    const answer = await client.ask({ method: 'DELETE', target: settingsTarget(settingsPath(args.path)), revision: flags.revision ?? 0 })
-    if (answer.isErr()) return this.failedChange(answer.error, args.path, flags.revision, args.path)
+    const answer = await client.send({ method: 'DELETE', target: settingsTarget(settingsPath(args.path)), revision: flags.revision ?? 0 })
+    if (answer.isErr()) return this.exitWithFailedChange(answer.error, args.path, flags.revision, args.path)
     return this.accepted(answer.value)
   }
 }
--- a/packages/cli/src/commands/settings/diff.ts
+++ b/packages/cli/src/commands/settings/diff.ts
@@ -18,7 +18,7 @@
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(SettingsDiff)
     const target = settingsTarget(settingsPath(args.path), { diff: args.from.toString(), to: args.to?.toString() })
-    const { text } = await this.must(this.client(flags).ask({ method: 'GET', target }))
+    const { text } = await this.valueOrExit(this.client(flags).send({ method: 'GET', target }))
     if (!this.jsonEnabled()) process.stdout.write(text)
     return { path: settingsPath(args.path), from: args.from, to: args.to, diff: text }
   }
--- a/packages/cli/src/commands/settings/get.ts
+++ b/packages/cli/src/commands/settings/get.ts
@@ -22,11 +22,11 @@
     const client = this.client(flags)
     const path = settingsPath(args.path)
     if (path === '/') {
-      const { paths } = this.bodyOf(listSchema, await this.must(client.ask({ method: 'GET', target: '/admin/settings' })))
+      const { paths } = this.bodyOf(listSchema, await this.valueOrExit(client.send({ method: 'GET', target: '/admin/settings' })))
       this.log(summaryTable(paths))
       return { paths }
     }
-    const answer = await this.must(client.ask({ method: 'GET', target: settingsTarget(path, { revision: flags.revision?.toString() }) }))
+    const answer = await this.valueOrExit(client.send({ method: 'GET', target: settingsTarget(path, { revision: flags.revision?.toString() }) }))
     if (this.jsonEnabled()) return { path, revision: answer.revision, author: answer.author, text: answer.text }
     process.stdout.write(answer.text.endsWith('\n') ? answer.text : `${answer.text}\n`)
     this.logToStderr(`${path} is at revision ${answer.revision ?? 'unknown'}, by ${answer.author ?? 'unknown'}.`)
--- a/packages/cli/src/commands/settings/history.ts
+++ b/packages/cli/src/commands/settings/history.ts
@@ -14,7 +14,7 @@
 
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(SettingsHistory)
-    const answer = await this.must(this.client(flags).ask({ method: 'GET', target: settingsTarget(settingsPath(args.path), { history: '' }) }))
+    const answer = await this.valueOrExit(this.client(flags).send({ method: 'GET', target: settingsTarget(settingsPath(args.path), { history: '' }) }))
     const history = this.bodyOf(historySchema, answer)
     this.log(summaryTable(history.revisions))
     return history
--- a/packages/cli/src/commands/settings/patch.ts
+++ b/packages/cli/src/commands/settings/patch.ts
@@ -1,12 +1,12 @@
 /** `limpetwinch settings patch PATH [FILE]`. */
 import { Args, Flags } from '@oclif/core'
-import { EXIT } from '../../server/admin-command.js'
+import { EXIT_CODES } from '../../server/admin-command.js'
 import type { AdminCall } from '../../server/admin-client.js'
 import { pathArgument, revisionFlag, SettingsCommand } from '../../server/settings-command.js'
 import { settingsPath, settingsTarget } from '../../server/settings-targets.js'
 
 const MERGE_PATCH_TYPE = 'application/merge-patch+json'
-const MOST_TRIES = 4
+const MAXIMUM_ATTEMPTS = 4
 
 /** Changes parts of a document. */
 export default class SettingsPatch extends SettingsCommand {
@@ -33,40 +33,40 @@
     const target = settingsTarget(settingsPath(args.path))
     const patch = await this.patchOf(args.file, flags)
     for (let attempt = 1; ; attempt += 1) {
-      const revision = flags.revision ?? await this.newestRevision(client, target)
-      const answer = await client.ask({ method: 'PATCH', target, revision, ...patch })
+      const revision = flags.revision ?? await this.latestRevision(client, target)
+      const answer = await client.send({ method: 'PATCH', target, revision, ...patch })
       if (answer.isOk()) return this.accepted(answer.value)
       const overtaken = answer.error.details['code'] === 'revision_conflict'
-      if (!overtaken || flags.revision !== undefined || attempt === MOST_TRIES) return this.failedChange(answer.error, args.path, flags.revision, args.path)
+      if (!overtaken || flags.revision !== undefined || attempt === MAXIMUM_ATTEMPTS) return this.exitWithFailedChange(answer.error, args.path, flags.revision, args.path)
     }
   }
 
   private async patchOf (file: string | undefined, flags: { set?: string[] | undefined, 'set-text'?: string[] | undefined, unset?: string[] | undefined }): Promise<Pick<AdminCall, 'body' | 'contentType'>> {
     const changes = [
-      ...(flags.set ?? []).map((written) => this.placed(written, (value) => this.json(value))),
-      ...(flags['set-text'] ?? []).map((written) => this.placed(written, (value) => value)),
-      ...(flags.unset ?? []).map((place) => ({ place: placeOf(place) }))
+      ...(flags.set ?? []).map((written) => this.parseAssignment(written, (value) => this.json(value))),
+      ...(flags['set-text'] ?? []).map((written) => this.parseAssignment(written, (value) => value)),
+      ...(flags.unset ?? []).map((place) => ({ place: jsonPointerOf(place) }))
     ]
-    if ((file === undefined) === (changes.length === 0)) this.error('Name either a file with a merge patch, or places with --set, --set-text and --unset.', { exit: EXIT.usage })
+    if ((file === undefined) === (changes.length === 0)) this.error('Name either a file with a merge patch, or places with --set, --set-text and --unset.', { exit: EXIT_CODES.usage })
     if (file !== undefined) return { body: await this.input(file), contentType: MERGE_PATCH_TYPE }
     return { body: JSON.stringify(changes), contentType: 'application/json' }
   }
 
-  private placed (written: string, read: (value: string) => unknown): { place: string, value: unknown } {
+  private parseAssignment (written: string, read: (value: string) => unknown): { place: string, value: unknown } {
     const at = written.indexOf('=')
-    if (at < 1) this.error(`'${written}' names no value. Write PLACE=VALUE, such as limits/inFlight=200.`, { exit: EXIT.usage })
-    return { place: placeOf(written.slice(0, at)), value: read(written.slice(at + 1)) }
+    if (at < 1) this.error(`'${written}' names no value. Write PLACE=VALUE, such as limits/inFlight=200.`, { exit: EXIT_CODES.usage })
+    return { place: jsonPointerOf(written.slice(0, at)), value: read(written.slice(at + 1)) }
   }
 
   private json (value: string): unknown {
     try {
       return JSON.parse(value)
     } catch {
-      return this.error(`'${value}' is no JSON. Use --set-text for text, or write a number, true, "text", [list] or {object}.`, { exit: EXIT.usage })
+      return this.error(`'${value}' is no JSON. Use --set-text for text, or write a number, true, "text", [list] or {object}.`, { exit: EXIT_CODES.usage })
     }
   }
 }
 
-function placeOf (written: string): string {
+function jsonPointerOf (written: string): string {
   return `/${written.replace(/^\/+|\/+$/g, '')}`
 }
--- a/packages/cli/src/commands/settings/put.ts
+++ b/packages/cli/src/commands/settings/put.ts
@@ -20,8 +20,8 @@
     const client = this.client(flags)
     const body = await this.input(args.file)
     const call = { method: 'PUT', target: settingsTarget(settingsPath(args.path)), body, revision: flags.revision ?? 0 } as const
-    const answer = await client.ask(call)
-    if (answer.isErr()) return this.failedChange(answer.error, args.path, flags.revision, args.file)
+    const answer = await client.send(call)
+    if (answer.isErr()) return this.exitWithFailedChange(answer.error, args.path, flags.revision, args.file)
     return this.accepted(answer.value)
   }
 }
--- a/packages/cli/src/commands/settings/validate.ts
+++ b/packages/cli/src/commands/settings/validate.ts
@@ -11,7 +11,7 @@
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(SettingsValidate)
     const body = await this.input(args.file)
-    await this.must(this.client(flags).ask({ method: 'POST', target: validateTarget(args.path), body }), args.file)
+    await this.valueOrExit(this.client(flags).send({ method: 'POST', target: validateTarget(args.path), body }), args.file)
     this.log(`${args.file} can be put under ${settingsPath(args.path)}.`)
     return { path: settingsPath(args.path), valid: true }
   }
--- a/packages/cli/src/commands/settings/watch.ts
+++ b/packages/cli/src/commands/settings/watch.ts
@@ -28,7 +28,7 @@
     const options = {
       prefix: settingsPath(args.path),
       after: flags.after,
-      onLost: (error: LimpetwinchError | undefined): void => { this.lost(error) },
+      onConnectionLost: (error: LimpetwinchError | undefined): void => { this.lost(error) },
       isFinal: (error: LimpetwinchError): boolean => {
         const final = error.kind === 'admin-refused' && error.details['status'] !== 503
         if (final) refusal = error
@@ -42,7 +42,7 @@
       if (lines === flags.count) break
     }
     ending.abort()
-    if (refusal !== undefined) this.fail(refusal)
+    if (refusal !== undefined) this.exitWithError(refusal)
   }
 
   private lost (error: LimpetwinchError | undefined): void {
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,5 +1,5 @@
 /** `limpetwinch status`. */
-import { histogramsSchema, statusSchema } from '../show/status-form.js'
+import { histogramsSchema, statusSchema } from '../show/status-schema.js'
 import { statusText } from '../show/status-tables.js'
 import { AdminCommand } from '../server/admin-command.js'
 
@@ -10,10 +10,10 @@
   override async run (): Promise<unknown> {
     const { flags } = await this.parse(Status)
     const client = this.client(flags)
-    const answer = await this.must(client.ask({ method: 'GET', target: '/admin/status' }))
+    const answer = await this.valueOrExit(client.send({ method: 'GET', target: '/admin/status' }))
     if (this.jsonEnabled()) return JSON.parse(answer.text)
     const status = this.bodyOf(statusSchema, answer)
-    const figures = this.bodyOf(histogramsSchema, await this.must(client.ask({ method: 'GET', target: '/admin/histograms' })))
+    const figures = this.bodyOf(histogramsSchema, await this.valueOrExit(client.send({ method: 'GET', target: '/admin/histograms' })))
     this.log(statusText(status, figures.series))
     return undefined
   }
--- a/packages/cli/src/logs/request-story.ts
+++ b/packages/cli/src/logs/request-timeline.ts
@@ -3,7 +3,7 @@
 import type { LogLine } from './log-line.js'
 
 /** One line that bears on a request. */
-export interface StoryStep {
+export interface TimelineStep {
   /** Unix milliseconds, by the clock of the instance that wrote it. */
   readonly at: number
   readonly part: string
@@ -14,13 +14,13 @@
 }
 
 /** Lines on endpoints and adapters count from so long before the request: what it met was decided then. */
-const BEFORE_MILLISECONDS = 3_000
+const LOOKBACK_MILLISECONDS = 3_000
 /** Whether an endpoint crashed is known a moment after its answers broke off. */
-const CRASH_KNOWN_MILLISECONDS = 1_000
+const CRASH_DETECTION_MILLISECONDS = 1_000
 /** What is known of a line without being worth a column. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set(['timestamp', 'level', 'label', 'message', 'request'])
 /** Lines of other requests say nothing about this one. */
-const REQUEST_PART = 'relay'
+const REQUEST_LABEL = 'relay'
 
 /**
  * Picks what bears on a request.
@@ -29,7 +29,7 @@
  * @param request - the id
  * @returns the steps by time; empty when no line names the request
  */
-export function requestStory (lines: Iterable<string>, request: string): StoryStep[] {
+export function requestTimeline (lines: Iterable<string>, request: string): TimelineStep[] {
   const parsed = [...lines].flatMap((line) => parseLogLine(line) ?? [])
   const own = parsed.filter((line) => line.fields.request === request)
   if (own.length === 0) return []
@@ -38,8 +38,8 @@
   const endpoints = new Set<unknown>(own.map((line) => line.fields.endpoint).filter((id) => id !== undefined))
   const adapters = new Set(own.map((line) => nameOf(line.fields.adapter)).filter((name) => name !== undefined))
   const around = parsed.filter((line) => {
-    if (line.part === REQUEST_PART || line.fields.request === request || line.at < first - BEFORE_MILLISECONDS) return false
-    if (line.fields.fingerprint !== undefined) return endpoints.has(line.fields.endpoint) && line.at <= last + CRASH_KNOWN_MILLISECONDS
+    if (line.part === REQUEST_LABEL || line.fields.request === request || line.at < first - LOOKBACK_MILLISECONDS) return false
+    if (line.fields.fingerprint !== undefined) return endpoints.has(line.fields.endpoint) && line.at <= last + CRASH_DETECTION_MILLISECONDS
     if (line.at > last) return false
     const adapter = nameOf(line.fields.adapter)
     return adapter === undefined ? endpoints.has(line.fields.endpoint) : adapters.has(adapter)
@@ -67,7 +67,7 @@
   return new Set(lines.map((line) => line.fields.fingerprint).filter((fingerprint) => fingerprint !== undefined))
 }
 
-function step (line: LogLine, own: boolean): StoryStep {
+function step (line: LogLine, own: boolean): TimelineStep {
   const fields = Object.fromEntries(Object.entries(line.fields).filter(([name]) => !HIDDEN_FIELDS.has(name)))
   return { at: line.at, part: line.part, what: line.message, fields, own }
 }
--- a/packages/cli/src/report/adapter-tally.ts
+++ b/packages/cli/src/report/adapter-tally.ts
@@ -3,12 +3,12 @@
 import { endingOf, reasonOf } from './endings.js'
 
 /** An adapter is asked for again and again from so many requests on, over so long. */
-const LEAST_REQUESTS = 4
-const LEAST_SPAN_MILLISECONDS = 8_000
+const MINIMUM_REQUESTS = 4
+const MINIMUM_SPAN_MILLISECONDS = 8_000
 /** Never served adapters that the report names, the worst first; the others are counted. */
-const MOST_NAMED = 100
+const MAXIMUM_LISTED_ADAPTERS = 100
 /** Engines and ends that are named for each of them, the most frequent first. */
-const MOST_COUNTS = 4
+const MAXIMUM_LISTED_COUNTS = 4
 
 /** How often something came. */
 export interface Count {
@@ -58,13 +58,13 @@
   private readonly open = new Map<string, string>()
 
   /** Counts a line when it tells of a request for an adapter. */
-  take (line: LogLine): void {
+  record (line: LogLine): void {
     const { request } = line.fields
     if (typeof request !== 'string') return
     const adapter = this.adapterOf(request, line)
     if (adapter === undefined) return
     const tally = this.tallyOf(adapter, line.at)
-    if (!this.open.has(request)) this.began(request, adapter, tally, line.at)
+    if (!this.open.has(request)) this.recordStart(request, adapter, tally, line.at)
     if (line.message === 'A load was asked for.' && line.fields.waiting === true) countIn(tally.engines, String(line.fields.endpoint))
     const ending = endingOf(line)
     if (ending === undefined) return
@@ -76,7 +76,7 @@
   /** @returns what all lines so far come to */
   report (): AdapterReport {
     const all = [...this.adapters]
-    const again = all.filter(([, tally]) => isAskedAgain(tally))
+    const again = all.filter(([, tally]) => isRequestedRepeatedly(tally))
     const never = again.filter(([, { served }]) => served === 0)
     const requests = sumOf(all, ({ requests }) => requests)
     const unservedShare = requests === 0 ? 0 : 1 - sumOf(all, ({ served }) => served) / requests
@@ -86,7 +86,7 @@
       askedAgain: again.length,
       neverServed: never.length,
       neverServedByChance: sumOf(again, (tally) => unservedShare ** tally.requests),
-      worst: never.map(([adapter, tally]) => unservedAdapter(adapter, tally)).sort((one, other) => other.requests - one.requests).slice(0, MOST_NAMED)
+      worst: never.map(([adapter, tally]) => unservedAdapter(adapter, tally)).sort((one, other) => other.requests - one.requests).slice(0, MAXIMUM_LISTED_ADAPTERS)
     }
   }
 
@@ -95,7 +95,7 @@
     return typeof fields.adapter === 'string' ? fields.adapter : this.open.get(request)
   }
 
-  private began (request: string, adapter: string, tally: Tally, at: number): void {
+  private recordStart (request: string, adapter: string, tally: Tally, at: number): void {
     this.open.set(request, adapter)
     tally.requests += 1
     tally.firstAt = Math.min(tally.firstAt, at)
@@ -111,8 +111,8 @@
   }
 }
 
-function isAskedAgain ({ requests, firstAt, lastAt }: Tally): boolean {
-  return requests >= LEAST_REQUESTS && lastAt - firstAt >= LEAST_SPAN_MILLISECONDS
+function isRequestedRepeatedly ({ requests, firstAt, lastAt }: Tally): boolean {
+  return requests >= MINIMUM_REQUESTS && lastAt - firstAt >= MINIMUM_SPAN_MILLISECONDS
 }
 
 function unservedAdapter (adapter: string, { requests, firstAt, lastAt, engines, ends }: Tally): UnservedAdapter {
@@ -120,7 +120,7 @@
 }
 
 function mostFrequent (counts: ReadonlyMap<string, number>): Count[] {
-  return [...counts].map(([name, count]) => ({ name, count })).sort((one, other) => other.count - one.count).slice(0, MOST_COUNTS)
+  return [...counts].map(([name, count]) => ({ name, count })).sort((one, other) => other.count - one.count).slice(0, MAXIMUM_LISTED_COUNTS)
 }
 
 function sumOf (all: readonly (readonly [string, Tally])[], value: (tally: Tally) => number): number {
--- a/packages/cli/src/report/spread.ts
+++ b/packages/cli/src/report/duration-histogram.ts
@@ -3,11 +3,11 @@
 import type { Histogram } from 'hdr-histogram-js'
 
 /** Longer than any request lasts. */
-const LONGEST_MILLISECONDS = 600_000
-const DIGITS = 3
+const MAXIMUM_MILLISECONDS = 600_000
+const SIGNIFICANT_DIGITS = 3
 
 /** Milliseconds of which so many in a hundred are no longer. */
-export interface Spread {
+export interface DurationSummary {
   readonly count: number
   readonly median: number
   readonly p90: number
@@ -16,17 +16,17 @@
 }
 
 /** Gathers times. */
-export class SpreadOf {
-  private readonly histogram: Histogram = build({ highestTrackableValue: LONGEST_MILLISECONDS, numberOfSignificantValueDigits: DIGITS })
+export class DurationHistogram {
+  private readonly histogram: Histogram = build({ highestTrackableValue: MAXIMUM_MILLISECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
 
   /** Counts a time in milliseconds; what is no number is passed over. */
-  take (value: unknown): void {
+  record (value: unknown): void {
     if (typeof value !== 'number' || !Number.isFinite(value)) return
-    this.histogram.recordValue(Math.min(LONGEST_MILLISECONDS, Math.max(0, Math.round(value))))
+    this.histogram.recordValue(Math.min(MAXIMUM_MILLISECONDS, Math.max(0, Math.round(value))))
   }
 
   /** @returns the spread of what was counted */
-  spread (): Spread {
+  summary (): DurationSummary {
     const { histogram } = this
     return {
       count: histogram.totalCount,
--- a/packages/cli/src/report/load-tally.ts
+++ b/packages/cli/src/report/load-tally.ts
@@ -1,21 +1,21 @@
 /** Loads of adapters: how many, what held them up, and which came back soon after they had left. */
 import type { LogLine } from '../logs/log-line.js'
-import { SpreadOf } from './spread.js'
-import type { Spread } from './spread.js'
+import { DurationHistogram } from './duration-histogram.js'
+import type { DurationSummary } from './duration-histogram.js'
 
 const SECOND_MILLISECONDS = 1_000
 /** An order for the same adapter and engine within this asks whether the load has arrived. */
 const SAME_LOAD_MILLISECONDS = 2_000
 /** An adapter that is loaded again so soon was evicted too early. */
-const BACK_SOON_MILLISECONDS = 3_000
+const EARLY_RELOAD_MILLISECONDS = 3_000
 /** An engine that is asked for a load and orders none for so long has nobody to order for it, or no place. */
 const IDLE_MILLISECONDS = 1_000
 
 /** Loads that waited for the same reason. */
-export interface HoldUp {
+export interface LoadDelay {
   readonly reason: string
   /** From the first request for it to the order, milliseconds. */
-  readonly waited: Spread
+  readonly waited: DurationSummary
 }
 
 /** A time in which an engine was asked for loads and ordered none. */
@@ -33,7 +33,7 @@
   /** Loaded by an engine that had dropped the adapter within three seconds. */
   readonly backSoon: number
   /** What held loads up before they were ordered, the most frequent reason first. */
-  readonly holdUps: readonly HoldUp[]
+  readonly holdUps: readonly LoadDelay[]
   /** The longest such time of each engine, the longest first. */
   readonly idleEngines: readonly IdleEngine[]
 }
@@ -45,7 +45,7 @@
 }
 
 /** From these lines on an engine is asked for nothing. */
-const ENDS_OF_ENGINES: ReadonlySet<string> = new Set(['An endpoint is leaving.', 'An endpoint is gone.'])
+const ENGINE_LEFT_MESSAGES: ReadonlySet<string> = new Set(['An endpoint is leaving.', 'An endpoint is gone.'])
 
 interface EngineTally {
   askedSince: number | undefined
@@ -54,7 +54,7 @@
 
 /** Counts loads. */
 export class LoadTally {
-  private readonly holdUps = new Map<string, SpreadOf>()
+  private readonly holdUps = new Map<string, DurationHistogram>()
   private readonly orderedAt = new Map<string, number>()
   private readonly droppedAt = new Map<string, number>()
   private readonly engines = new Map<string, EngineTally>()
@@ -67,11 +67,11 @@
   private lastAt = -Infinity
 
   /** Counts a line when it tells of a load. */
-  take (line: LogLine): void {
+  record (line: LogLine): void {
     this.lastAt = Math.max(this.lastAt, line.at)
-    if (line.message === 'A load was asked for.') this.takeAsk(line)
-    else if (line.message === 'An order was given.') this.takeOrder(line)
-    else if (ENDS_OF_ENGINES.has(line.message)) this.engineLeaves(line)
+    if (line.message === 'A load was asked for.') this.recordLoadRequest(line)
+    else if (line.message === 'An order was given.') this.recordOrder(line)
+    else if (ENGINE_LEFT_MESSAGES.has(line.message)) this.recordDeparture(line)
   }
 
   /** A request was answered whole. */
@@ -91,7 +91,7 @@
       ordered: this.ordered,
       orderedForEachStream: this.streams === 0 ? 0 : this.ordered / this.streams,
       backSoon: this.backSoon,
-      holdUps: [...this.holdUps].map(([reason, waited]) => ({ reason, waited: waited.spread() })).sort((one, other) => other.waited.count - one.waited.count),
+      holdUps: [...this.holdUps].map(([reason, waited]) => ({ reason, waited: waited.summary() })).sort((one, other) => other.waited.count - one.waited.count),
       idleEngines: [...this.engines]
         .map(([endpoint, engine]) => ({ endpoint, milliseconds: this.longestIdle(engine) }))
         .filter(({ milliseconds }) => milliseconds >= IDLE_MILLISECONDS)
@@ -104,41 +104,41 @@
     return Math.max(longestIdle, askedSince === undefined ? 0 : this.lastAt - askedSince)
   }
 
-  private takeAsk ({ at, fields }: LogLine): void {
+  private recordLoadRequest ({ at, fields }: LogLine): void {
     this.asked += 1
     countIn(this.askedBySecond, at)
     const engine = this.engineTally(String(fields.endpoint))
     engine.askedSince ??= at
   }
 
-  private takeOrder ({ at, fields }: LogLine): void {
+  private recordOrder ({ at, fields }: LogLine): void {
     const { endpoint, adapter, operation, outcome } = fields
     const key = `${String(endpoint)} ${String(adapter)}`
     if (operation === 'unload' && outcome === 'holds') this.droppedAt.set(key, at)
     if (operation !== 'load' || outcome !== 'accepted') return
-    this.noteOrder(String(endpoint), at)
+    this.endIdleTime(String(endpoint), at)
     if (at - (this.orderedAt.get(key) ?? -Infinity) < SAME_LOAD_MILLISECONDS) return
     this.orderedAt.set(key, at)
     this.ordered += 1
     countIn(this.orderedBySecond, at)
-    if (at - (this.droppedAt.get(key) ?? -Infinity) < BACK_SOON_MILLISECONDS) this.backSoon += 1
-    this.noteHoldUp(String(fields.heldUpBy ?? 'nothing'), fields.waited)
+    if (at - (this.droppedAt.get(key) ?? -Infinity) < EARLY_RELOAD_MILLISECONDS) this.backSoon += 1
+    this.recordDelay(String(fields.heldUpBy ?? 'nothing'), fields.waited)
   }
 
-  private noteOrder (endpoint: string, at: number): void {
+  private endIdleTime (endpoint: string, at: number): void {
     const engine = this.engineTally(endpoint)
     if (engine.askedSince !== undefined) engine.longestIdle = Math.max(engine.longestIdle, at - engine.askedSince)
     engine.askedSince = undefined
   }
 
-  private engineLeaves ({ at, fields }: LogLine): void {
-    if (this.engines.has(String(fields.endpoint))) this.noteOrder(String(fields.endpoint), at)
+  private recordDeparture ({ at, fields }: LogLine): void {
+    if (this.engines.has(String(fields.endpoint))) this.endIdleTime(String(fields.endpoint), at)
   }
 
-  private noteHoldUp (reason: string, waited: unknown): void {
-    const spread = this.holdUps.get(reason) ?? new SpreadOf()
+  private recordDelay (reason: string, waited: unknown): void {
+    const spread = this.holdUps.get(reason) ?? new DurationHistogram()
     this.holdUps.set(reason, spread)
-    spread.take(waited)
+    spread.record(waited)
   }
 
   private engineTally (endpoint: string): EngineTally {
--- a/packages/cli/src/report/run-report.ts
+++ b/packages/cli/src/report/run-report.ts
@@ -6,26 +6,26 @@
 import type { Ending } from './endings.js'
 import { LoadTally } from './load-tally.js'
 import type { LoadReport } from './load-tally.js'
-import { SpreadOf } from './spread.js'
-import type { Spread } from './spread.js'
+import { DurationHistogram } from './duration-histogram.js'
+import type { DurationSummary } from './duration-histogram.js'
 
 const SECOND_MILLISECONDS = 1_000
 
 /** Requests by how they ended. */
-export type Endings = Readonly<Record<Ending, number>>
+export type EndingCounts = Readonly<Record<Ending, number>>
 
 /** Requests of one route. */
 export interface RouteReport {
   readonly route: string
-  readonly endings: Endings
+  readonly endings: EndingCounts
   /** Of streams, from the request to the first event, milliseconds. */
-  readonly firstEvent: Spread
+  readonly firstEvent: DurationSummary
   /** Waited for an adapter, milliseconds; requests that did not wait are left out. */
-  readonly loadStall: Spread
+  readonly loadStall: DurationSummary
   /** Longest time between two events of a stream, milliseconds. */
-  readonly longestGap: Spread
+  readonly longestGap: DurationSummary
   /** To the end of the answer, milliseconds. */
-  readonly whole: Spread
+  readonly whole: DurationSummary
 }
 
 /** Requests that ended without a whole answer, for one reason. */
@@ -33,14 +33,14 @@
   readonly ending: Ending
   readonly reason: string
   /** How long they had waited, milliseconds. */
-  readonly after: Spread
+  readonly after: DurationSummary
 }
 
 /** One second of the run. */
 export interface SecondReport {
   /** Seconds since the first line. */
   readonly second: number
-  readonly endings: Endings
+  readonly endings: EndingCounts
   readonly loadsAsked: number
   readonly loadsOrdered: number
 }
@@ -59,16 +59,16 @@
 
 interface RouteTally {
   readonly endings: Record<Ending, number>
-  readonly firstEvent: SpreadOf
-  readonly loadStall: SpreadOf
-  readonly longestGap: SpreadOf
-  readonly whole: SpreadOf
+  readonly firstEvent: DurationHistogram
+  readonly loadStall: DurationHistogram
+  readonly longestGap: DurationHistogram
+  readonly whole: DurationHistogram
 }
 
 interface LossTally {
   readonly ending: Ending
   readonly reason: string
-  readonly after: SpreadOf
+  readonly after: DurationHistogram
 }
 
 /** Takes lines one after the other and tells what they come to. */
@@ -83,14 +83,14 @@
   private lastAt = -Infinity
 
   /** Counts a line; lines of one instance come in their order, those of several in any. */
-  take (line: LogLine): void {
+  record (line: LogLine): void {
     this.lines += 1
     this.firstAt = Math.min(this.firstAt, line.at)
     this.lastAt = Math.max(this.lastAt, line.at)
-    this.loads.take(line)
-    this.adapters.take(line)
+    this.loads.record(line)
+    this.adapters.record(line)
     const ending = endingOf(line)
-    if (ending !== undefined) this.ended(ending, line)
+    if (ending !== undefined) this.recordEnding(ending, line)
   }
 
   /** @returns what all lines so far come to */
@@ -102,14 +102,14 @@
       lines: this.lines,
       seconds,
       routes: [...this.routes].map(([route, tally]) => routeReport(route, tally)).sort((one, other) => one.route.localeCompare(other.route)),
-      losses: [...this.losses.values()].map(({ ending, reason, after }) => ({ ending, reason, after: after.spread() })).sort((one, other) => other.after.count - one.after.count),
+      losses: [...this.losses.values()].map(({ ending, reason, after }) => ({ ending, reason, after: after.summary() })).sort((one, other) => other.after.count - one.after.count),
       adapters: this.adapters.report(),
       loads: this.loads.report(),
       bySecond: Array.from({ length: seconds }, (_, second) => this.secondReport(first + second, second))
     }
   }
 
-  private ended (ending: Ending, line: LogLine): void {
+  private recordEnding (ending: Ending, line: LogLine): void {
     const { at, fields } = line
     const tally = this.routeTally(String(fields.route ?? 'no route'))
     tally.endings[ending] += 1
@@ -119,24 +119,24 @@
     endings[ending] += 1
     if (ending !== 'answered') return this.lost(ending, line)
     this.loads.answered(typeof fields.firstEvent === 'number')
-    tally.firstEvent.take(fields.firstEvent)
-    tally.longestGap.take(fields.longestGap)
-    tally.whole.take(fields.milliseconds)
-    if (Number(fields.loadStall ?? 0) > 0) tally.loadStall.take(fields.loadStall)
+    tally.firstEvent.record(fields.firstEvent)
+    tally.longestGap.record(fields.longestGap)
+    tally.whole.record(fields.milliseconds)
+    if (Number(fields.loadStall ?? 0) > 0) tally.loadStall.record(fields.loadStall)
   }
 
   private lost (ending: Ending, line: LogLine): void {
     const reason = reasonOf(line)
     const key = `${ending} ${reason}`
-    const tally = this.losses.get(key) ?? { ending, reason, after: new SpreadOf() }
+    const tally = this.losses.get(key) ?? { ending, reason, after: new DurationHistogram() }
     this.losses.set(key, tally)
-    tally.after.take(line.fields.milliseconds)
+    tally.after.record(line.fields.milliseconds)
   }
 
   private routeTally (route: string): RouteTally {
     const known = this.routes.get(route)
     if (known !== undefined) return known
-    const tally = { endings: noEndings(), firstEvent: new SpreadOf(), loadStall: new SpreadOf(), longestGap: new SpreadOf(), whole: new SpreadOf() }
+    const tally = { endings: noEndings(), firstEvent: new DurationHistogram(), loadStall: new DurationHistogram(), longestGap: new DurationHistogram(), whole: new DurationHistogram() }
     this.routes.set(route, tally)
     return tally
   }
@@ -151,5 +151,5 @@
 }
 
 function routeReport (route: string, { endings, firstEvent, loadStall, longestGap, whole }: RouteTally): RouteReport {
-  return { route, endings, firstEvent: firstEvent.spread(), loadStall: loadStall.spread(), longestGap: longestGap.spread(), whole: whole.spread() }
+  return { route, endings, firstEvent: firstEvent.summary(), loadStall: loadStall.summary(), longestGap: longestGap.summary(), whole: whole.summary() }
 }
--- a/packages/cli/src/server/admin-client.ts
+++ b/packages/cli/src/server/admin-client.ts
@@ -24,14 +24,14 @@
 }
 
 /** An answer that is no error. */
-export interface AdminAnswer {
+export interface AdminResponse {
   readonly text: string
   /** The revision in the ETag, if any. */
   readonly revision: number | undefined
   readonly author: string | undefined
 }
 
-const ANSWER_MILLISECONDS = 30_000
+const RESPONSE_TIMEOUT_MILLISECONDS = 30_000
 
 const errorSchema = z.object({
   error: z.object({
@@ -57,8 +57,8 @@
    * @param call - what to ask
    * @returns the answer, `admin-unreachable`, `admin-silent`, or `admin-refused` with `details.code`
    */
-  ask (call: AdminCall): ResultAsync<AdminAnswer, LimpetwinchError> {
-    return new ResultAsync(this.send(call))
+  send (call: AdminCall): ResultAsync<AdminResponse, LimpetwinchError> {
+    return new ResultAsync(this.sendCall(call))
   }
 
   /**
@@ -66,7 +66,7 @@
    * @param signal - ends it
    * @returns the open answer, or the error
    */
-  async open (target: string, signal: AbortSignal): Promise<Result<Dispatcher.ResponseData, LimpetwinchError>> {
+  async openStream (target: string, signal: AbortSignal): Promise<Result<Dispatcher.ResponseData, LimpetwinchError>> {
     try {
       const response = await request(this.server.url + target, { method: 'GET', headers: this.headers(), signal, bodyTimeout: 0 })
       if (response.statusCode === 200) return ok(response)
@@ -76,7 +76,7 @@
     }
   }
 
-  private async send (call: AdminCall): Promise<Result<AdminAnswer, LimpetwinchError>> {
+  private async sendCall (call: AdminCall): Promise<Result<AdminResponse, LimpetwinchError>> {
     try {
       const response = await request(this.server.url + call.target, {
         method: call.method,
@@ -85,7 +85,7 @@
           ...(call.contentType === undefined ? {} : { 'content-type': call.contentType }),
           ...(call.revision === undefined ? {} : { 'if-match': `"${call.revision}"` })
         },
-        signal: AbortSignal.timeout(ANSWER_MILLISECONDS),
+        signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MILLISECONDS),
         ...(call.body === undefined ? {} : { body: call.body })
       })
       const text = await response.body.text()
--- a/packages/cli/src/server/admin-command.ts
+++ b/packages/cli/src/server/admin-command.ts
@@ -4,10 +4,10 @@
 import type { z } from 'zod'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import { AdminClient } from './admin-client.js'
-import type { AdminAnswer } from './admin-client.js'
+import type { AdminResponse } from './admin-client.js'
 
 /** How the command line ends. */
-export const EXIT = {
+export const EXIT_CODES = {
   refused: 1,
   usage: 2,
   conflict: 3,
@@ -37,26 +37,26 @@
 
   /** With `--json` the errors go out as JSON, and the exit code is the same as without. */
   protected override async catch (error: Error & { exitCode?: number, oclif?: { exit?: number } }): Promise<unknown> {
-    error.exitCode ??= error.oclif?.exit ?? EXIT.refused
+    error.exitCode ??= error.oclif?.exit ?? EXIT_CODES.refused
     return await super.catch(error)
   }
 
   /** @returns a client for the instance that flags or environment name */
   protected client (flags: { server?: string | undefined, key?: string | undefined }): AdminClient {
-    if (flags.server === undefined) this.error('No instance is named. Pass --server URL or set LIMPETWINCH_SERVER to its admin address.', { exit: EXIT.usage })
-    if (flags.key === undefined) this.error("No key is given. Set LIMPETWINCH_KEY, or pass --key, to the administrators' key or the key of a team's owner.", { exit: EXIT.usage })
+    if (flags.server === undefined) this.error('No instance is named. Pass --server URL or set LIMPETWINCH_SERVER to its admin address.', { exit: EXIT_CODES.usage })
+    if (flags.key === undefined) this.error("No key is given. Set LIMPETWINCH_KEY, or pass --key, to the administrators' key or the key of a team's owner.", { exit: EXIT_CODES.usage })
     return new AdminClient({ url: flags.server.replace(/\/+$/, ''), key: flags.key })
   }
 
   /** @returns the value, or ends the command with the error's message and exit code */
-  protected async must<Value> (result: ResultAsync<Value, LimpetwinchError>, file = ''): Promise<Value> {
+  protected async valueOrExit<Value> (result: ResultAsync<Value, LimpetwinchError>, file = ''): Promise<Value> {
     const settled = await result
     if (settled.isOk()) return settled.value
-    return this.fail(settled.error, file)
+    return this.exitWithError(settled.error, file)
   }
 
   /** @returns an answer's JSON in its expected form, or ends the command */
-  protected bodyOf<Body> (schema: z.ZodType<Body>, answer: AdminAnswer): Body {
+  protected bodyOf<Body> (schema: z.ZodType<Body>, answer: AdminResponse): Body {
     let body: unknown
     try {
       body = JSON.parse(answer.text)
@@ -65,12 +65,12 @@
     }
     const checked = schema.safeParse(body)
     if (checked.success) return checked.data
-    return this.error('The server answered in another form. Check that --server is an instance\'s admin address of the same release.', { exit: EXIT.refused })
+    return this.error('The server answered in another form. Check that --server is an instance\'s admin address of the same release.', { exit: EXIT_CODES.refused })
   }
 
   /** Ends the command. */
-  protected fail (error: LimpetwinchError, file = ''): never {
-    if (error.details['status'] === 401) this.error(KEY_REMEDY, { exit: EXIT.keyNotAccepted, code: 'unauthorized' })
+  protected exitWithError (error: LimpetwinchError, file = ''): never {
+    if (error.details['status'] === 401) this.error(KEY_REMEDY, { exit: EXIT_CODES.keyNotAccepted, code: 'unauthorized' })
     const problems = error.details['problems']
     const lines = Array.isArray(problems) ? (problems as Problem[]).map((problem) => problemLine(problem, file)) : []
     const summary = lines.length === 0 ? error.message : 'The settings were refused; nothing was changed.'
@@ -87,15 +87,15 @@
 }
 
 function exitOf (error: LimpetwinchError): number {
-  if (error.kind === 'admin-unreachable') return EXIT.unavailable
-  if (error.outcome === 'unknown') return EXIT.unknown
+  if (error.kind === 'admin-unreachable') return EXIT_CODES.unavailable
+  if (error.outcome === 'unknown') return EXIT_CODES.unknown
   switch (error.details['status']) {
     case 401:
-    case 403: return EXIT.keyNotAccepted
-    case 404: return EXIT.notFound
+    case 403: return EXIT_CODES.keyNotAccepted
+    case 404: return EXIT_CODES.notFound
     case 409:
-    case 428: return EXIT.conflict
-    case 503: return EXIT.unavailable
-    default: return EXIT.refused
+    case 428: return EXIT_CODES.conflict
+    case 503: return EXIT_CODES.unavailable
+    default: return EXIT_CODES.refused
   }
 }
--- a/packages/cli/src/server/settings-command.ts
+++ b/packages/cli/src/server/settings-command.ts
@@ -2,8 +2,8 @@
 import { Args, Flags } from '@oclif/core'
 import { z } from 'zod'
 import type { LimpetwinchError } from '@limpetwinch/core'
-import type { AdminAnswer, AdminClient } from './admin-client.js'
-import { AdminCommand, EXIT } from './admin-command.js'
+import type { AdminResponse, AdminClient } from './admin-client.js'
+import { AdminCommand, EXIT_CODES } from './admin-command.js'
 import { readInput } from './read-input.js'
 
 /** One accepted state of a path, without its text. */
@@ -31,30 +31,30 @@
 export abstract class SettingsCommand extends AdminCommand {
   /** @returns the text of a file, or ends the command */
   protected async input (file: string): Promise<string> {
-    return (await readInput(file)).match((text) => text, (reason) => this.error(reason, { exit: EXIT.usage }))
+    return (await readInput(file)).match((text) => text, (reason) => this.error(reason, { exit: EXIT_CODES.usage }))
   }
 
   /** Tells of an accepted change. */
-  protected accepted (answer: AdminAnswer): SettingsSummary {
+  protected accepted (answer: AdminResponse): SettingsSummary {
     const summary = this.bodyOf(summarySchema, answer)
     this.log(`${summary.path} is at revision ${summary.revision}${summary.deleted ? ', deleted' : ''}.`)
     return summary
   }
 
   /** @returns the newest revision of a path; 0 when nothing is set */
-  protected async newestRevision (client: AdminClient, target: string): Promise<number> {
-    const present = await client.ask({ method: 'GET', target })
+  protected async latestRevision (client: AdminClient, target: string): Promise<number> {
+    const present = await client.send({ method: 'GET', target })
     if (present.isOk()) return present.value.revision ?? 0
-    return present.error.details['code'] === 'no_settings' ? 0 : this.fail(present.error)
+    return present.error.details['code'] === 'no_settings' ? 0 : this.exitWithError(present.error)
   }
 
   /** Ends a command whose change was refused; a race is told with what to do next. */
-  protected failedChange (error: LimpetwinchError, path: string, revision: number | undefined, file: string): never {
+  protected exitWithFailedChange (error: LimpetwinchError, path: string, revision: number | undefined, file: string): never {
     const { code, newest } = error.details
-    if (code !== 'revision_conflict' || typeof newest !== 'number') return this.fail(error, file)
+    if (code !== 'revision_conflict' || typeof newest !== 'number') return this.exitWithError(error, file)
     const look = revision === undefined || revision === 0
       ? `Read it with 'limpetwinch settings get ${path}'`
       : `See what changed with 'limpetwinch settings diff ${path} ${revision}'`
-    return this.error(`Nothing was changed: ${path} is at revision ${newest} now. ${look}, then send your change with --revision ${newest}.`, { exit: EXIT.conflict, code: String(code) })
+    return this.error(`Nothing was changed: ${path} is at revision ${newest} now. ${look}, then send your change with --revision ${newest}.`, { exit: EXIT_CODES.conflict, code: String(code) })
   }
 }
--- a/packages/cli/src/server/watch-stream.ts
+++ b/packages/cli/src/server/watch-stream.ts
@@ -7,17 +7,17 @@
 import { summarySchema } from './settings-command.js'
 import type { SettingsSummary } from './settings-command.js'
 
-const FIRST_WAIT_MILLISECONDS = 200
-const LONGEST_WAIT_MILLISECONDS = 5_000
+const INITIAL_RECONNECT_DELAY_MILLISECONDS = 200
+const MAXIMUM_RECONNECT_DELAY_MILLISECONDS = 5_000
 /** The server writes more often than this; a connection that is silent for longer is dead. */
-const SILENCE_MILLISECONDS = 30_000
+const IDLE_TIMEOUT_MILLISECONDS = 30_000
 
 /** What a watch is about. */
 export interface WatchOptions {
   readonly prefix: string
   readonly after: number
   /** Told of each lost connection. */
-  readonly onLost: (error: LimpetwinchError | undefined) => void
+  readonly onConnectionLost: (error: LimpetwinchError | undefined) => void
   /** Whether an error ends the watch. */
   readonly isFinal: (error: LimpetwinchError) => boolean
 }
@@ -32,14 +32,14 @@
  */
 export async function * watchSettings (client: AdminClient, options: WatchOptions, signal: AbortSignal): AsyncIterable<SettingsSummary> {
   const known = new Map<string, number>()
-  let wait = FIRST_WAIT_MILLISECONDS
+  let wait = INITIAL_RECONNECT_DELAY_MILLISECONDS
   while (!signal.aborted) {
     let error: LimpetwinchError | undefined
-    const silence = new SilenceTimer(signal)
+    const silence = new IdleTimer(signal)
     try {
-      const opened = await client.open(`/admin/watch?prefix=${encodeURIComponent(options.prefix)}&after=${options.after}`, silence.signal)
+      const opened = await client.openStream(`/admin/watch?prefix=${encodeURIComponent(options.prefix)}&after=${options.after}`, silence.signal)
       if (opened.isErr()) error = opened.error
-      else wait = FIRST_WAIT_MILLISECONDS
+      else wait = INITIAL_RECONNECT_DELAY_MILLISECONDS
       for await (const summary of opened.isOk() ? summaries(opened.value, silence) : []) {
         if ((known.get(summary.path) ?? 0) >= summary.revision) continue
         known.set(summary.path, summary.revision)
@@ -51,13 +51,13 @@
     }
     if (signal.aborted) return
     if (error !== undefined && options.isFinal(error)) return
-    options.onLost(error)
+    options.onConnectionLost(error)
     await sleep(wait * (0.5 + Math.random() / 2))
-    wait = Math.min(LONGEST_WAIT_MILLISECONDS, wait * 2)
+    wait = Math.min(MAXIMUM_RECONNECT_DELAY_MILLISECONDS, wait * 2)
   }
 }
 
-async function * summaries (response: Dispatcher.ResponseData, silence: SilenceTimer): AsyncIterable<SettingsSummary> {
+async function * summaries (response: Dispatcher.ResponseData, silence: IdleTimer): AsyncIterable<SettingsSummary> {
   let waiting: SettingsSummary[] = []
   const parser = createParser({
     onEvent: ({ event, data }) => {
@@ -80,7 +80,7 @@
 }
 
 /** Ends a connection that says nothing: it may be dead without either end having noticed. */
-class SilenceTimer {
+class IdleTimer {
   readonly signal: AbortSignal
   private readonly ending = new AbortController()
   private timer: NodeJS.Timeout | undefined
@@ -92,7 +92,7 @@
 
   heard (): void {
     clearTimeout(this.timer)
-    this.timer = setTimeout(() => { this.ending.abort() }, SILENCE_MILLISECONDS)
+    this.timer = setTimeout(() => { this.ending.abort() }, IDLE_TIMEOUT_MILLISECONDS)
   }
 
   stop (): void {
--- a/packages/cli/src/show/status-form.ts
+++ b/packages/cli/src/show/status-schema.ts
@@ -56,4 +56,4 @@
 /** An instance's status. */
 export type InstanceStatus = z.infer<typeof statusSchema>
 /** An instance's figures by team and class. */
-export type TeamFigures = z.infer<typeof histogramsSchema>['series']
+export type TeamHistograms = z.infer<typeof histogramsSchema>['series']
--- a/packages/cli/src/show/status-tables.ts
+++ b/packages/cli/src/show/status-tables.ts
@@ -1,5 +1,5 @@
 /** The status of an instance, and of the deployment as the instance sees it, for people. */
-import type { InstanceStatus, TeamFigures } from './status-form.js'
+import type { InstanceStatus, TeamHistograms } from './status-schema.js'
 import { table } from './table.js'
 
 type Endpoint = InstanceStatus['endpoints'][number]
@@ -7,7 +7,7 @@
 const SHORT_ID = 8
 
 /** @returns all tables */
-export function statusText (status: InstanceStatus, figures: TeamFigures): string {
+export function statusText (status: InstanceStatus, figures: TeamHistograms): string {
   const parts = [
     headline(status),
     section('Instances', instanceTable(status)),
@@ -74,8 +74,8 @@
     .map((slot) => [slot.name ?? '', endpoint.endpoint, slot.state, slot.pins.toString(), (slot.waiting ?? 0).toString()])
 }
 
-function teamTable (figures: TeamFigures): string {
-  const time = (series: TeamFigures[number], measure: string, at: 'p50' | 'p99'): string => series.milliseconds[measure]?.[at].toFixed(1) ?? '-'
+function teamTable (figures: TeamHistograms): string {
+  const time = (series: TeamHistograms[number], measure: string, at: 'p50' | 'p99'): string => series.milliseconds[measure]?.[at].toFixed(1) ?? '-'
   return table(['TEAM', 'CLASS', 'ANSWERED', 'NOT RUN', 'UNKNOWN', 'LOAD STALL P99', 'QUEUE WAIT P99', 'FIRST TOKEN P50', 'FIRST TOKEN P99'], figures.map((series) => [
     series.team,
     series.class,
--- a/packages/cli/test/logs/request-story.test.ts
+++ b/packages/cli/test/logs/request-story.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { requestStory } from '../../src/logs/request-story.js'
+import { requestTimeline } from '../../src/logs/request-timeline.js'
 
 const line = (second: number, label: string, message: string, fields: Record<string, unknown>): string =>
   JSON.stringify({ timestamp: new Date(1_772_000_000_000 + second * 1_000).toISOString(), level: 'info', label, message, ...fields })
@@ -26,12 +26,12 @@
 
 describe('the story of a request', () => {
   it('holds its own lines, and those on the endpoints and adapters that it met shortly before, by time', () => {
-    expect(requestStory(LINES, 'r1').map(({ part, what, own, fields }) => ({ part, what, own, fields }))).toMatchSnapshot()
+    expect(requestTimeline(LINES, 'r1').map(({ part, what, own, fields }) => ({ part, what, own, fields }))).toMatchSnapshot()
   })
 
   // Guards against a stream that broke off with nothing to show which other request ended its engine.
   it('of one that was aboard a crash names what was aboard with it and the verdict, whenever it fell', () => {
-    expect(requestStory(CRASH_LINES, 'near').map(({ what, own, fields }) => [own, what, fields.fingerprint])).toEqual([
+    expect(requestTimeline(CRASH_LINES, 'near').map(({ what, own, fields }) => [own, what, fields.fingerprint])).toEqual([
       [false, 'A request was aboard a crashed endpoint.', 'guilty'],
       [true, 'A request was aboard a crashed endpoint.', 'near'],
       [false, 'A request crashes endpoints and is held back.', 'guilty']
@@ -40,7 +40,7 @@
 
   // Guards against a refusal that an operator cannot trace to the crashes under the request's earlier ids.
   it('of one that is held back names its earlier arrivals', () => {
-    expect(requestStory(CRASH_LINES, 'last').map(({ what, own, fields }) => [own, what, fields.endpoint])).toEqual([
+    expect(requestTimeline(CRASH_LINES, 'last').map(({ what, own, fields }) => [own, what, fields.endpoint])).toEqual([
       [false, 'A request was aboard a crashed endpoint.', 'e3'],
       [false, 'A request crashes endpoints and is held back.', undefined],
       [true, 'A request was refused.', undefined]
@@ -48,6 +48,6 @@
   })
 
   it('is empty for a request that no line names', () => {
-    expect(requestStory(LINES, 'r9')).toEqual([])
+    expect(requestTimeline(LINES, 'r9')).toEqual([])
   })
 })
--- a/packages/cli/test/report/run-report.test.ts
+++ b/packages/cli/test/report/run-report.test.ts
@@ -46,7 +46,7 @@
   const reporter = new RunReporter()
   for (const each of lines) {
     const parsed = parseLogLine(each)
-    if (parsed !== undefined) reporter.take(parsed)
+    if (parsed !== undefined) reporter.record(parsed)
   }
   return reporter.report()
 }
--- a/packages/soak/src/faults/outside-faults.ts
+++ b/packages/soak/src/faults/outside-faults.ts
@@ -64,7 +64,7 @@
 
   override async run (site: SoakSite): Promise<void> {
     await this.lasting(site, undefined, async () => {
-      site.deployment.store.shelf.compact()
+      site.deployment.store.objects.compact()
       await site.wait(50, 200)
     })
   }
@@ -75,11 +75,11 @@
   override readonly kind = 'crash-engine'
 
   override async run (site: SoakSite): Promise<void> {
-    const engine = site.random.pick(site.deployment.engines.filter(({ isOver }) => !isOver))
+    const engine = site.random.pick(site.deployment.engines.filter(({ hasEnded: isOver }) => !isOver))
     await this.lasting(site, engine.options.id, async () => {
       await engine.crash()
       await site.wait(800, 1_500)
-      await engine.lapse()
+      await engine.removeEntry()
       await site.deployment.addEngine()
     })
   }
@@ -90,7 +90,7 @@
   override readonly kind = 'leaving-engine'
 
   override async run (site: SoakSite): Promise<void> {
-    const engine = site.random.pick(site.deployment.engines.filter(({ isOver }) => !isOver))
+    const engine = site.random.pick(site.deployment.engines.filter(({ hasEnded: isOver }) => !isOver))
     await site.deployment.addEngine()
     await this.lasting(site, engine.options.id, async () => {
       if (await engine.beginLeaving()) site.record.leavings.push({ endpoint: engine.options.id, at: Date.now() })
--- a/packages/soak/src/soak-site.ts
+++ b/packages/soak/src/soak-site.ts
@@ -49,8 +49,8 @@
         this.speaking.add(name)
         onLog(name, line)
       },
-      onLost: (name, reason) => this.lost(name, reason),
-      storeFor: async (index, url) => {
+      onUnexpectedEnd: (name, reason) => this.lost(name, reason),
+      storeUrlFor: async (index, url) => {
         const link = this.links.get(index) ?? new CuttableLink(url)
         if (this.links.has(index)) return link.listening
         this.links.set(index, link)
