--- a/packages/entry/src/ownership/endpoint-recoveries.ts
+++ b/packages/entry/src/ownership/endpoint-recoveries.ts
@@ -14,42 +14,42 @@
 
 const CHECK_INTERVAL_MILLISECONDS = 1_000
 
-/** What the recoveries are made of. */
+/** Dependencies and times of the recoveries. */
 export interface EndpointRecoveriesOptions {
   readonly peers: PeerNetwork
   readonly membership: Membership
   readonly ownership: StoreOwnership
-  /** The engines of the settings in force, or undefined before there are any. */
+  /** The engines of the current settings, or undefined before settings have been read. */
   readonly engines: () => readonly EngineSettings[] | undefined
   readonly clientOf: (engine: EngineSettings) => EngineClient
-  /** Whether this instance, as owner of the endpoint, granted a request itself. */
+  /** Whether this instance granted the request itself as owner of the endpoint. */
   readonly hasGranted: (endpoint: EndpointId, requestId: RequestId) => boolean
   readonly longestRequestMilliseconds: () => number
   readonly logger: Logger
   readonly clock?: Clock
-  /** Uniform in 0 to 1. */
+  /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
   readonly times?: RecoveryTimes
-  /** How long a clean hand-over may take to come after its record. */
+  /** How long a recovery waits for the hand-over message of the earlier owner after the new record. */
   readonly handOverWaitMilliseconds?: number
 }
 
-interface Running {
+interface ActiveRecovery {
   readonly recovery: EndpointRecovery
   readonly stopping: AbortController
   readonly handOverArrived: Wake
 }
 
-/** Starts a recovery for each record that becomes this instance's and answers what may be done meanwhile. */
+/** Runs one recovery for each record that this instance owns, and tells how far each recovery has got. */
 export class EndpointRecoveries {
   private readonly options: EndpointRecoveriesOptions
   private readonly clock: Clock
   private readonly logger: Logger
-  private readonly running = new Map<EndpointId, Running>()
+  private readonly running = new Map<EndpointId, ActiveRecovery>()
   private readonly tasks: TaskGroup
   private readonly wake = new Wake()
 
-  /** @param options - the surroundings */
+  /** @param options - dependencies and times */
   constructor (options: EndpointRecoveriesOptions) {
     this.options = options
     this.clock = options.clock ?? new SystemClock()
@@ -60,7 +60,7 @@
     options.peers.onNotice('admission-done', (_, frame) => this.running.get(frame.endpoint)?.recovery.endPin(frame.requestId))
   }
 
-  /** Follows ownership until the signal ends it. */
+  /** Follows changes of ownership until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.syncWithOwnership()
@@ -70,22 +70,22 @@
     await this.tasks.settle()
   }
 
-  /** @returns requests of earlier owners that may still run on an endpoint */
+  /** @returns requests of earlier owners that may still run on the endpoint */
   earlierPins (endpoint: EndpointId): readonly EarlierPin[] {
     return this.running.get(endpoint)?.recovery.earlierPins() ?? []
   }
 
-  /** @returns whether all earlier pins of an endpoint are known or ended */
+  /** @returns whether each earlier pin of the endpoint is known or has ended */
   recovered (endpoint: EndpointId): boolean {
     return this.running.get(endpoint)?.recovery.recovered ?? false
   }
 
-  /** Takes up a hand-over; the record must be in force here. */
+  /** Applies a hand-over; this instance must already know the record. */
   applyHandOver (record: OwnershipRecord, state: HandOverState, recovered: boolean): void {
-    const running = this.start(record)
-    if (running === undefined) return
-    running.recovery.applyHandOver(state.pins, recovered)
-    running.handOverArrived.notify()
+    const started = this.start(record)
+    if (started === undefined) return
+    started.recovery.applyHandOver(state.pins, recovered)
+    started.handOverArrived.notify()
   }
 
   private statusOf (record: OwnershipRecord): RecoveryStatus {
@@ -104,22 +104,25 @@
     for (const record of owned.values()) this.start(record)
   }
 
-  private start (record: OwnershipRecord): Running | undefined {
-    const present = this.running.get(record.endpoint)
-    if (present?.recovery.record.token === record.token) return present
+  private start (record: OwnershipRecord): ActiveRecovery | undefined {
+    const current = this.running.get(record.endpoint)
+    if (current?.recovery.record.token === record.token) return current
     const engine = this.options.engines()?.find((candidate) => candidate.endpoint === record.endpoint)
     if (engine === undefined) return undefined
-    present?.stopping.abort()
-    const running: Running = { recovery: this.createRecovery(record, engine), stopping: new AbortController(), handOverArrived: new Wake() }
-    this.running.set(record.endpoint, running)
-    this.tasks.spawn('recovery', async () => await this.recover(running))
-    return running
+    current?.stopping.abort()
+    const started: ActiveRecovery = { recovery: this.createRecovery(record, engine), stopping: new AbortController(), handOverArrived: new Wake() }
+    this.running.set(record.endpoint, started)
+    this.tasks.spawn('recovery', async () => await this.recover(started))
+    return started
   }
 
-  /** A clean hand-over brings the pins; when it does not come, its sender was lost on the way. */
-  private async recover ({ recovery, stopping, handOverArrived: arrived }: Running): Promise<void> {
+  /**
+   * In a planned hand-over the earlier owner sends its pins after the record. When they do not arrive in time, that
+   * owner was lost in between, and the recovery asks all members instead.
+   */
+  private async recover ({ recovery, stopping, handOverArrived }: ActiveRecovery): Promise<void> {
     if (recovery.record.handedOverFrom !== undefined && !recovery.recovered) {
-      await arrived.wait(this.options.handOverWaitMilliseconds ?? 2_000, stopping.signal)
+      await handOverArrived.wait(this.options.handOverWaitMilliseconds ?? 2_000, stopping.signal)
     }
     await recovery.run(stopping.signal)
   }
--- a/packages/entry/src/ownership/endpoint-recovery.ts
+++ b/packages/entry/src/ownership/endpoint-recovery.ts
@@ -1,4 +1,4 @@
-/** What a new owner does to learn what runs on an endpoint. */
+/** Recovery of an endpoint: how a new owner finds out which requests still run on it. */
 import type { Clock, EngineClient, EngineReport, EngineSettings, InstanceId, Logger, RequestId } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import { forEachLimited } from '../concurrency/for-each-limited.js'
@@ -11,22 +11,25 @@
 const BACKOFF = { first: 100, largest: 2_000 }
 const MAXIMUM_CONCURRENT_CALLS = 32
 
-/** Times of a recovery, milliseconds. */
+/** Times of a recovery, in milliseconds. */
 export interface RecoveryTimes {
-  /** How long one ask may take. */
+  /** Time limit of one call that asks a member for its pins. */
   readonly callTimeout: number
-  /** How long no new member may appear after all have answered: the list lags, and so does who is known here. */
+  /**
+   * How long no new member may appear after all members have answered. The platform's list lags, so the membership
+   * known to this instance may still be incomplete.
+   */
   readonly settle: number
-  /** How far the engine's wall clock may be from this one. */
+  /** Largest expected difference between the engine's wall clock and the one of this instance. */
   readonly maximumClockSkew: number
-  /** Between reads of the engine's report. */
+  /** Interval between reads of the engine's report. */
   readonly reportInterval: number
 }
 
-/** The times in use unless told otherwise. */
+/** Default times of a recovery. */
 export const DEFAULT_RECOVERY_TIMES: RecoveryTimes = { callTimeout: 2_000, settle: 5_000, maximumClockSkew: 2_000, reportInterval: 1_000 }
 
-/** What a recovery is made of. */
+/** Record, dependencies and times of a recovery. */
 export interface EndpointRecoveryOptions {
   readonly record: OwnershipRecord
   readonly engine: EngineSettings
@@ -43,41 +46,44 @@
 }
 
 /**
- * The recovery of one endpoint under one token.
+ * The recovery of one endpoint under one fencing token.
  *
- * A bounded wait in place of the answers would not be safe: a member that is paused between its grant and its request
- * starts the request whenever it wakes, however long that takes. Only its own word that it honours no older token, or
- * the end of its process, rules that out.
+ * Waiting for a bounded time instead of for every answer would not be safe: a member whose process is paused between
+ * its grant and its request starts the request when it resumes, however long the pause was. Only the member's own
+ * answer that it no longer accepts older tokens, or the end of its process, rules that out.
  */
 export class EndpointRecovery {
   readonly record: OwnershipRecord
-  /** Whether an engine that refuses old tokens has seen this one. */
+  /** Whether the engine has received this token; always true for an engine that ignores tokens. */
   fenced: boolean
-  /** Whether all earlier pins are known or ended. */
+  /** Whether each earlier pin is known or has ended. */
   recovered = false
   private readonly options: EndpointRecoveryOptions
   private readonly pins = new EarlierPins()
   private readonly answered = new Set<InstanceId>()
-  /** When every member had answered or was gone; what ran before that ends within the longest request time of it. */
+  /**
+   * When every member had answered or had left. Requests that started before this time end within the longest request
+   * time after it.
+   */
   private membersSettledAt: { readonly monotonic: number, readonly wall: number } | undefined
-  /** The longest request time that was in force since the recovery began: a request keeps the one that it came with. */
+  /** Highest limit of the request time since the recovery began: a request keeps the limit that it started with. */
   private maximumRequestMilliseconds: number
 
-  /** @param options - record and surroundings */
+  /** @param options - record, dependencies and times */
   constructor (options: EndpointRecoveryOptions) {
     this.options = options
     this.record = options.record
     this.maximumRequestMilliseconds = options.longestRequestMilliseconds()
-    // Names that carry the token do the work of fencing where the engine ignores tokens.
+    // Where the engine ignores tokens, loaded names that contain the token replace fencing.
     this.fenced = options.engine.fencing === 'ignores'
   }
 
-  /** Fences and recovers; ends when no earlier pin is left that the engine has to tell of. */
+  /** Fences the engine and recovers the endpoint; resolves when no earlier pin is left, or the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     await Promise.all([this.fence(signal), this.recover(signal)])
   }
 
-  /** Takes up what the earlier owner handed over; nothing is left to ask when it knew all pins itself. */
+  /** Applies the pins of the earlier owner; if that owner knew all earlier pins itself, no member has to be asked. */
   applyHandOver (pins: readonly EarlierPin[], recovered: boolean): void {
     this.pins.add(pins)
     if (!recovered) return
@@ -85,19 +91,19 @@
     this.recovered = true
   }
 
-  /** @returns what earlier owners granted and what may still run */
+  /** @returns requests that earlier owners granted and that may still run */
   earlierPins (): readonly EarlierPin[] {
     return this.pins.all()
   }
 
-  /** Ends a pin by its member's word. */
+  /** Removes a pin after its member announced that the request has ended. */
   endPin (requestId: RequestId): void {
     this.pins.end(requestId)
   }
 
   /**
-   * Shows the engine the token before the first grant. Until it has seen it, an earlier owner that was paused could
-   * still unload what a request granted here is about to use.
+   * Sends the token to the engine before the first grant. Until the engine has received it, an earlier owner that was
+   * paused could still unload an adapter that a request granted by this instance is about to use.
    */
   private async fence (signal: AbortSignal): Promise<void> {
     const { client, clock, engine, random, logger } = this.options
@@ -120,26 +126,26 @@
       await this.awaitConclusiveReport(signal)
     }
     if (this.membersSettledAt === undefined) this.settle()
-    // A member that is gone later leaves its pins to the report as well.
+    // When a member leaves later, the engine's report shows when its pins end.
     while (!signal.aborted && this.pins.all().length > 0) {
       await this.options.clock.sleep(this.options.times.reportInterval, signal)
       if (this.pins.hasOrphans(this.isLiving)) await this.applyFreshReport()
     }
   }
 
-  /** Asks until every member has answered or is gone, and no new one has appeared for a while. */
+  /** Asks for pins until every member has answered or has left, and no new member has appeared for the settle time. */
   private async collectPins (signal: AbortSignal): Promise<void> {
     const { clock, times, random } = this.options
     const backoff = new Backoff(BACKOFF, random)
     let settledAt = clock.now()
     while (!signal.aborted && !this.recovered) {
-      const waiting = this.unanswered()
-      if (waiting.length === 0) {
+      const unanswered = this.unanswered()
+      if (unanswered.length === 0) {
         if (clock.now() - settledAt >= times.settle) return this.settle()
         await clock.sleep(Math.min(times.settle / 4, BACKOFF.largest), signal)
         continue
       }
-      await forEachLimited(waiting, MAXIMUM_CONCURRENT_CALLS, async (instance) => await this.collectPinsFrom(instance, signal))
+      await forEachLimited(unanswered, MAXIMUM_CONCURRENT_CALLS, async (instance) => await this.collectPinsFrom(instance, signal))
       settledAt = clock.now()
       if (this.unanswered().length > 0) await clock.sleep(backoff.next(), signal)
       else backoff.reset()
@@ -166,8 +172,9 @@
   }
 
   /**
-   * Requests of members that are gone show only in the engine's report: one made after all else was settled, since an
-   * earlier one may lack what such a member started last, and with nothing queued, since the queue has no names.
+   * Waits for the engine's report, the only source for requests of members that have left. The report must have been
+   * made after the members were settled, since an earlier one may lack the last requests of such a member. Its queue
+   * must be empty, since the report does not name queued requests. The longest request time replaces such a report.
    */
   private async awaitConclusiveReport (signal: AbortSignal): Promise<void> {
     const { clock, times, logger } = this.options
--- a/packages/entry/src/ownership/hand-over-source.ts
+++ b/packages/entry/src/ownership/hand-over-source.ts
@@ -1,7 +1,7 @@
-/** What hand-over needs from the scheduler of an endpoint. */
+/** Interface of an endpoint's scheduler that a hand-over of the endpoint uses. */
 import type { EndpointId, FencingToken, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 
-/** A request that uses an endpoint, as it is handed over. */
+/** A running request, as the earlier owner reports it to the new owner. */
 export interface HandedOverPin {
   readonly requestId: RequestId
   readonly instance: InstanceId
@@ -9,28 +9,33 @@
   readonly team: string
 }
 
-/** What an owner hands over. */
+/** State of an endpoint that its owner hands over. */
 export interface HandOverState {
-  /** Names that are certainly loaded; one whose order has no answer yet is left out. */
+  /** Names that are certainly loaded; a name whose load or unload order has no answer yet is left out. */
   readonly loaded: readonly LoadedName[]
-  /** Requests granted and not ended, those left from earlier owners included. */
+  /** Requests that were granted and have not ended, including those of earlier owners. */
   readonly pins: readonly HandedOverPin[]
 }
 
-/** The scheduler's side of a hand-over. */
+/** Operations of the scheduler during a hand-over. */
 export abstract class HandOverSource {
-  /** Stops orders and waits for the answers of those under way; grants for what is loaded go on. */
+  /** Stops load and unload orders and waits for the answers of orders in progress; grants for loaded names continue. */
   abstract pauseOrders (endpoint: EndpointId): Promise<void>
 
-  /** Gives orders again, after a hand-over that was not written. */
+  /** Resumes orders after a hand-over that could not be written to the store. */
   abstract resumeOrders (endpoint: EndpointId): void
 
-  /** Stops grants, lets asks wait and tells what is loaded and pinned. */
+  /**
+   * Called after the new record is written, from when on this instance grants nothing on the endpoint: requests that
+   * ask for admission wait until {@link release}.
+   *
+   * @returns the loaded names and pins
+   */
   abstract state (endpoint: EndpointId): HandOverState
 
-  /** Answers what waits, and all later asks, with `not-owner` and `details.owner`, so that the askers go on there. */
+  /** Refuses waiting and later requests with `not-owner` and `details.owner`, so that their senders ask the new owner. */
   abstract release (endpoint: EndpointId, newOwner: InstanceId): void
 
-  /** Takes over loaded names and pins from the earlier owner. */
+  /** Applies the loaded names and pins of the earlier owner. */
   abstract adopt (endpoint: EndpointId, token: FencingToken, state: HandOverState): void
 }
--- a/packages/entry/src/ownership/hand-overs.ts
+++ b/packages/entry/src/ownership/hand-overs.ts
@@ -1,4 +1,4 @@
-/** Planned hand-over of endpoints: on stopping, and to even out. */
+/** Planned hand-over of endpoints to other instances: before this instance stops, and to balance ownership. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, EndpointId, HandOverFrame, Logger } from '@limpetwinch/core'
 import type { PeerNetwork, ReplyBody } from '../peers/peer-network.js'
@@ -11,10 +11,13 @@
 const WRITE_TIMEOUT_MILLISECONDS = 5_000
 const RECORD_WAIT_MILLISECONDS = 1_000
 const CHECK_INTERVAL_MILLISECONDS = 50
-/** A peer may be suspect for a moment only; one that is absent for longer takes over after this instance's end. */
+/**
+ * How long a stopping instance waits for a successor. A peer may be suspected only briefly; endpoints that are left
+ * after this time are taken over by a later peer once this instance has ended.
+ */
 const SUCCESSOR_WAIT_MILLISECONDS = 2_000
 
-/** What hand-overs are made of. */
+/** Dependencies and times of hand-overs. */
 export interface HandOversOptions {
   readonly peers: PeerNetwork
   readonly ownership: StoreOwnership
@@ -22,20 +25,20 @@
   readonly source: HandOverSource
   readonly logger: Logger
   readonly clock?: Clock
-  /** Uniform in 0 to 1. */
+  /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
-  /** Between looks whether this instance owns far more than its share. */
+  /** Mean interval between checks whether this instance owns far more than its share. */
   readonly rebalanceIntervalMilliseconds?: number
 }
 
-/** Gives endpoints away and takes them. */
+/** Hands endpoints over to other instances and receives endpoints from them. */
 export class HandOvers {
   private readonly options: HandOversOptions
   private readonly clock: Clock
   private readonly logger: Logger
-  private busy = false
+  private handingOver = false
 
-  /** @param options - the surroundings */
+  /** @param options - dependencies and times */
   constructor (options: HandOversOptions) {
     this.options = options
     this.clock = options.clock ?? new SystemClock()
@@ -43,7 +46,7 @@
     options.peers.onCall('hand-over', async (_, frame, signal) => await this.receiveHandOver(frame, signal))
   }
 
-  /** Evens out until the signal ends it: an instance that joined gets its share from those that hold more. */
+  /** Balances ownership until the signal is aborted: an instance that joined gets its share from owners above theirs. */
   async run (signal: AbortSignal): Promise<void> {
     const interval = this.options.rebalanceIntervalMilliseconds ?? 5_000
     while (!signal.aborted) {
@@ -54,44 +57,44 @@
   }
 
   /**
-   * Hands over everything, for a planned stop. The membership must say that this instance leaves.
+   * Hands over all endpoints before a planned stop. The membership must already show this instance as leaving.
    *
-   * @param signal - gives up; what is left is taken over after this instance's end
-   * @returns endpoints that are left: nobody was there to take them, or the signal came
+   * @param signal - cancels the hand-over; the remaining endpoints are taken over after this instance has ended
+   * @returns the endpoints still owned: no successor existed, or the signal was aborted
    */
   async handOverAll (signal: AbortSignal): Promise<readonly EndpointId[]> {
-    let hopeUntil = this.clock.now() + SUCCESSOR_WAIT_MILLISECONDS
+    let waitUntil = this.clock.now() + SUCCESSOR_WAIT_MILLISECONDS
     for (;;) {
       const { ownership } = this.options
       const left = ownership.owned().map((record) => record.endpoint)
       if (left.length === 0 || signal.aborted) return left
-      if (ownership.hasSuccessors()) hopeUntil = this.clock.now() + SUCCESSOR_WAIT_MILLISECONDS
-      // The last instance of a data centre would wait for a successor until its time for stopping is over.
-      if (this.clock.now() > hopeUntil) return left
+      if (ownership.hasSuccessors()) waitUntil = this.clock.now() + SUCCESSOR_WAIT_MILLISECONDS
+      // Without this limit the last instance of a data centre would wait for a successor until its stop times out.
+      if (this.clock.now() > waitUntil) return left
       if (!await this.handOver(left, signal)) await this.clock.sleep(CHECK_INTERVAL_MILLISECONDS, signal)
     }
   }
 
   /**
-   * Hands over some endpoints. Orders stop first, so that the new owner finds nothing half done; grants go on until the
-   * new record is written, so that no request is refused meanwhile.
+   * Hands over some endpoints. Load and unload orders stop first, so that the new owner finds no order in progress.
+   * Grants continue until the new record is written, so that no request is refused in the meantime.
    *
    * @returns whether they were handed over
    */
   async handOver (endpoints: readonly EndpointId[], signal: AbortSignal): Promise<boolean> {
-    if (this.busy) return false
-    this.busy = true
+    if (this.handingOver) return false
+    this.handingOver = true
     try {
       return await this.handOverWithOrdersPaused(endpoints, signal)
     } finally {
-      this.busy = false
+      this.handingOver = false
     }
   }
 
   private async handOverWithOrdersPaused (endpoints: readonly EndpointId[], signal: AbortSignal): Promise<boolean> {
     const { source, ownership } = this.options
     await Promise.all(endpoints.map(async (endpoint) => await source.pauseOrders(endpoint)))
-    // Asked before the write: with it the recovery ends here, and the new owner must know whether it was complete.
+    // Read before the write, which ends the recovery of this owner; the new owner must know whether it was complete.
     const recovered = new Map(endpoints.map((endpoint) => [endpoint, this.knowsAllPins(endpoint)]))
     const limit = AbortSignal.any([signal, AbortSignal.timeout(WRITE_TIMEOUT_MILLISECONDS)])
     const written = await ownership.handOver(endpoints, limit)
@@ -105,7 +108,7 @@
     return records.length > 0
   }
 
-  /** A request known from the engine's report alone cannot be handed over, since no member answers for it. */
+  /** A request known only from the engine's report cannot be handed over, since no member will announce its end. */
   private knowsAllPins (endpoint: EndpointId): boolean {
     const { recoveries } = this.options
     return recoveries.recovered(endpoint) && recoveries.earlierPins(endpoint).every((pin) => pin.instance !== undefined)
@@ -115,9 +118,9 @@
     const { peers, source } = this.options
     const { endpoint, owner, token } = record
     const { loaded, pins } = source.state(endpoint)
-    const told = await peers.call(owner, { kind: 'hand-over', endpoint, token, recovered, loaded, pins }, CALL_TIMEOUT_MILLISECONDS)
-    // Without this word the new owner asks all members itself, as after a loss.
-    const accepted = told.isOk() && told.value.kind === 'accepted'
+    const reply = await peers.call(owner, { kind: 'hand-over', endpoint, token, recovered, loaded, pins }, CALL_TIMEOUT_MILLISECONDS)
+    // If the message is lost, the new owner asks all members itself, as after the loss of an owner.
+    const accepted = reply.isOk() && reply.value.kind === 'accepted'
     this.logger.info('An endpoint was handed over.', { endpoint, owner, accepted })
     source.release(endpoint, owner)
   }
@@ -134,7 +137,7 @@
     return { kind: 'accepted' }
   }
 
-  /** The record is told on the same connection just before, but may come by another. */
+  /** The earlier owner sends the record just before the hand-over, but it may arrive later, over another connection. */
   private async waitForRecord (frame: HandOverFrame, signal: AbortSignal): Promise<OwnershipRecord | undefined> {
     const { ownership, peers } = this.options
     const until = this.clock.now() + RECORD_WAIT_MILLISECONDS
--- a/packages/entry/src/ownership/ownership-confirmation.ts
+++ b/packages/entry/src/ownership/ownership-confirmation.ts
@@ -1,4 +1,4 @@
-/** Whether this instance's picture of the owners was still the newest a moment ago. */
+/** Proof that the ownership state known to this instance was still the latest one a moment ago. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { ClockReading } from './ownership-writer.js'
 
@@ -7,55 +7,55 @@
   readonly statedAfter: ClockReading
 }
 
-/** Collects what proves that nobody else has written. */
+/** Collects evidence, from the store and from peers, that no other instance has written a newer ownership state. */
 export class OwnershipConfirmation {
   private readonly clock: Clock
   private readonly validMilliseconds: number
   private readonly peerSequences = new Map<InstanceId, PeerSequence>()
-  private store: ClockReading | undefined
+  private storeConfirmedAt: ClockReading | undefined
 
   /**
-   * @param clock - dates the proofs
-   * @param validMilliseconds - how long a proof counts
+   * @param clock - measures the age of the evidence
+   * @param validMilliseconds - how long evidence stays valid
    */
   constructor (clock: Clock, validMilliseconds: number) {
     this.clock = clock
     this.validMilliseconds = validMilliseconds
   }
 
-  /** Notes that the store held nothing newer at a moment. */
-  confirmByStore (moment: ClockReading): void {
-    this.store = moment
+  /** Records that the store held no newer state at the given time. */
+  confirmByStore (reading: ClockReading): void {
+    this.storeConfirmedAt = reading
   }
 
-  /** Notes the newest sequence that a peer knew or was writing after a moment. */
-  recordPeerSequence (instance: InstanceId, sequence: number, saidAfter: ClockReading): void {
-    this.peerSequences.set(instance, { sequence, statedAfter: saidAfter })
+  /** Records the highest sequence that a peer knew or was writing at some time after `statedAfter`. */
+  recordPeerSequence (instance: InstanceId, sequence: number, statedAfter: ClockReading): void {
+    this.peerSequences.set(instance, { sequence, statedAfter })
   }
 
-  /** @returns whether the store itself was seen in time */
+  /** @returns whether a recent read or write of the store showed no newer state */
   isConfirmedByStore (): boolean {
-    return this.isRecent(this.store)
+    return this.isRecent(this.storeConfirmedAt)
   }
 
   /**
-   * @param sequence - the newest state known here
-   * @param others - all who could have written a newer one
-   * @returns whether store or peers prove that there was none
+   * @param sequence - sequence of the latest state known to this instance
+   * @param others - all other instances that could have written a newer state
+   * @returns whether the store or the peers prove that no newer state existed
    */
   holds (sequence: number, others: readonly InstanceId[]): boolean {
     return this.isConfirmedByStore() || this.isConfirmedByPeers(sequence, others)
   }
 
-  /** @returns whether every one of the others has said in time that it knows nothing newer */
+  /** @returns whether each of the other instances has recently announced that it knows no newer state */
   isConfirmedByPeers (sequence: number, others: readonly InstanceId[]): boolean {
     return others.every((instance) => {
-      const word = this.peerSequences.get(instance)
-      return word !== undefined && word.sequence <= sequence && this.isRecent(word.statedAfter)
+      const announced = this.peerSequences.get(instance)
+      return announced !== undefined && announced.sequence <= sequence && this.isRecent(announced.statedAfter)
     })
   }
 
-  /** Forgets instances that are gone. */
+  /** Removes the evidence of instances that have left. */
   keepOnly (instances: ReadonlySet<InstanceId>): void {
     for (const instance of this.peerSequences.keys()) {
       if (!instances.has(instance)) this.peerSequences.delete(instance)
@@ -63,13 +63,13 @@
   }
 
   /**
-   * Both clocks must agree that the proof is young: the monotonic one stands still while a virtual machine is
-   * suspended, and the wall clock may be set back. A pause of any kind therefore makes every proof old at once.
+   * Both clocks must show that the evidence is recent: the monotonic clock stops while a virtual machine is suspended,
+   * and the wall clock may be set back. A pause of any kind therefore invalidates all evidence at once.
    */
-  private isRecent (moment: ClockReading | undefined): boolean {
-    if (moment === undefined) return false
-    const monotonicAge = this.clock.now() - moment.monotonic
-    const wallAge = Math.abs(this.clock.wallTime() - moment.wall)
+  private isRecent (reading: ClockReading | undefined): boolean {
+    if (reading === undefined) return false
+    const monotonicAge = this.clock.now() - reading.monotonic
+    const wallAge = Math.abs(this.clock.wallTime() - reading.wall)
     return monotonicAge <= this.validMilliseconds && wallAge <= this.validMilliseconds
   }
 }
--- a/packages/entry/src/ownership/ownership-object.ts
+++ b/packages/entry/src/ownership/ownership-object.ts
@@ -1,4 +1,4 @@
-/** The object of the store that holds the owners of a data centre's endpoints. */
+/** The object in the store that records the owners of a data centre's endpoints. */
 import type { DataCentreId, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import { z } from 'zod'
 import type { OwnershipRecord } from './ownership.js'
@@ -18,29 +18,29 @@
   }))
 })
 
-/** All owners of a data centre at one moment. */
+/** One version of the ownership state of a data centre. */
 export interface OwnershipObject {
   readonly dataCentre: DataCentreId
-  /** Grows by one with each write, also when the store was restored and its own versions went back. */
+  /** Increases with each write, even if the store was restored and its own version numbers went back. */
   readonly sequence: number
-  /** The lowest token that was never given. */
+  /** The lowest fencing token that has not been assigned yet. */
   readonly nextToken: number
-  /** Identifies the write, so that it is found again when its answer was lost. */
+  /** Identifies the write, so that a later read shows whether a write with a lost answer took effect. */
   readonly writeId: string
   readonly records: readonly OwnershipRecord[]
 }
 
-/** @returns where a data centre's object stands in the store */
+/** @returns the path of a data centre's ownership object in the store */
 export function ownershipPath (dataCentre: DataCentreId): string {
   return `/ownership/${dataCentre}`
 }
 
-/** @returns the object before the first write */
+/** @returns the ownership object before the first write */
 export function emptyOwnership (dataCentre: DataCentreId): OwnershipObject {
   return { dataCentre, sequence: 0, nextToken: 1, writeId: '', records: [] }
 }
 
-/** @returns the checked object, or undefined when a value from the store or a peer is none */
+/** @returns the validated ownership object, or undefined when a value from the store or from a peer is invalid */
 export function parseOwnership (value: unknown): OwnershipObject | undefined {
   const parsed = objectSchema.safeParse(value)
   if (!parsed.success) return undefined
@@ -57,10 +57,10 @@
 }
 
 /**
- * Orders two states. Equal sequences with different writes exist only when the store was restored between two writes;
- * all instances then settle on the same one.
+ * Compares two states. Equal sequences with different write ids exist only when the store was restored between two
+ * writes; the write id then makes all instances choose the same state.
  *
- * @returns whether the first is newer
+ * @returns whether the first state is newer
  */
 export function isNewer (one: OwnershipObject, other: OwnershipObject): boolean {
   if (one.sequence !== other.sequence) return one.sequence > other.sequence
--- a/packages/entry/src/ownership/ownership-writer.ts
+++ b/packages/entry/src/ownership/ownership-writer.ts
@@ -1,4 +1,4 @@
-/** Conditional updates of the ownership object, with answers that may be lost. */
+/** Conditional updates of the ownership object; the answer of an update may be lost. */
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, ObjectStore, StoredObject } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
@@ -12,20 +12,20 @@
 const BACKOFF = { first: 100, largest: 5_000 }
 const MAXIMUM_CONFLICTS = 8
 
-/** When a state of the store was certainly in force. */
+/** Both clocks read at one moment, in milliseconds. */
 export interface ClockReading {
   readonly monotonic: number
   readonly wall: number
 }
 
-/** What the writer needs from the ownership that it works for. */
+/** What the writer uses of the ownership that it belongs to. */
 export interface OwnershipWriterDependencies {
   readonly store: ObjectStore
   readonly clock: Clock
   readonly random: () => number
-  /** The newest state known here. */
+  /** Returns the latest state known to this instance. */
   readonly latestKnown: () => OwnershipObject
-  /** Takes up a state; the moment says when the store held nothing newer. */
+  /** Applies a state; the clock reading is a time at which the store held no newer state. */
   readonly adopt: (object: OwnershipObject, confirmedAt: ClockReading) => void
 }
 
@@ -34,7 +34,7 @@
   readonly stored: OwnershipObject | undefined
 }
 
-/** Reads and writes one data centre's object; one call at a time. */
+/** Reads and writes the ownership object of one data centre, one operation at a time. */
 export class OwnershipWriter {
   /** Whether the last call to the store was answered. */
   storeReachable = true
@@ -42,46 +42,49 @@
   private pending: OwnershipObject | undefined
   private lastOperation: Promise<unknown> = Promise.resolve()
 
-  /** @param dependencies - store, clock and what is known */
+  /** @param dependencies - store, clock and the known state */
   constructor (dependencies: OwnershipWriterDependencies) {
     this.dependencies = dependencies
   }
 
-  /** @returns the sequence of a write whose fate is open, 0 when there is none */
+  /** @returns the sequence of a write that may or may not have taken effect, 0 when there is none */
   pendingSequence (): number {
     return this.pending?.sequence ?? 0
   }
 
-  /** Reads the object and takes it up. */
+  /** Reads the object and applies it. */
   async read (): Promise<Result<void, LimpetwinchError>> {
     return await this.runExclusively(async () => (await this.readOnce()).map(() => undefined))
   }
 
   /**
-   * Changes the object on top of its newest state.
+   * Changes the object, based on its latest state.
    *
-   * @param change - makes the change from the newest state; undefined when there is nothing left to change
-   * @param signal - ends the waiting for a lost answer
-   * @returns the newest state after it, or the store's error when nothing was written
+   * @param change - derives the change from the latest state; returns undefined when nothing has to be changed
+   * @param signal - cancels the reads that find out whether a write with a lost answer took effect
+   * @returns the latest state after the update, or the store's error when nothing is known to have been written
    */
-  async update (change: (newest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
+  async update (change: (latest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
     return await this.runExclusively(async () => await this.updateExclusively(change, signal))
   }
 
-  private async updateExclusively (change: (newest: OwnershipObject) => OwnershipChange | undefined, signal: AbortSignal): Promise<Result<OwnershipObject, LimpetwinchError>> {
+  private async updateExclusively (
+    change: (latest: OwnershipObject) => OwnershipChange | undefined,
+    signal: AbortSignal
+  ): Promise<Result<OwnershipObject, LimpetwinchError>> {
     let unsettled = false
     for (let conflicts = 0; conflicts < MAXIMUM_CONFLICTS; conflicts += 1) {
       const read = unsettled ? await this.readUntilAnswered(signal) : await this.readOnce()
       if (read.isErr()) return err(read.error)
       const { stored, storeVersion } = read.value
       if (this.pending !== undefined && stored?.writeId === this.pending.writeId) return ok(this.clearPending(this.pending))
-      const newest = this.dependencies.latestKnown()
-      const restored = isNewer(newest, stored ?? emptyOwnership(newest.dataCentre))
-      // A write that was lost may still arrive, as it names the version that is still there. Another write on the same
-      // version settles it: the store lets only one of the two through.
-      const wanted = change(newest) ?? (restored || unsettled ? newest : undefined)
-      if (wanted === undefined) return ok(newest)
-      const written = await this.write(newest, wanted, storeVersion)
+      const latest = this.dependencies.latestKnown()
+      const restored = isNewer(latest, stored ?? emptyOwnership(latest.dataCentre))
+      // A write whose answer was lost may still reach the store, since the version that it expects is still current.
+      // Another write that expects the same version settles this: the store accepts only one of the two.
+      const required = change(latest) ?? (restored || unsettled ? latest : undefined)
+      if (required === undefined) return ok(latest)
+      const written = await this.write(latest, required, storeVersion)
       if (written.isOk()) return ok(this.clearPending(written.value))
       if (written.error.kind === 'store-answer-lost') unsettled = true
       else if (written.error.kind !== 'version-conflict') return this.failed(written.error, unsettled)
@@ -89,12 +92,12 @@
     return err(new LimpetwinchError('store-unavailable', { reason: 'too many conflicting writes' }))
   }
 
-  private async write (newest: OwnershipObject, change: OwnershipChange, storeVersion: number): Promise<Result<OwnershipObject, LimpetwinchError>> {
-    const { store, latestKnown: known } = this.dependencies
-    const { dataCentre } = newest
+  private async write (latest: OwnershipObject, change: OwnershipChange, storeVersion: number): Promise<Result<OwnershipObject, LimpetwinchError>> {
+    const { store, latestKnown } = this.dependencies
+    const { dataCentre } = latest
     const object: OwnershipObject = {
       dataCentre,
-      sequence: Math.max(newest.sequence, known().sequence, this.pendingSequence()) + 1,
+      sequence: Math.max(latest.sequence, latestKnown().sequence, this.pendingSequence()) + 1,
       nextToken: change.nextToken,
       writeId: uuidv7(),
       records: change.records
@@ -109,7 +112,7 @@
     })
   }
 
-  /** A refused or conflicting write certainly had no effect; one with a lost answer stays open until it is read back. */
+  /** A refused or conflicting write certainly had no effect; one with a lost answer stays pending until a read shows its result. */
   private failed (error: LimpetwinchError, unsettled: boolean): Result<never, LimpetwinchError> {
     if (!unsettled) this.pending = undefined
     return err(error)
@@ -148,12 +151,12 @@
   }
 
   private async runExclusively<Value> (work: () => Promise<Value>): Promise<Value> {
-    const before = this.lastOperation
-    const mine = (async () => {
-      await before
+    const previous = this.lastOperation
+    const operation = (async () => {
+      await previous
       return await work()
     })()
-    this.lastOperation = mine.catch(() => undefined)
-    return await mine
+    this.lastOperation = operation.catch(() => undefined)
+    return await operation
   }
 }
--- a/packages/entry/src/ownership/ownership.ts
+++ b/packages/entry/src/ownership/ownership.ts
@@ -1,32 +1,32 @@
-/** Which instance owns which endpoint. */
+/** Interface to the ownership of endpoints: which instance owns which endpoint, and what its owner may do. */
 import type { EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 
-/** One line of the ownership object. */
+/** The owner of one endpoint, as recorded in the ownership object. */
 export interface OwnershipRecord {
   readonly endpoint: EndpointId
   readonly owner: InstanceId
   readonly token: FencingToken
-  /** The token handed over from, when the change was clean: names and pins under it pass on. */
+  /** Token of the earlier owner after a planned hand-over, whose loaded names and pins the new owner keeps; otherwise undefined. */
   readonly handedOverFrom: FencingToken | undefined
 }
 
-/** What this instance may do with an endpoint that it owns. */
+/** Operations that this instance may currently perform on an endpoint that it owns. */
 export interface OwnerRights {
   /** Whether it may order loads into free slots and admit requests. */
   readonly mayAdmit: boolean
-  /** Whether it may order an unload: all earlier pins are known or ended, and its ownership is confirmed. */
+  /** Whether it may order unloads: each earlier pin is known or has ended, and its ownership is confirmed. */
   readonly mayEvict: boolean
 }
 
 /** The owners of a data centre's endpoints. */
 export abstract class Ownership {
-  /** @returns the newest record seen, or undefined when there is none yet */
+  /** @returns the latest known record of an endpoint, or undefined when none is known yet */
   abstract recordOf (endpoint: EndpointId): OwnershipRecord | undefined
 
-  /** @returns the records of this instance */
+  /** @returns the records of the endpoints that this instance owns */
   abstract owned (): readonly OwnershipRecord[]
 
-  /** @returns what may be done at this moment under a record */
+  /** @returns what this instance may do at this moment under a record */
   abstract rights (record: OwnershipRecord): OwnerRights
 
   /** Calls the listener after each change of a record. */
--- a/packages/entry/src/ownership/remote-ownership.ts
+++ b/packages/entry/src/ownership/remote-ownership.ts
@@ -1,4 +1,4 @@
-/** The owners in other data centres, read when they are asked for. */
+/** Endpoint owners in other data centres, read from the store on demand. */
 import type { Clock, DataCentreId, EndpointId, ObjectStore } from '@limpetwinch/core'
 import { isNewer, ownershipPath, parseOwnership } from './ownership-object.js'
 import type { OwnershipObject } from './ownership-object.js'
@@ -6,7 +6,10 @@
 
 const READ_INTERVAL_MILLISECONDS = 10_000
 
-/** Objects of other data centres; stale by up to ten seconds, which the owner asked answers with `not-owner`. */
+/**
+ * Ownership objects of other data centres. They may be stale by up to ten seconds; an instance that no longer owns an
+ * endpoint refuses requests for it with `not-owner`.
+ */
 export class RemoteOwnership {
   private readonly store: ObjectStore
   private readonly clock: Clock
@@ -14,24 +17,24 @@
   private readonly readAt = new Map<DataCentreId, number>()
 
   /**
-   * @param store - where the objects are
-   * @param clock - spaces the reads
+   * @param store - holds the ownership objects
+   * @param clock - measures the interval between reads
    */
   constructor (store: ObjectStore, clock: Clock) {
     this.store = store
     this.clock = clock
   }
 
-  /** @returns the newest record known; a use starts a read when the last one is old */
+  /** @returns the latest known record; starts a read in the background when the last read is too old */
   recordOf (dataCentre: DataCentreId, endpoint: EndpointId): OwnershipRecord | undefined {
     this.refresh(dataCentre)
     return this.objects.get(dataCentre)?.records.find((record) => record.endpoint === endpoint)
   }
 
-  /** @returns whether an object that a peer passed on was newer */
+  /** @returns whether the object was newer than the known one and was applied */
   applyIfNewer (object: OwnershipObject): boolean {
-    const present = this.objects.get(object.dataCentre)
-    if (present !== undefined && !isNewer(object, present)) return false
+    const known = this.objects.get(object.dataCentre)
+    if (known !== undefined && !isNewer(object, known)) return false
     this.objects.set(object.dataCentre, object)
     return true
   }
@@ -45,7 +48,7 @@
 
   private async readOnce (dataCentre: DataCentreId): Promise<void> {
     const stored = await this.store.get(ownershipPath(dataCentre))
-    // Through an outage the last state stays; its owners answer for themselves.
+    // During an outage of the store the last known state stays in use; an instance that is not the owner says so itself.
     const object = stored.isOk() ? parseOwnership(stored.value?.value) : undefined
     if (object !== undefined) this.applyIfNewer(object)
   }
--- a/packages/entry/src/ownership/store-ownership.ts
+++ b/packages/entry/src/ownership/store-ownership.ts
@@ -1,4 +1,4 @@
-/** Ownership recorded in one object of the store for each data centre. */
+/** Ownership of endpoints, recorded in one object of the store for each data centre. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, EndpointId, EngineSettings, InstanceId, LimpetwinchError, Logger, ObjectStore } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
@@ -22,40 +22,40 @@
 const MAXIMUM_LAG_MILLISECONDS = 1_500
 const MAXIMUM_FORWARDERS = 2
 
-/** What recovery knows of an endpoint; without any word from it nothing may be done there. */
+/** How far the recovery of an endpoint has got; before it has begun, the owner may neither admit nor evict. */
 export interface RecoveryStatus {
-  /** Whether an order with this record's token has reached an engine that refuses older ones. */
+  /** Whether the engine has received this record's token; always true for an engine that ignores tokens. */
   readonly fenced: boolean
-  /** Whether all earlier pins are known or ended. */
+  /** Whether each earlier pin is known or has ended. */
   readonly recovered: boolean
 }
 
-/** What the ownership is made of. */
+/** Dependencies and times of the ownership. */
 export interface StoreOwnershipOptions {
   readonly peers: PeerLinks
   readonly membership: ListMembership
   readonly store: ObjectStore
-  /** The engines of the settings in force, or undefined before there are any. */
+  /** The engines of the current settings, or undefined before settings have been read. */
   readonly engines: () => readonly EngineSettings[] | undefined
   readonly logger: Logger
   readonly clock?: Clock
-  /** Uniform in 0 to 1. */
+  /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
-  /** How much later each following rank proposes, so that a lost proposer does not block. */
+  /** How much later each following rank proposes a take-over, so that the loss of the first proposer does not block it. */
   readonly rankDelayMilliseconds?: number
   /**
-   * How long an owner must have been lost before its endpoints are taken over; longer than a heartbeat interval. One that
-   * is cut off from all others does not see their silence at the same moment: for up to an interval it seems to it that
-   * only the first has been lost.
+   * How long an owner must have been lost before its endpoints are taken over; longer than a heartbeat interval. An
+   * instance that is cut off from all peers does not suspect all of them at the same moment: for up to one interval it
+   * looks to this instance as if only the first peer had been lost.
    */
   readonly takeOverDelayMilliseconds?: number
-  /** Between looks whether the store was restored to an older state; rarer for each following rank. */
+  /** Interval between checks whether the store was restored to an older state; longer for each following rank. */
   readonly storeCheckIntervalMilliseconds?: number
-  /** How long a proof of ownership counts. */
+  /** How long evidence that no newer state exists stays valid. */
   readonly confirmationValidMilliseconds?: number
 }
 
-/** An {@link Ownership} kept by conditional updates alone; at rest it writes nothing. */
+/** An {@link Ownership} that relies on conditional updates alone; it writes nothing while no owner changes. */
 export class StoreOwnership extends Ownership {
   private readonly peers: PeerLinks
   private readonly membership: ListMembership
@@ -75,15 +75,15 @@
   private latestKnown: OwnershipObject
   private byEndpoint: ReadonlyMap<EndpointId, OwnershipRecord> = new Map()
   private recoveryStatusOf: (record: OwnershipRecord) => RecoveryStatus = () => ({ fenced: false, recovered: false })
-  private read = false
-  /** Whether the store was seen to hold an older state than is known here. */
+  private hasReadStore = false
+  /** Whether the store held an older state than the one known to this instance. */
   private restoreNeeded = false
   private nextReadAt = 0
   private nextCheckAt = 0
   private behindSince: number | undefined
   private proposalNeededSince: number | undefined
 
-  /** @param options - the surroundings and times */
+  /** @param options - dependencies and times */
   constructor (options: StoreOwnershipOptions) {
     super()
     this.peers = options.peers
@@ -106,11 +106,11 @@
       adopt: (object, confirmedAt) => this.applyFromStore(object, confirmedAt)
     })
     this.peers.onNotice('ownership', (from, frame) => this.applyFromPeer(from, frame.value))
-    this.peers.onHeartbeat((from, heartbeat) => this.heard(from, heartbeat))
+    this.peers.onHeartbeat((from, heartbeat) => this.applyHeartbeat(from, heartbeat))
     this.membership.onChange(() => this.wake.notify())
   }
 
-  /** Follows the object and proposes take-overs until the signal ends it. */
+  /** Follows the ownership object and proposes take-overs until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.readWhenNeeded()
@@ -119,19 +119,19 @@
     }
   }
 
-  /** Looks again at once, after the settings changed. */
+  /** Checks at once whether a take-over is needed, after the settings changed. */
   reevaluate (): void {
     this.wake.notify()
   }
 
-  /** Sets who knows about fencing and earlier pins. */
+  /** Sets the source of the recovery status of a record. */
   setRecoveryStatus (recoveryStatusOf: (record: OwnershipRecord) => RecoveryStatus): void {
     this.recoveryStatusOf = recoveryStatusOf
   }
 
-  /** @returns what heartbeats are to say: the newest state known, or one whose write is open */
+  /** @returns the sequence to announce in heartbeats: the latest known one, or the one of a pending write */
   announcedVersion (): number {
-    // A write with a lost answer may already be in force; a lower number would confirm an owner that it replaced.
+    // A write with a lost answer may already have taken effect; a lower number would confirm an owner that it replaced.
     return Math.max(this.latestKnown.sequence, this.writer.pendingSequence())
   }
 
@@ -153,9 +153,9 @@
   }
 
   override rights (record: OwnershipRecord): OwnerRights {
-    const present = this.byEndpoint.get(record.endpoint)
-    const mine = present?.token === record.token && present.owner === this.peers.self.instance
-    if (!mine) return { mayAdmit: false, mayEvict: false }
+    const current = this.byEndpoint.get(record.endpoint)
+    const isOwner = current?.token === record.token && current.owner === this.peers.self.instance
+    if (!isOwner) return { mayAdmit: false, mayEvict: false }
     const { fenced, recovered } = this.recoveryStatusOf(record)
     return { mayAdmit: fenced, mayEvict: fenced && recovered && this.isConfirmed() }
   }
@@ -164,39 +164,39 @@
     this.listeners.push(listener)
   }
 
-  /** @returns whether it is proved that nobody had taken over a moment ago */
+  /** @returns whether there is proof that no other instance had written a newer state a moment ago */
   isConfirmed (): boolean {
-    // A hand-over whose write has no answer yet may already be in force.
+    // A hand-over whose write has no answer yet may already have taken effect.
     if (this.writer.pendingSequence() > this.latestKnown.sequence) return false
     return this.confirmation.holds(this.latestKnown.sequence, this.others())
   }
 
-  /** @returns endpoints that this instance should hand over because it holds far more than its share */
+  /** @returns endpoints that this instance should hand over because it owns far more than its share */
   surplus (): readonly EndpointId[] {
     const planInput = this.planInput()
     if (planInput === undefined) return []
     return surplusOf(this.latestKnown, this.peers.self.instance, planInput)
   }
 
-  /** @returns whether anybody else is there to take endpoints over by plan */
+  /** @returns whether another instance can take endpoints over by a planned hand-over */
   hasSuccessors (): boolean {
     const own = this.peers.self.instance
     return this.planInput()?.candidates.some((candidate) => candidate !== own) ?? false
   }
 
   /**
-   * Writes other owners for some of this instance's endpoints.
+   * Writes new owners for some of this instance's endpoints.
    *
-   * @param endpoints - what is handed over
-   * @param signal - ends the waiting for a lost answer
+   * @param endpoints - the endpoints to hand over
+   * @param signal - cancels the reads that find out whether a write with a lost answer took effect
    * @returns the new records, or the store's error when nothing was written
    */
   async handOver (endpoints: readonly EndpointId[], signal: AbortSignal): Promise<Result<readonly OwnershipRecord[], LimpetwinchError>> {
     const moving = new Set(endpoints)
     const own = this.peers.self.instance
-    const written = await this.writer.update((newest) => {
-      const ground = this.planInput()
-      return ground === undefined ? undefined : planHandOver(newest, own, endpoints, ground)
+    const written = await this.writer.update((latest) => {
+      const planInput = this.planInput()
+      return planInput === undefined ? undefined : planHandOver(latest, own, endpoints, planInput)
     }, signal)
     return written.map((object) => {
       this.broadcast(object)
@@ -206,17 +206,18 @@
 
   private async readWhenNeeded (): Promise<void> {
     const now = this.clock.now()
-    const gap = this.behindSince !== undefined && now - this.behindSince > MAXIMUM_LAG_MILLISECONDS
+    const lagging = this.behindSince !== undefined && now - this.behindSince > MAXIMUM_LAG_MILLISECONDS
     const unconfirmed = !this.confirmation.isConfirmedByPeers(this.latestKnown.sequence, this.others())
-    const due = !this.read || gap || now >= this.nextCheckAt || (unconfirmed && !this.confirmation.isConfirmedByStore())
+    const due = !this.hasReadStore || lagging || now >= this.nextCheckAt || (unconfirmed && !this.confirmation.isConfirmedByStore())
     if (!due || now < this.nextReadAt) return
-    // Jittered, so that the instances do not all read at the moment when the store is back.
+    // With jitter, so that the instances do not all read at the moment when the store is reachable again.
     this.nextReadAt = now + READ_INTERVAL_MILLISECONDS * (1 + this.random())
     const result = await this.writer.read()
     if (result.isErr()) return
-    this.read = true
+    this.hasReadStore = true
     this.behindSince = undefined
-    // The store is behind what a peer knows: it was restored, or the peer's write is open. Look again when told more.
+    // When the store holds an older state than a peer announced, it was restored, or the peer's write is pending. The
+    // next check of the store is not postponed then.
     if (this.highestPeerSequence() > this.latestKnown.sequence) return
     this.nextCheckAt = this.clock.now() + this.storeCheckIntervalMilliseconds * (0.5 + this.random()) * (1 + this.rank())
   }
@@ -238,9 +239,9 @@
     const delay = (lost ? this.takeOverDelayMilliseconds : 0) + this.rank() * this.rankDelayMilliseconds
     if (now - this.proposalNeededSince < delay) return
     this.proposalNeededSince = undefined
-    const written = await this.writer.update((newest) => {
+    const written = await this.writer.update((latest) => {
       const current = this.planInput()
-      return current === undefined || !this.mayPropose() ? undefined : planTakeOver(newest, current)
+      return current === undefined || !this.mayPropose() ? undefined : planTakeOver(latest, current)
     }, signal)
     if (written.isErr()) {
       this.logger.warn('A take-over could not be written.', { reason: written.error.message })
@@ -251,10 +252,13 @@
     this.broadcast(written.value)
   }
 
-  /** Not on a stale picture, nor when this instance itself is the one cut off: it would take what others serve. */
+  /**
+   * Forbids take-overs on stale state, and while this instance itself may be the one that is cut off: it would take over
+   * endpoints that other instances still serve.
+   */
   private mayPropose (): boolean {
     const self = this.membership.member(this.peers.self.instance)
-    if (!this.read || !this.membership.ready() || self?.state !== 'alive' || this.behindSince !== undefined) return false
+    if (!this.hasReadStore || !this.membership.ready() || self?.state !== 'alive' || this.behindSince !== undefined) return false
     return this.membership.mayTreatOthersAsLost()
   }
 
@@ -282,7 +286,7 @@
     return member === undefined || member.state === 'suspect' || member.state === 'gone'
   }
 
-  /** All who could write a newer state: whoever of the data centre is not known to have ended. */
+  /** All instances that could write a newer state: the members of the data centre that are not known to have ended. */
   private others (): InstanceId[] {
     const { dataCentre, instance } = this.peers.self
     return this.membership.members()
@@ -295,21 +299,21 @@
     return Math.max(0, ranked.indexOf(this.peers.self.instance))
   }
 
-  private heard (from: InstanceId, heartbeat: ReceivedHeartbeat): void {
+  private applyHeartbeat (from: InstanceId, heartbeat: ReceivedHeartbeat): void {
     const member = this.membership.member(from)
     if (member === undefined || member.dataCentre !== this.peers.self.dataCentre) return
-    const said = heartbeat.frame.ownershipVersion
-    if (heartbeat.echoedSentAt !== undefined) this.confirmation.recordPeerSequence(from, said, heartbeat.echoedSentAt)
-    if (said > this.latestKnown.sequence) this.behindSince ??= this.clock.now()
-    this.updateLaggingPeer(from, said)
-    this.lastAnnounced.set(from, said)
+    const announced = heartbeat.frame.ownershipVersion
+    if (heartbeat.echoedSentAt !== undefined) this.confirmation.recordPeerSequence(from, announced, heartbeat.echoedSentAt)
+    if (announced > this.latestKnown.sequence) this.behindSince ??= this.clock.now()
+    this.updateLaggingPeer(from, announced)
+    this.lastAnnounced.set(from, announced)
   }
 
-  /** A peer that stays behind for two heartbeats gets the object from the first of its ranking, not from everyone. */
-  private updateLaggingPeer (peer: InstanceId, said: number): void {
-    if (said >= this.latestKnown.sequence || this.lastAnnounced.get(peer) !== said) return
-    const helpers = rendezvousRank(peer, this.alive().filter((instance) => instance !== peer)).slice(0, MAXIMUM_FORWARDERS)
-    if (helpers.includes(this.peers.self.instance)) this.sendObject(peer, this.latestKnown)
+  /** Sends the object to a peer that lags for two heartbeats; only the first-ranked instances do so, not all of them. */
+  private updateLaggingPeer (peer: InstanceId, announced: number): void {
+    if (announced >= this.latestKnown.sequence || this.lastAnnounced.get(peer) !== announced) return
+    const senders = rendezvousRank(peer, this.alive().filter((instance) => instance !== peer)).slice(0, MAXIMUM_FORWARDERS)
+    if (senders.includes(this.peers.self.instance)) this.sendObject(peer, this.latestKnown)
   }
 
   private broadcast (object: OwnershipObject): void {
@@ -322,13 +326,13 @@
 
   private applyFromPeer (from: InstanceId, value: unknown): void {
     const object = parseOwnership(value)
-    if (object === undefined) return this.logger.warn('A peer sent an ownership object of another form.', { from })
+    if (object === undefined) return this.logger.warn('A peer sent an invalid ownership object.', { from })
     if (object.dataCentre === this.peers.self.dataCentre) this.adopt(object)
     else if (this.remote.applyIfNewer(object)) this.changed()
   }
 
   private applyFromStore (object: OwnershipObject, confirmedAt: ClockReading): void {
-    // A store restored to an older state proves nothing about now; it gets the newest state back by the next write.
+    // A store restored to an older state proves nothing about the present; the next write puts the latest state back.
     if (!isNewer(this.latestKnown, object)) this.confirmation.confirmByStore(confirmedAt)
     else this.restoreNeeded = true
     this.adopt(object)
@@ -336,7 +340,7 @@
 
   private adopt (object: OwnershipObject): void {
     if (!isNewer(object, this.latestKnown)) return
-    // A restored store must not bring back lower tokens: an earlier owner holds orders under them.
+    // A restored store must not cause lower tokens to be assigned again: orders of an earlier owner may still carry them.
     const nextToken = Math.max(object.nextToken, this.latestKnown.nextToken)
     this.latestKnown = { ...object, nextToken }
     this.byEndpoint = new Map(object.records.map((record) => [record.endpoint, record]))
