--- a/packages/entry/src/membership/leaving-endpoints.ts
+++ b/packages/entry/src/membership/leaving-endpoints.ts
@@ -1,18 +1,18 @@
-/** Endpoints that the platform lists as leaving, by the newest reading of this instance or of a peer. */
+/** Endpoints that the platform lists as leaving, by the latest read of the list by this instance or by a peer. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { PeerLinks } from '../peers/peer-links.js'
 
 /**
- * An instance that the platform does not answer, or that was paused, would go on to send work to an endpoint that all
- * others have left. Each one that reads a change tells its peers, so one reader in reach is enough for all. Told on
- * change only: at rest it costs nothing.
+ * Without messages from peers, an instance that gets no answer from the platform, or that was paused, would keep sending
+ * work to a leaving endpoint that the other instances no longer use. Each instance that reads a change notifies its
+ * peers, so one peer that can read the list is enough. Only changes are sent, so there is no traffic without changes.
  */
 export class LeavingEndpoints {
   private readonly peers: PeerLinks
   private readonly clock: Clock
   private readonly listeners: (() => void)[] = []
   private endpoints: ReadonlySet<string> = new Set()
-  /** Monotonic time at which the reading behind them began. */
+  /** Monotonic time at which the read of the list that named these endpoints began. */
   private readAt = -Infinity
 
   constructor (peers: PeerLinks, clock: Clock) {
@@ -21,25 +21,26 @@
     peers.onNotice('endpoints-leaving', (_from, frame) => {
       if (this.apply(frame.leaving, this.clock.now() - frame.readMillisecondsAgo)) for (const listener of this.listeners) listener()
     })
-    // One that comes back from a cut has missed the change.
+    // A peer that reconnects may have missed the change.
     peers.onConnected(({ instance }) => { if (this.endpoints.size > 0) this.sendTo(instance) })
   }
 
-  /** @returns the endpoints that are leaving */
+  /** @returns the endpoints that are leaving now */
   get current (): ReadonlySet<string> {
     return this.endpoints
   }
 
-  /** Calls the listener after a change that a peer told. */
+  /** Calls the listener after a change that a peer announced. */
   onPeerUpdate (listener: () => void): void {
     this.listeners.push(listener)
   }
 
   /**
-   * Takes up what this instance read itself, and passes a change on.
+   * Applies a list that this instance read itself, and notifies the peers of a change.
    *
-   * @param began - monotonic time at which the reading began
-   * @returns whether anything changed
+   * @param endpoints - the endpoints that the list names as leaving
+   * @param began - monotonic time at which the read began
+   * @returns whether the set of leaving endpoints changed
    */
   read (endpoints: readonly string[], began: number): boolean {
     if (!this.apply(endpoints, began)) return false
@@ -52,7 +53,7 @@
     this.peers.notify(instance, { kind: 'endpoints-leaving', leaving: [...this.endpoints], readMillisecondsAgo })
   }
 
-  /** An older reading may arrive after a newer one; taking it up would send work to an endpoint that is leaving. */
+  /** Ignores an older read that arrives after a newer one: applying it would send work to an endpoint that is leaving. */
   private apply (endpoints: readonly string[], readAt: number): boolean {
     if (readAt < this.readAt) return false
     this.readAt = readAt
--- a/packages/entry/src/membership/list-membership.ts
+++ b/packages/entry/src/membership/list-membership.ts
@@ -1,4 +1,4 @@
-/** Membership from the platform's lagging list and the heartbeats of peers. */
+/** Membership derived from the platform's instance list, which lags, and from the heartbeats of peers. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, DataCentreId, InstanceId, InstanceList, ListedInstance, Logger } from '@limpetwinch/core'
 import { Wake } from '../concurrency/wake.js'
@@ -15,26 +15,29 @@
 const REMOTE_SUSPECT_FACTOR = 5
 const TICKS_TO_SUSPECT = 12
 const PAUSED_AFTER_TICKS = 3
-/** Three tries to dial, each with its time limits and back-off, fit into so many times the time for suspicion. */
+/** Multiple of the suspicion time in which three attempts to dial fit, each with its time limits and back-off. */
 const SETTLE_FACTOR = 4
 
-/** What the membership is made of. */
+/** Dependencies and times of the membership. */
 export interface ListMembershipOptions {
   readonly peers: PeerLinks
   readonly list: InstanceList
   readonly logger: Logger
   readonly clock?: Clock
-  /** Uniform in 0 to 1. */
+  /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
-  /** Mean time between reads of the list. */
+  /** Mean interval between reads of the instance list. */
   readonly pollIntervalMilliseconds?: number
-  /** Silence after which a member of this data centre is suspect. */
+  /** Time without any frame after which a member of this data centre is suspected. */
   readonly suspectAfterMilliseconds?: number
-  /** Longer than the list ever lags: an instance silent and never listed for so long has ended. */
+  /**
+   * Time without any frame after which a member that the list has never named has ended; must be longer than the list
+   * ever lags.
+   */
   readonly unlistedTimeoutMilliseconds?: number
 }
 
-/** A {@link Membership} that merges list and heartbeats. The list alone never removes a member that is heard. */
+/** A {@link Membership} that merges list and heartbeats. The list alone never removes a member that sends heartbeats. */
 export class ListMembership extends Membership {
   private readonly peers: PeerLinks
   private readonly list: InstanceList
@@ -57,7 +60,7 @@
   private lastEvaluatedAt: number
   private hasReadList = false
 
-  /** @param options - the sources and their times */
+  /** @param options - dependencies and times */
   constructor (options: ListMembershipOptions) {
     super()
     this.peers = options.peers
@@ -72,23 +75,23 @@
     this.endpointsLeaving = new LeavingEndpoints(this.peers, this.clock)
     this.endpointsLeaving.onPeerUpdate(() => this.changed())
     this.peers.onConnected((peer) => this.connected(peer))
-    this.peers.onHeartbeat((from, heartbeat) => this.heard(from, (entry) => { entry.heartbeat = heartbeat.frame }))
-    this.peers.onNotice('goodbye', (from) => this.heard(from, (entry) => { entry.goodbyeReceived = true }))
-    this.peers.onEndEvidence((instance, evidence) => this.heard(instance, (entry) => { entry.endEvidence = evidence }))
+    this.peers.onHeartbeat((from, heartbeat) => this.updateEntry(from, (entry) => { entry.heartbeat = heartbeat.frame }))
+    this.peers.onNotice('goodbye', (from) => this.updateEntry(from, (entry) => { entry.goodbyeReceived = true }))
+    this.peers.onEndEvidence((instance, evidence) => this.updateEntry(instance, (entry) => { entry.endEvidence = evidence }))
   }
 
-  /** Follows list and heartbeats until the signal ends it. */
+  /** Follows the list and the heartbeats until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     await Promise.all([this.poll(signal), this.evaluatePeriodically(signal)])
   }
 
-  /** Marks this instance as leaving; heartbeats are to say so as well. */
+  /** Marks this instance as leaving; the caller makes its heartbeats announce this as well. */
   startLeaving (): void {
     this.isLeaving = true
     this.changed()
   }
 
-  /** Tells all peers that this instance ends now; nothing may be ordered or run by it after this. */
+  /** Notifies all peers that this instance ends now; after this it must neither send orders to engines nor run requests. */
   sendGoodbye (): void {
     for (const instance of this.peers.connected()) this.peers.notify(instance, { kind: 'goodbye' })
   }
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Whether this instance may act on the silence of others. After it was cut off it waits: those to which it has not
-   * got a new connection yet still look silent, and it would take over what they serve.
+   * @returns whether this instance may treat suspected members as lost; false for a while after it was cut off, since
+   *   members to which it has not reconnected yet still look unresponsive, and it would take over what they serve
    */
   mayTreatOthersAsLost (): boolean {
     return this.clock.now() - this.lastWithoutMajorityAt > SETTLE_FACTOR * this.suspectAfterMilliseconds
@@ -141,7 +144,7 @@
       const began = this.clock.now()
       const read = await this.list.read()
       if (read.isOk()) this.applyList(read.value, began)
-      // Through an outage the last list stays: that the platform does not answer says nothing about members.
+      // During an outage of the platform the last list stays in use: the outage says nothing about the members.
       else this.logger.debug('The instance list cannot be read.', { reason: read.error.message })
       await this.readSoon.wait(this.pollIntervalMilliseconds * (0.5 + this.random()), signal)
     }
@@ -157,21 +160,21 @@
 
   private applyList (list: readonly ListedInstance[], began: number): void {
     this.hasReadList = true
-    const entries = new Map(list.filter((line) => line.kind === 'entry').map((line) => [line.id as InstanceId, line]))
-    for (const [instance, line] of entries) {
-      if (instance !== this.peers.self.instance) this.entryOf(instance, line.dataCentre, line.address)
+    const instances = new Map(list.filter((listed) => listed.kind === 'entry').map((listed) => [listed.id as InstanceId, listed]))
+    for (const [instance, listed] of instances) {
+      if (instance !== this.peers.self.instance) this.entryOf(instance, listed.dataCentre, listed.address)
     }
-    for (const entry of this.entries.values()) entry.applyListRead(entries.get(entry.instance)?.state, began)
-    const leaving = list.filter((line) => line.kind === 'endpoint' && line.state === 'leaving').map((line) => line.id)
+    for (const entry of this.entries.values()) entry.applyListRead(instances.get(entry.instance)?.state, began)
+    const leaving = list.filter((listed) => listed.kind === 'endpoint' && listed.state === 'leaving').map((listed) => listed.id)
     this.evaluate(this.endpointsLeaving.read(leaving, began))
   }
 
   private entryOf (instance: InstanceId, dataCentre: DataCentreId, address: string): MemberEntry {
-    const present = this.entries.get(instance)
-    if (present !== undefined) {
-      this.targetsStale ||= present.address !== address
-      present.address = address
-      return present
+    const known = this.entries.get(instance)
+    if (known !== undefined) {
+      this.targetsStale ||= known.address !== address
+      known.address = address
+      return known
     }
     const entry = new MemberEntry(instance, dataCentre, address, this.clock.now())
     this.entries.set(instance, entry)
@@ -180,21 +183,21 @@
   }
 
   private connected (peer: PeerIdentity): void {
-    const present = this.entries.get(peer.instance)
-    if (present !== undefined) present.endEvidence = undefined
-    // The list's address stands where there is one: what a peer takes for its own may not be how it is reached.
-    if (present === undefined) this.entryOf(peer.instance, peer.dataCentre, peer.address)
+    const known = this.entries.get(peer.instance)
+    if (known !== undefined) known.endEvidence = undefined
+    // An address from the list takes precedence: the address that a peer announces may not be the one at which it is reached.
+    if (known === undefined) this.entryOf(peer.instance, peer.dataCentre, peer.address)
     this.evaluate()
   }
 
-  private heard (instance: InstanceId, take: (entry: MemberEntry) => void): void {
+  private updateEntry (instance: InstanceId, update: (entry: MemberEntry) => void): void {
     const entry = this.entries.get(instance)
     if (entry === undefined) return
-    take(entry)
+    update(entry)
     if (this.evaluateEntry(entry)) this.changed()
   }
 
-  /** Judges every member anew and tells what changed. */
+  /** Evaluates the state of every member and notifies the listeners of changes. */
   private evaluate (changedAlready = false): void {
     this.detectPause()
     const changed = [...this.entries.values()].map((entry) => this.evaluateEntry(entry))
@@ -206,30 +209,30 @@
   }
 
   /**
-   * After a pause of this process all others look silent, and it would take over what they own. What they sent
-   * meanwhile waits in the sockets; two thirds of the time for suspicion, two heartbeats, are enough to read it.
+   * After a pause of this process all other members look unresponsive, and this instance would take over what they own.
+   * Their frames wait unread in the sockets; two thirds of the suspicion time, two heartbeats, are enough to read them.
    */
   private detectPause (): void {
     const now = this.clock.now()
     const tick = this.suspectAfterMilliseconds / TICKS_TO_SUSPECT
     if (now - this.lastEvaluatedAt > PAUSED_AFTER_TICKS * tick) {
       this.pauseGraceUntil = now + 2 * this.suspectAfterMilliseconds / 3
-      // The list is as old as the pause: an endpoint that began to leave meanwhile would be given work until the next poll.
+      // The list is as old as the pause: an endpoint that began to leave meanwhile would get work until the next poll.
       this.readSoon.notify()
     }
     this.lastEvaluatedAt = now
   }
 
-  /** Heartbeats come by the dozen each second; each judges its sender alone. */
+  /** Evaluates one member alone, since dozens of heartbeats arrive each second and each concerns its sender only. */
   private evaluateEntry (entry: MemberEntry): boolean {
-    const own = entry.dataCentre === this.peers.self.dataCentre
+    const isLocal = entry.dataCentre === this.peers.self.dataCentre
     const before = entry.state
     const changed = entry.updateState({
       now: this.clock.now(),
       lastContactAt: this.peers.lastContactAt(entry.instance),
-      kept: own || this.remotePeers.has(entry.instance),
+      kept: isLocal || this.remotePeers.has(entry.instance),
       justResumed: this.clock.now() < this.pauseGraceUntil,
-      suspectAfterMilliseconds: this.suspectAfterMilliseconds * (own ? 1 : REMOTE_SUSPECT_FACTOR),
+      suspectAfterMilliseconds: this.suspectAfterMilliseconds * (isLocal ? 1 : REMOTE_SUSPECT_FACTOR),
       unlistedTimeoutMilliseconds: this.unlistedTimeoutMilliseconds
     })
     if (changed) this.logger.info('A member changed its state.', { instance: entry.instance, before, state: entry.state })
--- a/packages/entry/src/membership/member-entry.ts
+++ b/packages/entry/src/membership/member-entry.ts
@@ -1,26 +1,26 @@
-/** All that is known of one instance, and the state that follows from it. */
+/** What this instance knows of one other instance, and the membership state derived from it. */
 import type { DataCentreId, HeartbeatFrame, InstanceId } from '@limpetwinch/core'
 import type { EndEvidence } from '../peers/peer-links.js'
 import type { Member, MemberState } from './membership.js'
 
-/** What the platform's list said of an instance at the last read. */
+/** Status of an instance in the last read of the platform's list; `never` when no list has named it yet. */
 export type ListStatus = 'live' | 'leaving' | 'absent' | 'never'
 
-/** What the state of a member is judged by. */
+/** Observations from which the state of a member is derived. */
 export interface MemberObservation {
-  /** Monotonic time, milliseconds. */
+  /** Current monotonic time, in milliseconds. */
   readonly now: number
-  /** When the member was last heard, or undefined. */
+  /** Monotonic time of the last frame from the member, or undefined when none has arrived. */
   readonly lastContactAt: number | undefined
-  /** Whether a connection to it is kept, so that silence says something. */
+  /** Whether a connection to the member is kept, so that missing frames are a sign of failure. */
   readonly kept: boolean
-  /** Whether this process has just woken from a pause, so that what peers sent may still be unread. */
+  /** Whether this process has just resumed from a pause, so that frames from peers may still be unread. */
   readonly justResumed: boolean
   readonly suspectAfterMilliseconds: number
   readonly unlistedTimeoutMilliseconds: number
 }
 
-/** One instance as known here. */
+/** Another instance, with the facts from which its state is derived. */
 export class MemberEntry {
   readonly instance: InstanceId
   readonly dataCentre: DataCentreId
@@ -28,19 +28,19 @@
   listStatus: ListStatus = 'never'
   heartbeat: HeartbeatFrame | undefined
   goodbyeReceived = false
-  /** Why it is taken to have ended before its silence has lasted long. */
+  /** Evidence that the instance has ended, which suspects it at once instead of after the suspicion time. */
   endEvidence: EndEvidence | undefined
-  /** When the read of the list began that first lacked it, after it had been listed. */
-  absentSince: number | undefined
+  /** Monotonic time at which the latest read of a list without this instance began, if an earlier list named it. */
+  lastAbsentReadAt: number | undefined
   state: MemberState = 'suspect'
   private suspectSince: number | undefined
   private readonly firstSeenAt: number
 
   /**
-   * @param instance - its id
-   * @param dataCentre - where it is
+   * @param instance - id of the instance
+   * @param dataCentre - data centre of the instance
    * @param address - `host:port`
-   * @param now - monotonic time
+   * @param now - current monotonic time, in milliseconds
    */
   constructor (instance: InstanceId, dataCentre: DataCentreId, address: string, now: number) {
     this.instance = instance
@@ -49,27 +49,32 @@
     this.firstSeenAt = now
   }
 
-  /** Takes up one read of the platform's list. */
+  /**
+   * Applies one read of the platform's list.
+   *
+   * @param listStatus - status of the instance in the list, undefined when the list does not name it
+   * @param readBegan - monotonic time at which the read began
+   */
   applyListRead (listStatus: 'live' | 'leaving' | undefined, readBegan: number): void {
     if (listStatus !== undefined) {
       this.listStatus = listStatus
-      this.absentSince = undefined
+      this.lastAbsentReadAt = undefined
       return
     }
-    // The list lags: an instance that has never been on it may be too new for it, not ended.
+    // The list lags: an instance that it has never named may be too new for it rather than ended.
     if (this.listStatus === 'never') return
     this.listStatus = 'absent'
-    this.absentSince = Math.max(this.absentSince ?? readBegan, readBegan)
+    this.lastAbsentReadAt = Math.max(this.lastAbsentReadAt ?? readBegan, readBegan)
   }
 
-  /** @returns whether the state changed */
-  updateState (judgement: MemberObservation): boolean {
+  /** Derives the state from new observations. @returns whether it changed */
+  updateState (observation: MemberObservation): boolean {
     const before = this.state
-    this.state = this.stateFrom(judgement)
+    this.state = this.stateFrom(observation)
     return this.state !== before
   }
 
-  /** @returns what other parts see */
+  /** @returns the instance as a member, for users of the membership */
   toMember (): Member {
     return {
       instance: this.instance,
@@ -80,31 +85,36 @@
     }
   }
 
-  private stateFrom (judgement: MemberObservation): MemberState {
+  private stateFrom (observation: MemberObservation): MemberState {
     if (this.goodbyeReceived) return 'gone'
-    // A member that has just been listed has not had time to connect; taking it for silent would let a new instance
-    // take over the endpoints of all others.
-    const heardInTime = judgement.now - (judgement.lastContactAt ?? this.firstSeenAt) <= judgement.suspectAfterMilliseconds
-    const heard = heardInTime || (judgement.justResumed && (this.state === 'alive' || this.state === 'leaving'))
-    if (heard && this.endEvidence === undefined) {
+    // A member that has just been listed has not had time to connect; if it counted as unresponsive, a new instance
+    // would take over the endpoints of all others.
+    const inTime = observation.now - (observation.lastContactAt ?? this.firstSeenAt) <= observation.suspectAfterMilliseconds
+    const isReachable = inTime || (observation.justResumed && (this.state === 'alive' || this.state === 'leaving'))
+    if (isReachable && this.endEvidence === undefined) {
       this.suspectSince = undefined
-      return this.leaving() ? 'leaving' : 'alive'
+      return this.isLeaving() ? 'leaving' : 'alive'
     }
-    this.suspectSince ??= judgement.now
-    if (this.endedByList(judgement)) return 'gone'
-    // Without a connection of one's own, silence says nothing and the list is all there is.
-    if (!judgement.kept && judgement.lastContactAt === undefined) return this.leaving() ? 'leaving' : 'alive'
+    this.suspectSince ??= observation.now
+    if (this.endedByList(observation)) return 'gone'
+    // Without a connection, missing frames are no sign of failure, and only the list tells the state.
+    if (!observation.kept && observation.lastContactAt === undefined) return this.isLeaving() ? 'leaving' : 'alive'
     return 'suspect'
   }
 
-  private leaving (): boolean {
+  private isLeaving (): boolean {
     return this.listStatus === 'leaving' || this.heartbeat?.leaving === true
   }
 
-  /** Absent from a list that was read after the silence began, so that the list is no older than the silence. */
-  private endedByList (judgement: MemberObservation): boolean {
-    const silentFrom = this.suspectSince ?? judgement.now
-    if (this.absentSince !== undefined) return this.absentSince >= silentFrom || !judgement.kept
-    return this.listStatus === 'never' && judgement.now - Math.max(this.firstSeenAt, judgement.lastContactAt ?? 0) > judgement.unlistedTimeoutMilliseconds
+  /**
+   * An absence from the list counts for a member with a kept connection only if the list was read after the member became
+   * suspected, so that the list is not older than the suspicion.
+   *
+   * @returns whether the instance has ended: the list no longer names it, or has not named it within the unlisted timeout
+   */
+  private endedByList (observation: MemberObservation): boolean {
+    const suspectSince = this.suspectSince ?? observation.now
+    if (this.lastAbsentReadAt !== undefined) return this.lastAbsentReadAt >= suspectSince || !observation.kept
+    return this.listStatus === 'never' && observation.now - Math.max(this.firstSeenAt, observation.lastContactAt ?? 0) > observation.unlistedTimeoutMilliseconds
   }
 }
--- a/packages/entry/src/membership/remote-peers.ts
+++ b/packages/entry/src/membership/remote-peers.ts
@@ -1,22 +1,23 @@
-/** Which instances of other data centres to stay connected to. */
+/** Chooses the instances of other data centres to which this instance keeps connections. */
 import type { DataCentreId, InstanceId } from '@limpetwinch/core'
 import { rendezvousRank } from '../placement/rendezvous.js'
 
-/** Two, so that one may fail; all of them would be 953 connections at 990 instances in 27 data centres. */
+/** Two, so that one of them may fail; connections to all would be 953 with 990 instances in 27 data centres. */
 const PEERS_PER_DATA_CENTRE = 2
 
-/** An instance that may be chosen. */
+/** An instance that may be chosen as a remote peer. */
 export interface RemoteCandidate {
   readonly instance: InstanceId
   readonly dataCentre: DataCentreId
 }
 
 /**
- * Chooses by rendezvous hashing with the chooser's id, so that choosers spread over the instances.
+ * Chooses remote peers by rendezvous hashing with the chooser's id, which spreads the connections of different choosers
+ * over all instances.
  *
  * @param chooser - this instance
- * @param dataCentre - its data centre, from which nobody is chosen
- * @param candidates - instances that are not gone
+ * @param dataCentre - its data centre, from which no instance is chosen
+ * @param candidates - instances that have not left
  * @returns at most two instances of each other data centre
  */
 export function chooseRemotePeers (chooser: InstanceId, dataCentre: DataCentreId, candidates: Iterable<RemoteCandidate>): ReadonlySet<InstanceId> {
