--- a/packages/entry/test/frame-codec.test.ts
+++ b/packages/entry/test/frame-codec.test.ts
@@ -15,7 +15,7 @@
 const ownership = fc.record({ kind: fc.constant('ownership' as const), version: fc.nat(), value: fc.array(fc.string()) })
 
 describe('frames', () => {
-  it('come out as they went in, however the stream is cut into chunks', () => {
+  it('are decoded as they were encoded, however the stream is split into chunks', () => {
     const chunkLengths = fc.infiniteStream(fc.integer({ min: 1, max: 40 }))
     fc.assert(fc.property(fc.array(fc.oneof(heartbeat, ownership), { maxLength: 20 }), chunkLengths, (frames, lengths) => {
       const bytes = Buffer.concat(frames.map((frame) => encodeFrame(frame as PeerFrame)._unsafeUnwrap()))
@@ -30,13 +30,13 @@
     }), { seed: 5, numRuns: 200 })
   })
 
-  it('that announce more than the bound are refused before anything is buffered', () => {
+  it('that announce more than the maximum length are refused before anything is buffered', () => {
     const length = Buffer.alloc(4)
     length.writeUInt32BE(MAXIMUM_FRAME_BYTES + 1)
     expect(new FrameReader().read(length)._unsafeUnwrapErr().kind).toBe('bad-frame')
   })
 
-  it('that are no frames are refused and never thrown', () => {
+  it('that are random bytes are refused without an exception', () => {
     fc.assert(fc.property(fc.uint8Array({ maxLength: 60 }), (noise) => {
       const length = Buffer.alloc(4)
       length.writeUInt32BE(noise.length)
@@ -46,7 +46,15 @@
   })
 
   it('keep a heartbeat small, for the budget of control traffic', () => {
-    const frame = { kind: 'heartbeat', sequence: 1_000_000, echo: 1_000_000, leaving: false, settingsHash: '0123456789abcdef', ownershipVersion: 100_000, storeReachable: true } as const
+    const frame = {
+      kind: 'heartbeat',
+      sequence: 1_000_000,
+      echo: 1_000_000,
+      leaving: false,
+      settingsHash: '0123456789abcdef',
+      ownershipVersion: 100_000,
+      storeReachable: true
+    } as const
     expect(encodeFrame(frame)._unsafeUnwrap().length).toBeLessThanOrEqual(42)
   })
 })
--- a/packages/entry/test/fuzz/peer-frames.test.ts
+++ b/packages/entry/test/fuzz/peer-frames.test.ts
@@ -1,6 +1,6 @@
-// A peer of another release, or something that is no peer, sends bytes that are truncated, too long, of wrong types or
-// no cbor at all. An instance that crashed, waited for ever or kept what it cannot read would end every request on it.
-// The reader must hand on whole frames as they were, and refuse the rest with an error.
+// Guards against an instance that crashes, waits for ever or runs out of memory because of bytes from outside, which would
+// end every request on it. A peer of another release, or a program that is no peer, sends bytes that are truncated, too
+// long, of wrong types or no CBOR at all. The reader must return complete frames unchanged and refuse the rest with an error.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { PeerFrame } from '@limpetwinch/core'
@@ -33,13 +33,13 @@
 }
 
 describe('peer frames from outside', () => {
-  it('come whole wherever the bytes are split', () => {
+  it('are decoded completely, wherever the bytes are split', () => {
     fc.assert(fc.property(fc.array(frame, { maxLength: 5 }), fc.array(fc.nat(), { maxLength: 8 }), (frames, cuts) => {
       expect(readAll(bytesOf(frames), cuts)).toEqual({ frames, refused: undefined })
     }), RUNS)
   })
 
-  it('are handed on up to where a stream is truncated', () => {
+  it('are decoded up to the point where a stream is truncated', () => {
     fc.assert(fc.property(fc.array(frame, { minLength: 1, maxLength: 5 }), fc.nat(), (frames, at) => {
       const bytes = bytesOf(frames)
       const read = readAll(bytes.subarray(0, at % bytes.length), [])
@@ -49,7 +49,7 @@
     }), RUNS)
   })
 
-  it('are refused when damaged, or read as some frame, and never thrown', () => {
+  it('are refused or decoded as a valid frame when a byte is changed, without an exception', () => {
     fc.assert(fc.property(fc.array(frame, { minLength: 1, maxLength: 3 }), fc.nat(), fc.nat(255), (frames, at, byte) => {
       const bytes = bytesOf(frames)
       bytes[at % bytes.length] = byte
@@ -57,7 +57,7 @@
     }), RUNS)
   })
 
-  it('are never thrown, whatever bytes come', () => {
+  it('are refused without an exception when the body is random bytes', () => {
     fc.assert(fc.property(fc.uint8Array({ maxLength: 300 }), (body) => {
       const framed = Buffer.alloc(4 + body.length)
       framed.writeUInt32BE(body.length, 0)
@@ -67,11 +67,11 @@
   })
 
   it.each([
-    ['a length beyond the bound', [0xff, 0xff, 0xff, 0xff]],
-    ['a length just beyond the bound', [...lengthBytes(MAXIMUM_FRAME_BYTES + 1)]],
-    ['an array that claims more than it has', [...lengthBytes(5), 0x9a, 0x01, 0xff, 0xff, 0xff]],
-    ['a text that claims more than it has', [...lengthBytes(5), 0x7a, 0x7f, 0xff, 0xff, 0xff]],
-    ['arrays in arrays', [...lengthBytes(100_000), ...new Array<number>(100_000).fill(0x81)]]
+    ['a length beyond the maximum', [0xff, 0xff, 0xff, 0xff]],
+    ['a length just beyond the maximum', [...lengthBytes(MAXIMUM_FRAME_BYTES + 1)]],
+    ['an array that announces more elements than it has', [...lengthBytes(5), 0x9a, 0x01, 0xff, 0xff, 0xff]],
+    ['a text that announces more bytes than it has', [...lengthBytes(5), 0x7a, 0x7f, 0xff, 0xff, 0xff]],
+    ['deeply nested arrays', [...lengthBytes(100_000), ...new Array<number>(100_000).fill(0x81)]]
   ])('are refused at once: %s', (_name, bytes) => {
     expect(readAll(Buffer.from(bytes), []).refused).toBe('bad-frame')
   })
--- a/packages/entry/test/hand-over.failure.test.ts
+++ b/packages/entry/test/hand-over.failure.test.ts
@@ -28,9 +28,10 @@
 }
 
 describe('an owner that leaves', () => {
-  // The caller sees nothing. The leaving owner stops its orders, writes the new owner, then hands over what is loaded
-  // and pinned and sends its askers there. Nothing is reloaded, and no member has to be asked.
-  it('hands over loaded names and pins, in order, and sends askers on', async () => {
+  // Guards against reloads and refused requests in a planned stop. The leaving owner stops its orders, writes the new
+  // owner, then sends it the loaded names and pins and redirects waiting requests to it. Nothing is loaded again, and the
+  // new owner does not have to ask the members for their pins.
+  it('hands over loaded names and pins, in order, and redirects waiting requests', async () => {
     const { owner, others } = await started()
     await until(() => mayEvict(owner))
     owner.membership.startLeaving()
@@ -45,9 +46,9 @@
     expect(next.peers.counts()['pins-ask']?.sent ?? 0).toBe(0)
   })
 
-  // The caller sees its answer go on. The leaving owner took over unclean itself and does not know all earlier pins,
-  // as a member is paused. If the next owner took the hand-over as complete, it would evict under that member's request.
-  it('passes on that earlier pins are still unknown', async () => {
+  // Guards against an adapter that is evicted while a request uses it. The leaving owner itself took over from a lost owner,
+  // whose pins it does not know yet. If the next owner treated the hand-over as complete, it would evict too early.
+  it('tells the next owner that earlier pins are still unknown', async () => {
     const { owner: first, others } = await started()
     const [one, two] = others as [TestInstance, TestInstance]
     await until(() => mayEvict(first))
@@ -64,9 +65,9 @@
     await until(() => mayEvict(third))
   })
 
-  // The caller sees nothing; operators see an instance that does not stop. It is the last one of its data centre, so
-  // nobody can take its endpoints. Waiting for somebody would hold the stop until its whole time is over.
-  it('leaves its endpoints behind when nobody is there to take them', async () => {
+  // Guards against an instance that does not stop. It is the last one of its data centre, so that no instance can take its
+  // endpoints; waiting for a successor would delay the stop until its time limit.
+  it('keeps its endpoints when no other instance can take them', async () => {
     cluster = new Cluster()
     const [owner] = await cluster.startAll(['one']) as [TestInstance]
     cluster.setEngines(1)
@@ -77,9 +78,9 @@
     expect(limit.aborted).toBe(false)
   })
 
-  // The caller sees nothing. The store is out when an owner wants to leave: nothing is written, the owner gives orders
-  // again and goes on serving until the store is back.
-  it('goes on serving while the store is out', async () => {
+  // Guards against an owner that stops serving because its hand-over cannot be written. During an outage of the store the
+  // owner must resume its orders and serve until the store is reachable again.
+  it('continues to serve during an outage of the store', async () => {
     const { owner, others } = await started()
     await until(() => mayEvict(owner))
     owner.membership.startLeaving()
@@ -92,15 +93,15 @@
     expect(others.filter((instance) => instance.ownership.owned().length === 1).length).toBe(1)
   })
 
-  // The caller sees a shorter queue. An instance joins a data centre whose endpoints all have owners; each owner above
-  // its share hands some over, and no endpoint is taken from a living owner.
-  it('does the same to even out with an instance that joined', async () => {
+  // Guards against an instance that joins and stays idle while others are overloaded. All endpoints of the data centre have
+  // owners; an owner above its share must hand some over, and no endpoint may be taken from a living owner.
+  it('does the same to balance ownership with an instance that joined', async () => {
     cluster = new Cluster()
     cluster.setEngines(6)
     const one = await cluster.start('one', { rebalanceIntervalMilliseconds: 50 })
     await until(() => one.ownership.owned().length === 6)
     const two = await cluster.start('two', { rebalanceIntervalMilliseconds: 50 })
-    const count = (instance: TestInstance, event: string): number => instance.scheduler.events.filter((line) => line.startsWith(event)).length
+    const count = (instance: TestInstance, event: string): number => instance.scheduler.events.filter((each) => each.startsWith(event)).length
     await until(() => count(one, 'release') === 2 && ownAllAndAgree(cluster, [one, two]))
     expect(two.ownership.owned().length).toBe(2)
     expect(count(two, 'adopt')).toBe(2)
--- a/packages/entry/test/leaving-endpoints.failure.test.ts
+++ b/packages/entry/test/leaving-endpoints.failure.test.ts
@@ -11,8 +11,9 @@
 }
 
 describe('an endpoint that leaves', () => {
-  // The caller's request goes elsewhere. One instance cannot read the platform's list any more; the endpoint is listed
-  // as leaving; its peers read that. Without their word it would send new work there until its own link is mended.
+  // Guards against new work for an endpoint that is leaving. One instance can no longer read the platform's list when the
+  // endpoint is listed as leaving. Without messages from its peers, which read that, it would send work there until it can
+  // read the list again.
   it('is known to an instance that cannot read the list itself', async () => {
     cluster = new Cluster()
     const [one, two] = await cluster.startAll(['one', 'two', 'three']) as [TestInstance, TestInstance, TestInstance]
@@ -22,9 +23,9 @@
     await until(() => knowsLeaving(two))
   })
 
-  // The caller is served by the endpoint again. It was marked as leaving by mistake and is taken back: the instance that
-  // is cut off hears of that as well, and an older word that arrives late does not undo it.
-  it('is used again when the mark is taken back', async () => {
+  // Guards against a usable endpoint that stays excluded. It was listed as leaving by mistake, and the mark is removed. An
+  // instance that cannot read the list must learn this as well, and an older message that arrives late must not undo it.
+  it('is used again after it is no longer listed as leaving', async () => {
     cluster = new Cluster()
     const [one, two] = await cluster.startAll(['one', 'two', 'three']) as [TestInstance, TestInstance, TestInstance]
     cluster.list.cutOff.add(two.id)
@@ -33,9 +34,9 @@
     cluster.list.remove('e0')
     await until(() => !knowsLeaving(two))
     one.peers.notify(two.id, { kind: 'endpoints-leaving', leaving: ['e0'], readMillisecondsAgo: 60_000 })
-    const heard = (): number => two.peers.counts()['endpoints-leaving']?.received ?? 0
-    const before = heard()
-    await until(() => heard() > before)
+    const received = (): number => two.peers.counts()['endpoints-leaving']?.received ?? 0
+    const before = received()
+    await until(() => received() > before)
     expect(knowsLeaving(two)).toBe(false)
   })
 })
--- a/packages/entry/test/ownership-basics.test.ts
+++ b/packages/entry/test/ownership-basics.test.ts
@@ -7,7 +7,7 @@
 afterEach(async () => { await cluster.end() })
 
 describe('instances of one data centre', () => {
-  it('share the endpoints and agree on who owns which', async () => {
+  it('share the endpoints and agree on the owner of each', async () => {
     cluster = new Cluster()
     const [one, two] = await cluster.startAll(['one', 'two']) as [TestInstance, TestInstance]
     cluster.setEngines(6)
@@ -18,20 +18,20 @@
     expect(new Set(owners.map((record) => record?.token)).size).toBe(6)
   })
 
-  it('write nothing at rest', async () => {
+  it('write nothing to the store while no owner changes', async () => {
     cluster = new Cluster()
     cluster.setEngines(4)
     const one = await cluster.start('one')
     const two = await cluster.start('two')
     await until(() => one.ownership.owned().length + two.ownership.owned().length === 4)
     const writes = cluster.store.calls.writes
-    const beats = (): number => one.peers.counts().heartbeat?.received ?? 0
-    const before = beats()
-    await until(() => beats() > before + 20)
+    const heartbeats = (): number => one.peers.counts().heartbeat?.received ?? 0
+    const before = heartbeats()
+    await until(() => heartbeats() > before + 20)
     expect(cluster.store.calls.writes).toBe(writes)
   })
 
-  it('answer calls, and tell a peer that was never asked from one that was', async () => {
+  it('answer calls, and distinguish a call that was certainly not sent from one that may have been handled', async () => {
     cluster = new Cluster()
     const one = await cluster.start('one')
     const two = await cluster.start('two')
@@ -40,10 +40,10 @@
     const body = { kind: 'load-turn-ask', turn: 'a', urgency: 1 } as const
     expect((await one.peers.call(two.id, body, 5_000))._unsafeUnwrap()).toEqual({ kind: 'accepted' })
     two.peers.onCall('load-turn-ask', async () => await new Promise(() => {}))
-    const asked = one.peers.call(two.id, body, 30_000)
+    const outstanding = one.peers.call(two.id, body, 30_000)
     await until(() => (two.peers.counts()['load-turn-ask']?.received ?? 0) === 2)
     await two.kill()
-    expect((await asked)._unsafeUnwrapErr().kind).toBe('peer-silent')
+    expect((await outstanding)._unsafeUnwrapErr().kind).toBe('peer-silent')
     expect((await one.peers.call(two.id, body, 5_000))._unsafeUnwrapErr().kind).toBe('peer-unreachable')
   })
 })
--- a/packages/entry/test/recovery.failure.test.ts
+++ b/packages/entry/test/recovery.failure.test.ts
@@ -35,10 +35,10 @@
 }
 
 describe('a lost owner', () => {
-  // The caller sees its answer go on. The owner is killed; another takes the endpoint over and asks each member what
-  // it runs there. One member is paused for longer than any wait: it may hold a grant and start its request when it
-  // wakes. Until it has answered nothing may be evicted; its pin counts from then on.
-  it('leaves nothing to evict until each member has told its pins or is gone', async () => {
+  // Guards against an adapter that is evicted while a request uses it. The owner is killed; another instance takes the
+  // endpoint over and asks each member what it runs there. One member is paused for longer than any wait: it may hold a grant
+  // and start its request when it resumes. Nothing may be evicted until it has answered; its pin counts from then on.
+  it('prevents evictions until each member has reported its pins or has left', async () => {
     const { owner, others } = await ownedEngine('refuses')
     const [paused] = others as [TestInstance]
     paused.scheduler.paused = true
@@ -48,9 +48,9 @@
     await until(() => rightsOf(next).mayAdmit)
     cluster.list.remove(owner.id)
     await until(() => next.membership.member(owner.id)?.state === 'gone')
-    const asked = (): number => next.peers.counts()['pins-ask']?.sent ?? 0
-    const before = asked()
-    if (next !== paused) await until(() => asked() > before + 2)
+    const calls = (): number => next.peers.counts()['pins-ask']?.sent ?? 0
+    const before = calls()
+    if (next !== paused) await until(() => calls() > before + 2)
     expect(rightsOf(next).mayEvict).toBe(false)
     paused.scheduler.paused = false
     await until(() => rightsOf(next).mayEvict)
@@ -58,10 +58,10 @@
     expect(paused.scheduler.lowestAcceptedTokens.get(E0)).toBe(next.ownership.recordOf(E0)?.token)
   })
 
-  // The caller sees its answer go on. The owner runs a request of its own on the engine and is cut off, not ended: the
-  // platform still lists it. Its silence must not be taken for its end, or its adapter is evicted under the request.
-  // Once the platform lists it no more, the engine's report tells what it left running, until that has ended.
-  it('keeps its own running requests safe through its silence and after its end', async () => {
+  // Guards against an adapter that is evicted while a request of the lost owner uses it. The owner runs a request of its own
+  // and is cut off, but the platform still lists it: an unresponsive owner must not be taken for one that has ended. Once the
+  // platform no longer lists it, the engine's report shows its remaining requests until they have ended.
+  it('does not lose the adapters of its own running requests, neither while it is cut off nor after its end', async () => {
     const { owner, others, engine } = await ownedEngine('refuses')
     engine.running.set('r2' as RequestId, 'history/essays@1' as LoadedName)
     cluster.isolate(owner.id)
@@ -79,9 +79,9 @@
     await until(() => next.recoveries.earlierPins(E0).length === 0)
   })
 
-  // The caller sees its answer go on, after its instance's owner was lost and operators made the longest request time shorter.
-  // Guards against a pin that ends by settings newer than its request: its adapter would be evicted in use.
-  it('keeps what it left running safe when the longest request time is made shorter', async () => {
+  // Guards against an adapter that is evicted while a request uses it, because operators reduce the longest request time
+  // after the owner was lost: a pin must not end by settings that are newer than its request.
+  it('does not lose the adapters of its running requests when the longest request time is reduced', async () => {
     const { owner, others, engine } = await ownedEngine('refuses')
     engine.running.set('r2' as RequestId, 'history/essays@1' as LoadedName)
     await owner.kill()
@@ -96,10 +96,10 @@
     await until(() => next.recoveries.earlierPins(E0).length === 0)
   })
 
-  // The caller sees the right adapter answer. An owner checks its rights, is paused before its unload leaves, and
-  // wakes after another instance has taken over and granted a request on that adapter. The unload arrives late; the
-  // engine has seen the new token before the first grant and refuses it.
-  it('that wakes between its check and its send is refused by an engine that refuses old tokens', async () => {
+  // Guards against a late unload of an adapter in use. An owner checks its rights, is paused before it sends its unload
+  // order, and resumes after another instance has taken over and granted a request for that adapter. The engine received
+  // the new token before the first grant and must refuse the late order.
+  it('that was paused between its check and its order is refused by an engine that refuses old tokens', async () => {
     const { owner, others, engine } = await ownedEngine('refuses')
     const record = owner.ownership.owned()[0] as { token: FencingToken }
     const name = loadedNameOf(ADAPTER, undefined)
@@ -113,9 +113,9 @@
     expect(engine.loaded).toContain(name)
   })
 
-  // The same with an engine that ignores tokens: the late unload is carried out, but it names what the earlier owner
+  // The same with an engine that ignores tokens: the late unload is executed, but it names an adapter that the earlier owner
   // loaded. The new owner's requests use a name with its own token, and it may not evict the earlier owner's names.
-  it('that wakes between its check and its send cannot touch what is used where the engine ignores tokens', async () => {
+  it('that was paused between its check and its order cannot unload adapters in use where the engine ignores tokens', async () => {
     const { owner, others, engine } = await ownedEngine('ignores')
     const earlier = owner.ownership.owned()[0] as { token: FencingToken }
     const earlierName = loadedNameOf(ADAPTER, earlier.token)
--- a/packages/entry/test/support/cluster.ts
+++ b/packages/entry/test/support/cluster.ts
@@ -1,4 +1,4 @@
-/** Instances with peers, membership and ownership in one process, over real sockets. */
+/** Instances with peer network, membership and ownership in one process, connected over real sockets. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { InstanceList, LimpetwinchError, silentLogger, SystemClock } from '@limpetwinch/core'
 import type { Clock, DataCentreId, EndpointId, EngineSettings, InstanceId, ListedInstance, Logger } from '@limpetwinch/core'
@@ -13,11 +13,11 @@
 export const HEARTBEAT_MILLISECONDS = 100
 const DATA_CENTRE = 'place' as DataCentreId
 
-/** The platform's list, under the test's control. */
+/** The platform's instance list, controlled by the test. */
 export class ListInMemory extends InstanceList {
   lines: ListedInstance[] = []
   outage = false
-  /** Instances that cannot read it. */
+  /** Instances that cannot read the list. */
   readonly cutOff = new Set<string>()
 
   override read (): ResultAsync<readonly ListedInstance[], LimpetwinchError> {
@@ -39,7 +39,7 @@
   }
 }
 
-/** The list as one instance reads it: every other instance stands behind a relay of its own. */
+/** The list as one instance reads it: every other instance has the address of a relay in front of it. */
 class RoutedList extends InstanceList {
   constructor (private readonly list: ListInMemory, private readonly relays: Relays, private readonly reader: string) {
     super()
@@ -54,20 +54,20 @@
   }
 }
 
-/** A clock that a test sets forward: to its owner, time passes at once. */
+/** A clock that a test sets forward, so that its instance sees time pass at once, as after a process pause. */
 export class JumpingClock extends SystemClock {
-  private ahead = 0
+  private offset = 0
 
   jump (milliseconds: number): void {
-    this.ahead += milliseconds
+    this.offset += milliseconds
   }
 
   override wallTime (): number {
-    return super.wallTime() + this.ahead
+    return super.wallTime() + this.offset
   }
 
   override now (): number {
-    return super.now() + this.ahead
+    return super.now() + this.offset
   }
 }
 
@@ -80,12 +80,12 @@
   readonly recoveries: EndpointRecoveries
   readonly handOvers: HandOvers
   readonly scheduler: SchedulerInMemory
-  /** Ends it as a kill would: no goodbye. */
+  /** Ends the instance without a goodbye, as a kill does. */
   readonly kill: () => Promise<void>
   readonly address: string
 }
 
-/** What one instance may have of its own. */
+/** Options of a single instance. */
 export interface TestInstanceOptions {
   readonly clock?: Clock
   readonly address?: string
@@ -93,19 +93,19 @@
   readonly rankDelayMilliseconds?: number
 }
 
-/** Instances on one platform. */
+/** A set of instances that share one platform. */
 export class Cluster {
   readonly store = new MemoryObjectStore()
   readonly list = new ListInMemory()
   readonly relays = new Relays()
   readonly instances: TestInstance[] = []
   readonly engineClients = new Map<string, EngineInMemory>()
-  /** The longest request time in force on all instances. */
+  /** The longest request time in the current settings of all instances. */
   longestRequestMilliseconds = 600_000
   engines: EngineSettings[] = []
   readonly logger: Logger = silentLogger()
 
-  /** Sets engines `e0`, `e1`, and so on. */
+  /** Puts engines `e0`, `e1` and so on into the settings of all instances. */
   setEngines (count: number, fencing: 'refuses' | 'ignores' = 'refuses'): void {
     for (let index = 0; index < count; index += 1) this.engineClients.set(`e${index}`, new EngineInMemory(fencing))
     this.engines = Array.from({ length: count }, (_, index): EngineSettings => ({
@@ -119,16 +119,41 @@
     }))
   }
 
-  async start (id: string, choice: TestInstanceOptions = {}): Promise<TestInstance> {
+  async start (id: string, options: TestInstanceOptions = {}): Promise<TestInstance> {
     const { logger } = this
-    const clock = choice.clock ?? new SystemClock()
+    const clock = options.clock ?? new SystemClock()
     const engines = (): EngineSettings[] => this.engines
-    const peers = new TcpPeerNetwork({ instance: id as InstanceId, dataCentre: DATA_CENTRE, address: choice.address ?? '127.0.0.1:0', logger, clock, heartbeatMilliseconds: HEARTBEAT_MILLISECONDS })
+    const peers = new TcpPeerNetwork({
+      instance: id as InstanceId,
+      dataCentre: DATA_CENTRE,
+      address: options.address ?? '127.0.0.1:0',
+      logger,
+      clock,
+      heartbeatMilliseconds: HEARTBEAT_MILLISECONDS
+    })
     const address = (await peers.listen())._unsafeUnwrap()
     this.list.add(id, address)
     const list = new RoutedList(this.list, this.relays, id)
-    const membership = new ListMembership({ peers, list, logger, clock, pollIntervalMilliseconds: HEARTBEAT_MILLISECONDS, suspectAfterMilliseconds: 3 * HEARTBEAT_MILLISECONDS })
-    const ownership = new StoreOwnership({ peers, membership, store: this.store, engines, logger, clock, takeOverDelayMilliseconds: 2 * HEARTBEAT_MILLISECONDS, storeCheckIntervalMilliseconds: 10 * HEARTBEAT_MILLISECONDS, rankDelayMilliseconds: choice.rankDelayMilliseconds ?? 50, confirmationValidMilliseconds: 5 * HEARTBEAT_MILLISECONDS })
+    const membership = new ListMembership({
+      peers,
+      list,
+      logger,
+      clock,
+      pollIntervalMilliseconds: HEARTBEAT_MILLISECONDS,
+      suspectAfterMilliseconds: 3 * HEARTBEAT_MILLISECONDS
+    })
+    const ownership = new StoreOwnership({
+      peers,
+      membership,
+      store: this.store,
+      engines,
+      logger,
+      clock,
+      takeOverDelayMilliseconds: 2 * HEARTBEAT_MILLISECONDS,
+      storeCheckIntervalMilliseconds: 10 * HEARTBEAT_MILLISECONDS,
+      rankDelayMilliseconds: options.rankDelayMilliseconds ?? 50,
+      confirmationValidMilliseconds: 5 * HEARTBEAT_MILLISECONDS
+    })
     const scheduler = new SchedulerInMemory(peers)
     const recoveries = new EndpointRecoveries({
       peers,
@@ -142,8 +167,21 @@
       clock,
       times: { callTimeout: 4 * HEARTBEAT_MILLISECONDS, settle: HEARTBEAT_MILLISECONDS, maximumClockSkew: 0, reportInterval: HEARTBEAT_MILLISECONDS }
     })
-    const handOvers = new HandOvers({ peers, ownership, recoveries, source: scheduler, logger, clock, rebalanceIntervalMilliseconds: choice.rebalanceIntervalMilliseconds ?? 3_600_000 })
-    peers.setHeartbeatBody(() => ({ leaving: false, settingsHash: '', ownershipVersion: ownership.announcedVersion(), storeReachable: ownership.storeReachable() }))
+    const handOvers = new HandOvers({
+      peers,
+      ownership,
+      recoveries,
+      source: scheduler,
+      logger,
+      clock,
+      rebalanceIntervalMilliseconds: options.rebalanceIntervalMilliseconds ?? 3_600_000
+    })
+    peers.setHeartbeatBody(() => ({
+      leaving: false,
+      settingsHash: '',
+      ownershipVersion: ownership.announcedVersion(),
+      storeReachable: ownership.storeReachable()
+    }))
     const ending = new AbortController()
     const running = Promise.all([peers, membership, ownership, recoveries, handOvers].map(async (part) => await part.run(ending.signal)))
     const kill = async (): Promise<void> => {
@@ -155,17 +193,17 @@
     return instance
   }
 
-  /** Starts instances and waits until all are connected; engines set after that are shared among them. */
-  async startAll (ids: readonly string[], choice: TestInstanceOptions = {}): Promise<TestInstance[]> {
-    const started = await Promise.all(ids.map(async (id) => await this.start(id, choice)))
+  /** Starts instances and waits until all are connected; engines that are set afterwards are shared among them. */
+  async startAll (ids: readonly string[], options: TestInstanceOptions = {}): Promise<TestInstance[]> {
+    const started = await Promise.all(ids.map(async (id) => await this.start(id, options)))
     await until(() => started.every((instance) => instance.peers.connected().length === ids.length - 1))
-    // Each has read the list with all on it by then; one that was never seen there counts as too new for it.
-    const beats = (instance: TestInstance): number => instance.peers.counts().heartbeat?.received ?? 0
-    await until(() => started.every((instance) => beats(instance) >= 5 * (ids.length - 1)))
+    // By then each instance has read a list that names all of them; an instance that no list has named counts as too new.
+    const heartbeats = (instance: TestInstance): number => instance.peers.counts().heartbeat?.received ?? 0
+    await until(() => started.every((instance) => heartbeats(instance) >= 5 * (ids.length - 1)))
     return started
   }
 
-  /** Loses everything between one instance and all others, both ways; the platform and the engines stay in reach. */
+  /** Drops all traffic between one instance and all others, in both directions; platform and engines stay reachable. */
   isolate (id: string): void {
     for (const { id: other } of this.instances) {
       this.relays.cut(id, other)
@@ -186,7 +224,7 @@
   }
 }
 
-/** @returns whether the instances own all engines between them and agree on it */
+/** @returns whether the instances together own all engines and know the same version of the ownership object */
 export function ownAllAndAgree (cluster: Cluster, instances: readonly TestInstance[]): boolean {
   const [first] = instances
   if (first === undefined) return false
@@ -195,7 +233,7 @@
   return owned === cluster.engines.length && versions.size === 1
 }
 
-/** Waits until something holds; the test's own time limit is the only one. */
+/** Waits until a condition holds; only the time limit of the test ends the wait. */
 export async function until (holds: () => boolean): Promise<void> {
   while (!holds()) await sleep(5)
 }
--- a/packages/entry/test/support/relay.ts
+++ b/packages/entry/test/support/relay.ts
@@ -1,13 +1,13 @@
-/** TCP relays between instances, one for each dialler and target, that lose what a test tells them to. */
+/** TCP relays between instances, one for each pair of dialler and target, that drop the traffic that a test selects. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
 
 type Direction = 'to-target' | 'to-dialler'
 
-/** One relay. What is lost is read and thrown away, so that neither end sees an error. */
+/** One relay. It reads the bytes to be dropped and discards them, so that neither end sees an error. */
 export class Relay {
-  /** Connections taken so far. */
+  /** Number of connections accepted so far. */
   accepted = 0
   private blackholedBefore = 0
   private readonly server: Server
@@ -28,12 +28,12 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Connections that are open now go silent for good; new ones work. */
+  /** Drops all further bytes of the connections that are open now, without closing them; new connections work. */
   blackholeOpenConnections (): void {
     this.blackholedBefore = this.accepted + 1
   }
 
-  /** Breaks open connections and refuses new ones for so many milliseconds; resolves when it listens again. */
+  /** Breaks open connections and refuses new ones for a number of milliseconds; resolves when the relay listens again. */
   async breakFor (milliseconds: number): Promise<void> {
     const { port } = this.server.address() as AddressInfo
     await this.close()
@@ -48,12 +48,12 @@
 
   private join (from: Socket, to: Socket, direction: Direction, number: number): void {
     this.sockets.add(from)
-    const silent = (): boolean => number < this.blackholedBefore || this.isLost(direction)
-    from.on('data', (chunk) => { if (!silent()) to.write(chunk) })
+    const drops = (): boolean => number < this.blackholedBefore || this.isLost(direction)
+    from.on('data', (chunk) => { if (!drops()) to.write(chunk) })
     from.on('error', () => {})
     from.on('close', () => {
       this.sockets.delete(from)
-      if (!silent()) to.destroy()
+      if (!drops()) to.destroy()
     })
   }
 }
@@ -61,10 +61,10 @@
 /** All relays of a cluster. */
 export class Relays {
   private readonly relays = new Map<string, { relay: Relay, address: string }>()
-  /** `from to`, also for relays that are made later. */
+  /** Directions whose traffic is dropped, as `from to`; they also apply to relays that are created later. */
   private readonly cuts = new Set<string>()
 
-  /** @returns the address under which the dialler reaches the target */
+  /** @returns the address of the relay through which the dialler reaches the target */
   async route (dialler: string, target: string, address: string): Promise<string> {
     const key = `${dialler} ${target} ${address}`
     let route = this.relays.get(key)
@@ -77,12 +77,12 @@
     return route.address
   }
 
-  /** @returns the relays on which one dials the other */
+  /** @returns the relays through which the dialler reaches the target */
   between (dialler: string, target: string): Relay[] {
     return [...this.relays].filter(([key]) => key.startsWith(`${dialler} ${target} `)).map(([, { relay }]) => relay)
   }
 
-  /** Loses all that one sends to the other. */
+  /** Drops everything that one instance sends to the other. */
   cut (from: string, to: string): void {
     this.cuts.add(`${from} ${to}`)
   }
--- a/packages/entry/test/support/running-entry.ts
+++ b/packages/entry/test/support/running-entry.ts
@@ -1,4 +1,4 @@
-/** One entry instance in this process, before stand-ins, ready to be called. */
+/** One entry instance in the test process, with stand-ins for platform, engine and service. */
 import { createHash } from 'node:crypto'
 import { SETTINGS_PREFIX, silentLogger } from '@limpetwinch/core'
 import type { DataCentreId, InstanceSettings, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
@@ -12,31 +12,31 @@
 export const OTHER_KEY = 'key-of-geography'
 export const ADMINISTRATOR_KEY = 'key-of-administrators'
 
-/** @returns the SHA-256 of a key, as settings hold it */
+/** @returns the SHA-256 of a key in hexadecimal, as the settings store it */
 export function sha256 (key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
 const TEAM = { adapters: { essays: { baseModel: 'base-1', versions: ['v1', 'v2'], current: 'v2' } } }
 
-/** An answer of the caller API. */
+/** A response of the caller API. */
 export interface CallerResponse {
   readonly status: number
   readonly headers: Record<string, string | string[] | undefined>
   readonly text: string
 }
 
-/** What a test may vary. */
+/** Options of the instance and its engine. */
 export interface RunningEntryOptions {
   readonly engine?: Partial<StandInEngineOptions>
   readonly limits?: Partial<InstanceSettings['limits']>
   readonly teamLimits?: Record<string, number>
   readonly longestRequestSeconds?: number
-  /** Slots of the engine by the settings. */
+  /** Number of adapter slots of the engine in the settings. */
   readonly slots?: number
 }
 
-/** The whole path in one process. */
+/** An entry instance with everything that a request passes through, in one process. */
 export class RunningEntry {
   readonly platform = new StandInPlatform({ listLag: 0 })
   readonly engine: StandInEngine
@@ -51,12 +51,14 @@
     this.engine = new StandInEngine({ name: 'engine-1', stepMilliseconds: 2, loadMilliseconds: 2, reportLag: 10, reportInterval: 10, ...options.engine })
   }
 
-  /** Starts everything; resolves when the instance is ready. */
+  /** Starts the stand-ins and the instance; resolves when the instance is ready. */
   async start (): Promise<void> {
     await this.platform.listen()
     await Promise.all([this.engine.listen(), this.service.listen()])
     await this.put('/endpoints', {
-      engines: { 'engine-1': { url: this.engine.url, dataCentre: 'north', baseModel: 'base-1', slots: this.options.slots ?? 4, batchCapacity: 16, fencing: 'refuses' } },
+      engines: {
+        'engine-1': { url: this.engine.url, dataCentre: 'north', baseModel: 'base-1', slots: this.options.slots ?? 4, batchCapacity: 16, fencing: 'refuses' }
+      },
       services: { echo: { endpoints: { 'echo-1': { url: this.service.url, dataCentre: 'north' } } } }
     })
     await this.put('/policy', { loadsPerSecond: 100, longestRequestSeconds: this.options.longestRequestSeconds ?? 60 })
@@ -70,13 +72,13 @@
     await vi.waitFor(() => { if (!this.entry.isReady) throw new Error('not ready') }, { timeout: 30_000, interval: 20 })
   }
 
-  /** Ends everything. */
+  /** Ends the instance and the stand-ins. */
   async stop (): Promise<void> {
     await this.entry.kill()
     await Promise.all([this.engine.close(), this.service.close(), this.platform.close()])
   }
 
-  /** Calls the caller API. */
+  /** Sends a POST request to the caller API. */
   async call (path: string, body: string | Buffer, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<CallerResponse> {
     const response = await request(this.url + path, {
       method: 'POST',
@@ -87,12 +89,12 @@
     return { status: response.statusCode, headers: response.headers, text: await response.body.text() }
   }
 
-  /** Asks for a text completion. */
+  /** Requests a text completion. */
   async complete (fields: Record<string, unknown> = {}, headers: Record<string, string> = {}, signal?: AbortSignal): Promise<CallerResponse> {
     return await this.call('/v1/completions', JSON.stringify({ model: 'history/essays', prompt: 'Why?', max_tokens: 8, seed: 7, ...fields }), headers, signal)
   }
 
-  /** @returns requests that the engine began to run */
+  /** @returns the number of requests that the engine has started to run */
   get runs (): number {
     return this.engine.history.all().filter((event) => event.event === 'run-started').length
   }
