--- a/packages/entry/src/ownership/endpoint-recoveries.ts
+++ b/packages/entry/src/ownership/endpoint-recoveries.ts
@@ -40,7 +40,7 @@
   readonly handOverArrived: Wake
 }
 
-/** Runs one recovery for each record that this instance owns, and tells how far each recovery has got. */
+/** Runs one recovery for each record that this instance owns, and reports how far each recovery has got. */
 export class EndpointRecoveries {
   private readonly options: EndpointRecoveriesOptions
   private readonly clock: Clock
