--- a/packages/entry/src/membership/member-entry.ts
+++ b/packages/entry/src/membership/member-entry.ts
@@ -97,7 +97,7 @@
     }
     this.suspectSince ??= observation.now
     if (this.endedByList(observation)) return 'gone'
-    // Without a connection, missing frames are no sign of failure, and only the list tells the state.
+    // Without a connection, missing frames are no sign of failure, and only the list shows the state.
     if (!observation.kept && observation.lastContactAt === undefined) return this.isLeaving() ? 'leaving' : 'alive'
     return 'suspect'
   }
