--- a/packages/entry/src/ownership/endpoint-recovery.ts
+++ b/packages/entry/src/ownership/endpoint-recovery.ts
@@ -174,7 +174,8 @@
   /**
    * Waits for the engine's report, the only source for requests of members that have left. The report must have been
    * made after the members were settled, since an earlier one may lack the last requests of such a member. Its queue
-   * must be empty, since the report does not name queued requests. The longest request time replaces such a report.
+   * must be empty, since the report does not name queued requests. Once the longest request time has passed, no such
+   * report is needed.
    */
   private async awaitConclusiveReport (signal: AbortSignal): Promise<void> {
     const { clock, times, logger } = this.options
