--- a/packages/entry/src/membership/member-entry.ts
+++ b/packages/entry/src/membership/member-entry.ts
@@ -28,7 +28,7 @@
   listStatus: ListStatus = 'never'
   heartbeat: HeartbeatFrame | undefined
   goodbyeReceived = false
-  /** Evidence that the instance has ended, which suspects it at once instead of after the suspicion time. */
+  /** Evidence that the instance has ended; the member then becomes suspected at once, before the suspicion time is over. */
   endEvidence: EndEvidence | undefined
   /** Monotonic time at which the latest read of a list without this instance began, if an earlier list named it. */
   lastAbsentReadAt: number | undefined
