--- a/packages/core/src/endpoints/engine-client.ts
+++ b/packages/core/src/endpoints/engine-client.ts
@@ -1,51 +1,51 @@
-/** A model engine as limpetwinch sees it; another deployment's wire form is one more subclass. */
+/** The abstract client of a model engine. An engine with another wire protocol gets a subclass of its own. */
 import type { ResultAsync } from 'neverthrow'
 import type { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import type { AdapterReference } from '../ids/adapter-reference.js'
 import type { FencingToken, LoadedName, RequestId } from '../ids/ids.js'
 
-/** What an engine is asked to generate. */
+/** A request to generate text on an engine. */
 export interface GenerateRequest {
   readonly requestId: RequestId
   /** The loaded adapter, or undefined for the base model alone. */
   readonly adapter: LoadedName | undefined
   readonly prompt: string
   readonly maximumTokens: number
-  /** Higher goes first. */
+  /** Requests with a higher priority are run first. */
   readonly priority: number
   readonly temperature?: number
   readonly seed?: number
 }
 
-/** One part of an answer. Positions count tokens from 0, so that late, doubled and missing parts are seen. */
+/** One part of a response. Positions count tokens from 0, so that late, duplicate and missing parts can be detected. */
 export interface GeneratedPart {
   readonly position: number
   readonly text: string
 }
 
-/** The end of an answer. */
+/** The end of a complete response. */
 export interface GenerationEnd {
   readonly finishReason: string
   readonly promptTokens: number
   readonly outputTokens: number
-  /** The adapter that the engine says it used. */
+  /** The adapter that the engine reports to have used. */
   readonly adapter: string | undefined
 }
 
-/** What a stream yields: parts, then one end. */
+/** An event of a response stream: any number of parts, followed by exactly one end. */
 export type GenerationEvent = { readonly kind: 'part', readonly part: GeneratedPart } | { readonly kind: 'end', readonly end: GenerationEnd }
 
-/** An order carries the owner's fencing token; some engines refuse an old one, others ignore it. */
+/** An order to load or unload an adapter. It carries the owner's fencing token; some engines refuse an old token, others ignore tokens. */
 export interface AdapterOrder {
   readonly name: LoadedName
   readonly token: FencingToken
 }
 
-/** What an engine says of itself, later than it was true. */
+/** The state of an engine as the engine reports it. A report is already out of date when it arrives. */
 export interface EngineReport {
-  /** Wall time at which this was true, milliseconds. */
+  /** Wall time at which the engine made the report, in milliseconds. */
   readonly madeAt: number
-  /** Changes when the engine was restarted cold. */
+  /** Identifies one run of the engine process; another value means that the engine restarted with no adapters loaded. */
   readonly engineRun: string
   readonly baseModel: string
   readonly role: string
@@ -53,13 +53,13 @@
   readonly loaded: readonly LoadedName[]
   readonly running: readonly { readonly requestId: RequestId, readonly adapter?: LoadedName | undefined }[]
   readonly queued: number
-  /** How many sequences one step can hold. */
+  /** Maximum number of sequences in one step of the engine. */
   readonly batchCapacity: number
-  /** Mean share of a step that was used since the report before, 0 to 1. */
+  /** Mean share of the batch capacity that was used since the previous report, from 0 to 1. */
   readonly batchFill: number
 }
 
-/** One cache event; sequence numbers show gaps. */
+/** One event of the engine's prefix cache. A gap in the sequence numbers shows that events were lost. */
 export interface CacheEvent {
   readonly sequence: number
   readonly kind: 'stored' | 'evicted'
@@ -68,39 +68,40 @@
 }
 
 /**
- * A model engine.
+ * The client of one model engine.
  *
  * Errors: `endpoint-refused`, `adapter-not-loaded` (outcome `not_run`), `endpoint-failed` (outcome `unknown`, or
  * `not_run` when no connection could be made), `stale-fencing-token`, `no-free-slot`, `load-failed`. The details of an
- * `endpoint-failed` hold `heard: false` where the way failed and the engine itself said nothing: its run may go on.
+ * `endpoint-failed` hold `heard: false` if the connection failed or an intermediary responded, so that the failure does
+ * not come from the engine itself. The engine may then still be running the request.
  */
 export abstract class EngineClient {
-  /** Starts a request; no attempt is ever repeated inside. An error is the last event. */
+  /** Starts a request. The client never retries by itself. If an event is an error, it is the last one. */
   abstract generate (request: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult>
 
-  /** Takes up a running or finished request from a position on a new connection. */
+  /** Continues the stream of a running or finished request from a position, on a new connection. */
   abstract resume (requestId: RequestId, position: number, signal: AbortSignal): AsyncIterable<GenerationEventResult>
 
-  /** Ends a request. */
+  /** Cancels a request. */
   abstract cancel (requestId: RequestId): ResultAsync<void, LimpetwinchError>
 
-  /** Loads an adapter; answers when it can be used. */
+  /** Loads an adapter. The result arrives when the adapter can be used. */
   abstract load (order: AdapterOrder, source: AdapterReference): ResultAsync<void, LimpetwinchError>
 
-  /** Unloads an adapter, whether it is in use or not: that is the owner's care. */
+  /** Unloads an adapter even if requests use it: the owner of the engine must make sure that none does. */
   abstract unload (order: AdapterOrder): ResultAsync<void, LimpetwinchError>
 
-  /** Orders another base model or role. */
+  /** Switches the engine to another base model or role. */
   abstract configure (change: { baseModel?: string, role?: string }, token: FencingToken): ResultAsync<void, LimpetwinchError>
 
-  /** @returns the newest report, which lags */
+  /** @returns the latest report, which lags behind the engine's actual state */
   abstract report (): ResultAsync<EngineReport, LimpetwinchError>
 
-  /** @returns cache events after a sequence number, late and with gaps */
+  /** @returns the cache events after a sequence number; events arrive late, and some may be missing */
   abstract cacheEvents (after: number): ResultAsync<readonly CacheEvent[], LimpetwinchError>
 }
 
-/** An event, or the error that ended the stream. */
+/** An event of a stream, or the error that ended the stream. */
 export type GenerationEventResult =
   | { readonly ok: true, readonly event: GenerationEvent }
   | { readonly ok: false, readonly error: LimpetwinchError }
--- a/packages/core/src/endpoints/http-engine-client.ts
+++ b/packages/core/src/endpoints/http-engine-client.ts
@@ -1,4 +1,4 @@
-/** A model engine over HTTP, by the form in docs/reference/stand-in-protocols.md. */
+/** The client of a model engine over HTTP, using the protocol in docs/reference/stand-in-protocols.md. */
 import { createParser } from 'eventsource-parser'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -17,11 +17,14 @@
 import { EngineClient } from './engine-client.js'
 import type { AdapterOrder, CacheEvent, EngineReport, GeneratedPart, GenerateRequest, GenerationEventResult } from './engine-client.js'
 
+/** Timeout of loads and reconfigurations. */
 const ORDER_TIMEOUT_MILLISECONDS = 60_000
+/** Timeout of all other calls without a stream. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
 const MAXIMUM_REFUSAL_BYTES = 64 * 1024
 const MAXIMUM_EVENT_CHARACTERS = 1024 * 1024
+/** Codes of an engine's refusals that are reported as errors of the same kind. */
 const REFUSAL_CODES: ReadonlySet<string> = new Set(['adapter-not-loaded', 'stale-fencing-token', 'no-free-slot', 'load-failed'])
 
 const endSchema = z.object({
@@ -49,15 +52,15 @@
   events: z.array(z.object({ sequence: z.number(), kind: z.enum(['stored', 'evicted']), prefix: z.string() }))
 })
 
-/** An {@link EngineClient} reached over HTTP. undici repeats nothing unless told to, and it is not. */
+/** An {@link EngineClient} over HTTP. Requests are never retried: undici's retries are left disabled. */
 export class HttpEngineClient extends EngineClient {
   private readonly endpoint: EndpointId
   private readonly base: string
   private readonly agent: Agent
 
   /**
-   * @param endpoint - the engine's id, for errors
-   * @param base - the engine's URL
+   * @param endpoint - the engine's id, for error messages
+   * @param base - the engine's base URL
    */
   constructor (endpoint: EndpointId, base: string) {
     super()
@@ -92,17 +95,17 @@
 
   override report (): ResultAsync<EngineReport, LimpetwinchError> {
     return this.call('GET', '/report', undefined, CALL_TIMEOUT_MILLISECONDS)
-      .andThen((body) => this.parsed(reportSchema, body))
+      .andThen((body) => this.parseBody(reportSchema, body))
       .map((report) => report as unknown as EngineReport)
   }
 
   override cacheEvents (after: number): ResultAsync<readonly CacheEvent[], LimpetwinchError> {
     return this.call('GET', `/cache-events?after=${after}`, undefined, CALL_TIMEOUT_MILLISECONDS)
-      .andThen((body) => this.parsed(cacheEventsSchema, body))
+      .andThen((body) => this.parseBody(cacheEventsSchema, body))
       .map((body) => body.events)
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.agent.destroy()
   }
@@ -139,8 +142,8 @@
     } catch (cause) {
       yield { ok: false, error: isUnreadable(cause) ? this.engineFailure(reasonOf(cause), cause) : this.failure(cause) }
     } finally {
-      // After a whole answer only the end of the body is to come; read to there, the connection serves the next
-      // request, while a destroyed one would cost each request a new connection.
+      // After a complete response only the end of the body is left. Reading it keeps the connection usable for the next
+      // request, while destroying the body would cost each request a new connection.
       if (ended) body.dump().catch(ignore)
       else body.destroy()
     }
@@ -161,10 +164,12 @@
   }
 
   private call (method: 'GET' | 'POST', target: string, body: unknown, milliseconds: number, adapter?: string): ResultAsync<unknown, LimpetwinchError> {
-    return new ResultAsync(this.answer(method, target, body, milliseconds, adapter))
+    return new ResultAsync(this.requestJson(method, target, body, milliseconds, adapter))
   }
 
-  private async answer (method: 'GET' | 'POST', target: string, body: unknown, milliseconds: number, adapter?: string): Promise<Result<unknown, LimpetwinchError>> {
+  private async requestJson (
+    method: 'GET' | 'POST', target: string, body: unknown, milliseconds: number, adapter?: string
+  ): Promise<Result<unknown, LimpetwinchError>> {
     try {
       const response = await this.send(method, target, body, AbortSignal.timeout(milliseconds))
       const text = await readBoundedText(response.body, MAXIMUM_ANSWER_BYTES)
@@ -184,13 +189,13 @@
     })
   }
 
-  private parsed<Body> (schema: z.ZodType<Body>, body: unknown): Result<Body, LimpetwinchError> {
+  private parseBody<Body> (schema: z.ZodType<Body>, body: unknown): Result<Body, LimpetwinchError> {
     const result = schema.safeParse(body)
     if (result.success) return ok(result.data)
     return err(this.engineFailure(`an answer of another form: ${result.error.message}`))
   }
 
-  /** An engine's own word that it did not run the request; any other status proves nothing. */
+  /** Only an error body of the engine itself proves that the request was not run; any other unexpected status proves nothing. */
   private refusal (status: number, text: string, adapter: string | undefined): LimpetwinchError {
     const refused = refusalSchema.safeParse(parseJsonOrUndefined(text))
     if (!refused.success) return this.transportFailure(`status ${status}`)
@@ -201,12 +206,12 @@
   }
 
   private failure (cause: unknown): LimpetwinchError {
-    // Only a connection that never came to be proves that the endpoint has seen nothing.
+    // The request provably never reached the endpoint only if no connection was made.
     const outcome = neverConnected(cause) ? 'not_run' : 'unknown'
     return this.transportFailure(reasonOf(cause), { cause, outcome })
   }
 
-  /** The way to the engine failed, or something on the way answered: the engine itself has said nothing. */
+  /** The connection to the engine failed, or an intermediary responded in place of the engine. */
   private transportFailure (reason: string, options: ErrorOptions = {}): LimpetwinchError {
     return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason, heard: false }, options)
   }
@@ -217,8 +222,8 @@
 }
 
 /**
- * Takes a failed resume for no proof of anything: the request was sent before, so an engine that no longer knows it, or
- * does not listen any more, may have run it all the same. Told as not run, its caller would run it twice.
+ * Gives every error of a resume the outcome `unknown`. The request was sent earlier, so an engine that no longer knows it
+ * or no longer accepts connections may have run it. With the outcome `not_run` the caller would run it twice.
  */
 async function * withUnknownOutcome (results: AsyncIterable<GenerationEventResult>): AsyncIterable<GenerationEventResult> {
   for await (const result of results) {
@@ -228,31 +233,31 @@
 }
 
 /**
- * Reads server-sent events as they come. Bytes that are no UTF-8 end the stream: replaced by a sign, they would reach
- * the caller as text that the engine never wrote. So does an event without end, which would fill the memory.
+ * Decodes server-sent events from the chunks of a stream. Bytes that are not valid UTF-8 end the stream, because with
+ * replacement characters the caller would receive text that the engine never generated. An event above the size limit
+ * ends the stream too, because it could fill the memory.
  */
-/** Takes server-sent events out of chunks as they come. */
 class EventStreamDecoder {
   private readonly decoder = new TextDecoder('utf-8', { fatal: true })
-  private waiting: string[] = []
+  private completeEvents: string[] = []
   private oversize = false
   private readonly parser = createParser({
     maxBufferSize: MAXIMUM_EVENT_CHARACTERS,
-    onEvent: (event) => { this.waiting.push(event.data) },
+    onEvent: (event) => { this.completeEvents.push(event.data) },
     onError: (error) => { this.oversize ||= error.type === 'max-buffer-size-exceeded' }
   })
 
-  /** @returns the data of the events that are whole now */
+  /** @returns the data of the events that this chunk completes */
   feed (chunk: Buffer): string[] {
     this.parser.feed(this.decoder.decode(chunk, { stream: true }))
     if (this.oversize) throw new OversizedResponseError(MAXIMUM_EVENT_CHARACTERS)
-    const ready = this.waiting
-    this.waiting = []
-    return ready
+    const completed = this.completeEvents
+    this.completeEvents = []
+    return completed
   }
 }
 
-/** Checked by hand and not by a schema: this runs for each token. */
+/** Checks a part without a schema, because this check runs for each token. */
 function isGeneratedPart (body: unknown): body is GeneratedPart {
   if (typeof body !== 'object' || body === null) return false
   const { position, text } = body as Partial<GeneratedPart>
@@ -263,7 +268,7 @@
   return cause instanceof Error ? cause.message : String(cause)
 }
 
-/** @returns whether an event came that cannot be read */
+/** @returns whether the error means that a received event could not be decoded */
 function isUnreadable (cause: unknown): boolean {
   return cause instanceof OversizedResponseError || (cause as { code?: unknown } | null)?.code === 'ERR_ENCODING_INVALID_ENCODED_DATA'
 }
--- a/packages/core/src/endpoints/http-service-client.ts
+++ b/packages/core/src/endpoints/http-service-client.ts
@@ -1,4 +1,4 @@
-/** A plain service over HTTP. */
+/** The client of a plain service over HTTP. */
 import { ResultAsync } from 'neverthrow'
 import { Agent, request } from 'undici'
 import type { Dispatcher } from 'undici'
@@ -11,15 +11,15 @@
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
 const MAXIMUM_CONNECTIONS = 256
 
-/** A {@link ServiceClient} reached over HTTP. */
+/** A {@link ServiceClient} over HTTP. */
 export class HttpServiceClient extends ServiceClient {
   private readonly endpoint: EndpointId
   private readonly base: string
   private readonly agent = new Agent({ connections: MAXIMUM_CONNECTIONS, pipelining: 1, headersTimeout: 0, bodyTimeout: 0, maxResponseSize: MAXIMUM_ANSWER_BYTES })
 
   /**
-   * @param endpoint - the endpoint's id, for errors
-   * @param base - its URL
+   * @param endpoint - the endpoint's id, for error messages
+   * @param base - the base URL of the endpoint
    */
   constructor (endpoint: EndpointId, base: string) {
     super()
@@ -35,7 +35,7 @@
     })
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.agent.destroy()
   }
--- a/packages/core/src/endpoints/service-client.ts
+++ b/packages/core/src/endpoints/service-client.ts
@@ -1,8 +1,8 @@
-/** A plain service as limpetwinch sees it. */
+/** The abstract client of a plain service, that is, an endpoint without a model engine. */
 import type { ResultAsync } from 'neverthrow'
 import type { LimpetwinchError } from '../errors/limpetwinch-error.js'
 
-/** A call to pass on. */
+/** A call to forward to a service. */
 export interface ServiceCall {
   readonly method: string
   /** Path and query under the service's base URL, starting with a slash. */
@@ -11,7 +11,7 @@
   readonly body: Uint8Array | undefined
 }
 
-/** A whole answer. */
+/** A complete response of a service. */
 export interface ServiceAnswer {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
@@ -19,11 +19,11 @@
 }
 
 /**
- * A plain service endpoint.
+ * The client of one endpoint of a plain service.
  *
  * Errors: `endpoint-failed` with outcome `not_run` when no connection could be made, else `unknown`.
  */
 export abstract class ServiceClient {
-  /** Makes one call and repeats nothing; the answer is whole. */
+  /** Makes one call without retries and returns the complete response. */
   abstract call (call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, LimpetwinchError>
 }
--- a/packages/core/src/platform/http-instance-list.ts
+++ b/packages/core/src/platform/http-instance-list.ts
@@ -19,12 +19,12 @@
   }))
 })
 
-/** An {@link InstanceList} reached over HTTP. */
+/** An {@link InstanceList} over HTTP. */
 export class HttpInstanceList extends InstanceList {
   private readonly base: string
   private readonly agent = new Agent({ connections: 2, pipelining: 1 })
 
-  /** @param base - URL of the platform */
+  /** @param base - the base URL of the platform */
   constructor (base: string) {
     super()
     this.base = base
@@ -37,7 +37,7 @@
     })
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.agent.destroy()
   }
--- a/packages/core/src/platform/http-object-store.ts
+++ b/packages/core/src/platform/http-object-store.ts
@@ -1,4 +1,4 @@
-/** The object API over HTTP. */
+/** The client of the platform's object API over HTTP. */
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -9,6 +9,7 @@
 import type { StoreAnswer } from './store-connection.js'
 
 const CALL_TIMEOUT_MILLISECONDS = 2_000
+/** Time beyond the requested wait after which a watch call times out. */
 const WATCH_GRACE_MILLISECONDS = 2_000
 const MAXIMUM_CONNECTIONS = 16
 
@@ -18,7 +19,7 @@
 const versionSchema = z.object({ version: z.number() })
 const conflictSchema = z.object({ version: z.number(), value: z.unknown().optional() })
 
-/** Calls made by this process, by kind, as the platform counts them. */
+/** Numbers of calls made by this client, by the kinds that the platform counts, and of failed calls. */
 export interface ObjectStoreCalls {
   reads: number
   writes: number
@@ -26,12 +27,12 @@
   failed: number
 }
 
-/** An {@link ObjectStore} reached over HTTP; it never repeats a call by itself. */
+/** An {@link ObjectStore} over HTTP. It never retries a call by itself. */
 export class HttpObjectStore extends ObjectStore {
   readonly calls: ObjectStoreCalls = { reads: 0, writes: 0, watches: 0, failed: 0 }
   private readonly connection: StoreConnection
 
-  /** @param base - URL of the platform */
+  /** @param base - the base URL of the platform */
   constructor (base: string) {
     super()
     this.connection = new StoreConnection(base, { connections: MAXIMUM_CONNECTIONS })
@@ -42,14 +43,14 @@
     const target = `/objects?path=${encodeURIComponent(path)}`
     return this.read(target, CALL_TIMEOUT_MILLISECONDS).andThen((answer): Result<StoredObject | undefined, LimpetwinchError> => {
       if (answer.status === 404) return ok(undefined)
-      return parsed(storedObjectSchema, answer)
+      return parseAnswer(storedObjectSchema, answer)
     })
   }
 
   override list (prefix: string): ResultAsync<{ objects: readonly StoredObject[], cursor: number }, LimpetwinchError> {
     this.calls.reads += 1
     const target = `/objects?prefix=${encodeURIComponent(prefix)}`
-    return this.read(target, CALL_TIMEOUT_MILLISECONDS).andThen((answer) => parsed(listSchema, answer))
+    return this.read(target, CALL_TIMEOUT_MILLISECONDS).andThen((answer) => parseAnswer(listSchema, answer))
   }
 
   override put (write: ConditionalWrite): ResultAsync<number, LimpetwinchError> {
@@ -60,10 +61,10 @@
   override watch (prefix: string, cursor: number, waitMilliseconds: number, signal?: AbortSignal): ResultAsync<WatchStep, LimpetwinchError> {
     this.calls.watches += 1
     const target = `/watch?prefix=${encodeURIComponent(prefix)}&cursor=${cursor}&wait=${Math.round(waitMilliseconds)}`
-    return this.read(target, waitMilliseconds + WATCH_GRACE_MILLISECONDS, signal).andThen((answer) => parsed(watchSchema, answer))
+    return this.read(target, waitMilliseconds + WATCH_GRACE_MILLISECONDS, signal).andThen((answer) => parseAnswer(watchSchema, answer))
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.connection.close()
   }
@@ -83,7 +84,7 @@
     return this.readWriteAnswer(write, answer)
   }
 
-  /** Only the platform's own words count; an error page of something in between says nothing about the write. */
+  /** Only a response of the platform itself tells whether the write took effect; an error page of an intermediary does not. */
   private readWriteAnswer (write: ConditionalWrite, answer: StoreAnswer): Result<number, LimpetwinchError> {
     const written = versionSchema.safeParse(answer.body)
     if (answer.status === 200 && written.success) return ok(written.data.version)
@@ -97,8 +98,8 @@
   }
 
   /**
-   * The platform may have carried the write out before its answer was lost; calling it unavailable would make the
-   * caller write twice. The caller reads back by the write's own id.
+   * The platform may have carried out the write before its response was lost. Reporting the store as unavailable would make
+   * the caller write twice; with this error the caller reads the object again and looks for the id of its write.
    */
   private answerLost (write: ConditionalWrite, cause: unknown): LimpetwinchError {
     this.calls.failed += 1
@@ -111,7 +112,7 @@
   }
 }
 
-function parsed<Body> (schema: z.ZodType<Body>, answer: StoreAnswer): Result<Body, LimpetwinchError> {
+function parseAnswer<Body> (schema: z.ZodType<Body>, answer: StoreAnswer): Result<Body, LimpetwinchError> {
   if (answer.status !== 200) {
     return err(new LimpetwinchError('store-unavailable', { reason: `status ${answer.status}` }))
   }
--- a/packages/core/src/platform/store-connection.ts
+++ b/packages/core/src/platform/store-connection.ts
@@ -1,39 +1,43 @@
-/** Calls to a store over HTTP: each is sent once, bounded in time and size, and what became of it is told apart. */
+/**
+ * Calls to a store over HTTP. Each call is sent once and limited in time and response size. The errors tell whether a failed
+ * call may have taken effect.
+ */
 import { Agent, request } from 'undici'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import { readBoundedBytes } from '../http/bounded-text.js'
 
-/** Room for a list of everything that a deployment holds. */
+/** Maximum size of a response, large enough for a list of all objects of a deployment. */
 const MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024
-/** Answers by which a store says that it did not carry a write out: too large, over its rate, in an outage. */
+/** Statuses by which a store says that it did not carry out a write: it was too large, over the rate limit, or sent during an outage. */
 const REFUSED_STATUSES: ReadonlySet<number> = new Set([413, 429, 503])
 
-/** One call. */
+/** One call to a store. */
 export interface StoreCall {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE'
-  /** Path and query. */
+  /** Path and query, relative to the base URL. */
   readonly target: string
-  /** Sent as JSON. */
+  /** The request body, sent as JSON. */
   readonly body?: unknown
-  /** After this the call is given up. */
+  /** Timeout of the call. */
   readonly milliseconds: number
-  /** Gives it up as well. */
+  /** Cancels the call. */
   readonly signal?: AbortSignal | undefined
 }
 
-/** What came back. */
+/** The response to a call. */
 export interface StoreAnswer {
   readonly status: number
-  /** Parsed JSON; undefined for anything else, such as an error page, whose status says enough. */
+  /** The parsed JSON body, or undefined for any other body, such as an error page; the status then tells enough. */
   readonly body: unknown
 }
 
-/** How connections to a store are kept. */
+/** Options of the connections to a store. */
 export interface StoreConnectionOptions {
-  /** Most connections at a time; a waiting watch holds one. */
+  /** Maximum number of simultaneous connections; a waiting watch occupies one. */
   readonly connections: number
-  /** A connection that takes longer to open counts as never made. */
+  /** Timeout for opening a connection; a connection that takes longer counts as never made. */
   readonly connectMilliseconds?: number
+  /** Maximum size of a response body. */
   readonly maximumAnswerBytes?: number
 }
 
@@ -44,21 +48,23 @@
   private readonly maximumAnswerBytes: number
 
   /**
-   * @param base - URL of the store
-   * @param options - how connections are kept
+   * @param base - the base URL of the store
+   * @param options - options of the connections
    */
   constructor (base: string, options: StoreConnectionOptions) {
-    const { connections, connectMilliseconds, maximumAnswerBytes: maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = options
+    const { connections, connectMilliseconds, maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = options
     this.base = base
     this.maximumAnswerBytes = maximumAnswerBytes
-    // A call whose answer is lost leaves its connection useless; undici closes it when the call is given up.
+    // undici closes the connection of a cancelled or timed out call, because it cannot be used after a lost response.
     this.agent = new Agent({ connections, pipelining: 1, ...(connectMilliseconds === undefined ? {} : { connect: { timeout: connectMilliseconds } }) })
   }
 
   /**
-   * @param call - what is sent, once
-   * @returns the answer
-   * @throws whatever undici says of a call without a whole answer; see {@link failedWriteError}
+   * Sends a call once.
+   *
+   * @param call - the call to send
+   * @returns the response
+   * @throws the error of undici if no complete response was received; see {@link failedWriteError}
    */
   async send (call: StoreCall): Promise<StoreAnswer> {
     const timeout = AbortSignal.timeout(call.milliseconds)
@@ -69,7 +75,7 @@
       signal,
       ...(call.body === undefined ? {} : { body: JSON.stringify(call.body), headers: { 'content-type': 'application/json' } })
     })
-    // One object with unreadable bytes must not hide all others of its listing, so bad bytes are replaced, not refused.
+    // Invalid UTF-8 is replaced and not rejected, so that one object with invalid bytes does not hide all other objects of a list.
     const text = (await readBoundedBytes(response.body, this.maximumAnswerBytes)).toString('utf8')
     return { status: response.statusCode, body: parseJson(text) }
   }
@@ -80,37 +86,40 @@
   }
 }
 
-/** @returns whether the store says by this status that it did nothing */
+/** @returns whether the status means that the store did not carry out the call */
 export function isRefusedStatus (status: number): boolean {
   return REFUSED_STATUSES.has(status)
 }
 
 /**
- * A write without an answer may have been carried out, or may be later; calling it unavailable would make the caller
- * write twice. Only a connection that was never made proves that nothing was sent.
+ * Creates the error of a write that got no response. The write may have been carried out or may still be, so reporting the
+ * store as unavailable would make the caller write twice. Only a connection that was never made proves that nothing was sent.
  *
- * @param path - what was written
- * @param cause - what the call failed with
+ * @param path - path of the written object
+ * @param cause - the error of the call
+ * @returns `store-unavailable` if nothing was sent, else `store-answer-lost`
  */
 export function failedWriteError (path: string, cause: unknown): LimpetwinchError {
   if (neverConnected(cause)) return storeUnavailableError(reasonOf(cause), cause)
   return new LimpetwinchError('store-answer-lost', { path }, { cause })
 }
 
-/** @returns the error of a call that did nothing */
+/** @returns the error of a call that had no effect */
 export function storeUnavailableError (reason: string, cause?: unknown): LimpetwinchError {
   return new LimpetwinchError('store-unavailable', { reason }, { cause })
 }
 
-/** @returns what an error says of itself */
+/** @returns the message of an error */
 export function reasonOf (cause: unknown): string {
   return cause instanceof Error ? cause.message : String(cause)
 }
 
 /**
- * @param cause - what a call failed with
- * @returns whether it proves that nothing was sent; a socket that lost its route under way carries the same codes as one
- *   that never connected, so the system call decides
+ * Checks whether the error of a call proves that nothing was sent. A socket that loses its route during a call has the same
+ * error codes as a socket that never connected, so the failed system call is checked as well.
+ *
+ * @param cause - the error of the call
+ * @returns whether no connection was made
  */
 export function neverConnected (cause: unknown): boolean {
   if (cause instanceof AggregateError) return cause.errors.length > 0 && cause.errors.every(neverConnected)
@@ -119,6 +128,7 @@
   return syscall === 'connect' && CONNECT_FAILURES.has(code ?? '')
 }
 
+/** Error codes of a socket that could not connect. */
 const CONNECT_FAILURES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH'])
 
 function parseJson (text: string): unknown {
--- a/packages/core/test/fuzz/engine-stream.test.ts
+++ b/packages/core/test/fuzz/engine-stream.test.ts
@@ -1,6 +1,6 @@
-// An engine that is broken, or something in between, sends a stream that is truncated, garbled, of wrong types or
-// without end. The caller would see foreign text, a hang or an instance out of memory. The client must hand on only
-// parts that came whole, end with exactly one end or error, and never claim that a request it sent was not run.
+// Guards against streams of a faulty engine or intermediary that are truncated, garbled, endless or contain wrong types. The
+// caller would get text that the engine never generated, or the instance would hang or run out of memory. The client must
+// deliver only complete parts, finish with exactly one end or error, and never claim that a sent request was not run.
 import fc from 'fast-check'
 import { afterAll, beforeAll, beforeEach, describe, expect, it } from 'vitest'
 import { HttpEngineClient } from '@limpetwinch/core'
@@ -8,7 +8,7 @@
 import { respondWith, endlessBody, MAXIMUM_SENT_BYTES, RawServer } from './raw-server.js'
 
 const RUNS = { seed: 61_202, numRuns: 150 }
-const MOST_TAKEN = MAXIMUM_SENT_BYTES / 4
+const MAXIMUM_BYTES_TAKEN = MAXIMUM_SENT_BYTES / 4
 
 const part = fc.record({ position: fc.nat(100), text: fc.string({ unit: 'grapheme', maxLength: 12 }) })
 const end = fc.record({ end: fc.record({ finishReason: fc.constant('length'), promptTokens: fc.nat(), outputTokens: fc.nat(), adapter: fc.constant('a/b@c') }) })
@@ -23,7 +23,7 @@
   return [0, ...at].map((from, index) => bytes.subarray(from, at[index] ?? bytes.length)).filter((piece) => piece.length > 0)
 }
 
-describe('engine streams from outside', () => {
+describe('untrusted engine streams', () => {
   const server = new RawServer()
   let client: HttpEngineClient
 
@@ -50,7 +50,7 @@
 
   const failedUnknown = { kind: 'endpoint-failed', outcome: 'unknown' }
 
-  it('reads whole streams the same wherever the bytes are split', async () => {
+  it('reads complete streams regardless of where the bytes are split', async () => {
     await fc.assert(fc.asyncProperty(stream, fc.array(fc.nat(), { maxLength: 8 }), async ([parts, last], cuts) => {
       server.answer = respondWith(200, piecesOf(bytesOf([...parts, last]), cuts))
       expect(await generate()).toEqual([
@@ -60,10 +60,10 @@
     }), RUNS)
   })
 
-  it('ends a truncated stream with an error after the parts that came whole', async () => {
+  it('ends a truncated stream with an error after its complete parts', async () => {
     await fc.assert(fc.asyncProperty(stream, fc.nat(), async ([parts, last], at) => {
-      const whole = bytesOf([...parts, last])
-      server.answer = respondWith(200, [whole.subarray(0, at % whole.length)])
+      const complete = bytesOf([...parts, last])
+      server.answer = respondWith(200, [complete.subarray(0, at % complete.length)])
       const results = await generate()
       const expected = parts.map((one) => ({ ok: true, event: { kind: 'part', part: one } }))
       expect(results.slice(0, -1)).toEqual(expected.slice(0, results.length - 1))
@@ -82,14 +82,14 @@
     }), RUNS)
   })
 
-  it('survives any bytes', async () => {
+  it('ends with an error on arbitrary bytes', async () => {
     await fc.assert(fc.asyncProperty(fc.array(fc.uint8Array({ maxLength: 60 }), { maxLength: 5 }), async (pieces) => {
       server.answer = respondWith(200, pieces)
       expect(failureOf(await generate())).toEqual(failedUnknown)
     }), RUNS)
   })
 
-  it('hands on no text that is not UTF-8', async () => {
+  it('delivers no text from invalid UTF-8', async () => {
     const event = bytesOf([{ position: 0, text: 'zebra' }])
     event[event.indexOf('b')] = 0xff
     server.answer = respondWith(200, [event, bytesOf([{ end: { finishReason: 'length', promptTokens: 1, outputTokens: 1 } }])])
@@ -99,33 +99,33 @@
   })
 
   it.each([
-    ['one line without end', 200, 'data: "', 'x'],
-    ['one event of endless lines', 200, '', 'data: x\n'],
-    ['a refusal without end', 503, '{"error":"', 'x']
-  ])('gives up on %s', async (_name, status, start, filler) => {
+    ['an endless line', 200, 'data: "', 'x'],
+    ['an event of endless lines', 200, '', 'data: x\n'],
+    ['an endless refusal', 503, '{"error":"', 'x']
+  ])('stops reading %s', async (_name, status, start, filler) => {
     const body = endlessBody(status, start, filler)
     server.answer = body.answer
     expect(failureOf(await generate())).toEqual(failedUnknown)
-    expect(await body.bytesTaken).toBeLessThan(MOST_TAKEN)
+    expect(await body.bytesTaken).toBeLessThan(MAXIMUM_BYTES_TAKEN)
   })
 
-  it('gives up on a report without end', async () => {
+  it('stops reading an endless report', async () => {
     const body = endlessBody(200, '{"baseModel":"', 'x')
     server.answer = body.answer
     expect((await client.report())._unsafeUnwrapErr().kind).toBe('endpoint-failed')
-    expect(await body.bytesTaken).toBeLessThan(MOST_TAKEN)
+    expect(await body.bytesTaken).toBeLessThan(MAXIMUM_BYTES_TAKEN)
   })
 
-  it('takes no answer of another form for a report', async () => {
+  it('accepts no other JSON value as a report', async () => {
     await fc.assert(fc.asyncProperty(fc.jsonValue(), async (value) => {
       server.answer = respondWith(200, [Buffer.from(JSON.stringify(value))])
       expect((await client.report())._unsafeUnwrapErr().kind).toBe('endpoint-failed')
     }), RUNS)
   })
 
-  // A request was sent and its connection fell silent. The engine then restarts cold, and a resume is answered with
-  // "unknown request". Were that told as not run, the caller would send again what has run already.
-  it('never takes a refused resume as proof that the request was not run', async () => {
+  // The connection of a running request becomes idle and the engine restarts, so the resume is refused with "unknown request".
+  // If that were reported as not run, the caller would send a request again that has already run.
+  it('does not report a request as not run when its resume is refused', async () => {
     const refusal = { error: { code: 'unknown-request', message: 'not known here' } }
     server.answer = respondWith(404, [Buffer.from(JSON.stringify(refusal))])
     for await (const result of client.resume('r' as RequestId, 3, new AbortController().signal)) {
--- a/packages/core/test/fuzz/object-store.test.ts
+++ b/packages/core/test/fuzz/object-store.test.ts
@@ -1,6 +1,6 @@
-// The platform, or something in between, answers a write with an error page, half an answer or bytes without end. If
-// the client said "nothing was changed" though the write had taken effect, its caller would write twice, or report a
-// change as refused that is in force.
+// Guards against wrong conclusions from an error page, a truncated response or an endless response to a write, sent by the
+// platform or an intermediary. If the client reported that nothing was changed although the write took effect, its caller
+// would write twice, or report a change as refused that is in force.
 import fc from 'fast-check'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { HttpObjectStore, neverConnected } from '@limpetwinch/core'
@@ -9,7 +9,7 @@
 const RUNS = { seed: 61_203, numRuns: 150 }
 const NOTHING_HAPPENED = new Set([413, 429, 503])
 
-describe('object API from outside', () => {
+describe('untrusted responses of the object API', () => {
   const server = new RawServer()
   let store: HttpObjectStore
 
@@ -22,7 +22,7 @@
 
   const body = fc.oneof(fc.jsonValue().map((value) => JSON.stringify(value)), fc.string()).filter((text) => !text.includes('"version"'))
 
-  it('says of a write that nothing happened only where the platform says so', async () => {
+  it('reports a write as having had no effect only if the platform says so', async () => {
     await fc.assert(fc.asyncProperty(fc.constantFrom(200, 201, 400, 404, 409, 413, 429, 500, 502, 503, 504), body, async (status, text) => {
       server.answer = respondWith(status, [Buffer.from(text)])
       const error = (await store.put({ path: '/a', ifVersion: 0, value: 1 }))._unsafeUnwrapErr()
@@ -32,7 +32,7 @@
     }), RUNS)
   })
 
-  it('takes no answer of another form for an object', async () => {
+  it('accepts no other JSON value as an object', async () => {
     await fc.assert(fc.asyncProperty(body, async (text) => {
       server.answer = respondWith(200, [Buffer.from(text)])
       for (const read of [store.get('/a'), store.list('/'), store.watch('/', 0, 10)]) {
@@ -41,16 +41,16 @@
     }), RUNS)
   })
 
-  it('gives up on an answer without end', async () => {
+  it('stops reading an endless response', async () => {
     const answer = endlessBody(200, '{"objects":"', 'x')
     server.answer = answer.answer
     expect((await store.list('/'))._unsafeUnwrapErr().kind).toBe('store-unavailable')
     expect(await answer.bytesTaken).toBeLessThan(MAXIMUM_SENT_BYTES)
   })
 
-  // A route is lost while a request is under way: its socket then fails with EHOSTUNREACH on read, after the endpoint
-  // may have seen it. Only the same code on connect proves that nothing was sent.
-  it('takes a lost route for proof of nothing sent only while it connects', () => {
+  // If a route is lost during a request, the socket fails with EHOSTUNREACH on read, after the request may have reached the
+  // endpoint. Only the same code on connect proves that nothing was sent.
+  it('takes a lost route as proof that nothing was sent only while connecting', () => {
     const lost = (syscall: string) => Object.assign(new Error('lost'), { code: 'EHOSTUNREACH', syscall })
     expect(neverConnected(lost('connect'))).toBe(true)
     expect(neverConnected(lost('read'))).toBe(false)
--- a/packages/core/test/fuzz/raw-server.ts
+++ b/packages/core/test/fuzz/raw-server.ts
@@ -1,13 +1,13 @@
-/** A server that answers with bytes as given, well formed or not. */
+/** A server that responds with arbitrary bytes, which may be malformed. */
 import { createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
-/** What to do with each connection after its request came. */
+/** Handles a connection after the first bytes of its request have arrived. */
 export type ConnectionHandler = (socket: Socket) => void | Promise<void>
 
-/** Speaks no HTTP of its own. */
+/** A TCP server that leaves the whole response, including HTTP headers, to its connection handler. */
 export class RawServer {
-  /** How the next connections are answered. */
+  /** The handler of the next connections. */
   answer: ConnectionHandler = (socket) => { socket.destroy() }
   private readonly sockets = new Set<Socket>()
   private readonly server = createServer((socket) => {
@@ -17,20 +17,20 @@
     socket.once('data', () => this.answer(socket))
   })
 
-  /** @returns the URL */
+  /** @returns the base URL of the server */
   async listen (): Promise<string> {
     await new Promise<void>((resolve) => { this.server.listen(0, '127.0.0.1', resolve) })
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and the server. */
   async close (): Promise<void> {
     for (const socket of this.sockets) socket.destroy()
     await new Promise<void>((resolve) => { this.server.close(() => resolve()) })
   }
 }
 
-/** Answers with a status and a body that ends with the connection, in the pieces given. */
+/** @returns a handler that responds with a status and a body in the given pieces, and then ends the connection */
 export function respondWith (status: number, pieces: readonly Uint8Array[]): ConnectionHandler {
   return async (socket) => {
     socket.write(`HTTP/1.1 ${status} Status\r\nconnection: close\r\n\r\n`)
@@ -42,16 +42,16 @@
   }
 }
 
-/** Answers with a body that never ends, until the reader has gone; says how many bytes it took. */
+/** @returns a handler that responds with an endless body, and the number of bytes sent until the reader closed the connection */
 export function endlessBody (status: number, start: string, filler: string): { answer: ConnectionHandler, bytesTaken: Promise<number> } {
-  let tell: (bytes: number) => void = () => {}
-  const bytesTaken = new Promise<number>((resolve) => { tell = resolve })
+  let reportBytes: (bytes: number) => void = () => {}
+  const bytesTaken = new Promise<number>((resolve) => { reportBytes = resolve })
   const block = Buffer.from(filler.repeat(Math.ceil(65_536 / filler.length)))
   const answer: ConnectionHandler = (socket) => {
-    socket.on('close', () => tell(socket.bytesWritten))
+    socket.on('close', () => reportBytes(socket.bytesWritten))
     socket.write(`HTTP/1.1 ${status} Status\r\nconnection: close\r\n\r\n${start}`)
     const pump = (): void => {
-      while (!socket.destroyed && socket.bytesWritten < MAXIMUM_SENT_BYTES && socket.write(block)) { /* until the buffers are full */ }
+      while (!socket.destroyed && socket.bytesWritten < MAXIMUM_SENT_BYTES && socket.write(block)) { /* writes until the socket's buffer is full */ }
       if (socket.destroyed) return
       if (socket.bytesWritten >= MAXIMUM_SENT_BYTES) socket.end()
       else socket.once('drain', pump)
@@ -61,5 +61,5 @@
   return { answer, bytesTaken }
 }
 
-/** Far beyond what any reader may take, so that a reader without a bound fails a test and not the machine. */
+/** Limit of an endless body: far more than any reader may read, so that a reader without a limit fails its test before it exhausts memory. */
 export const MAXIMUM_SENT_BYTES = 256 * 1024 * 1024
