--- a/packages/core/src/logger/line-sink.ts
+++ b/packages/core/src/logger/line-sink.ts
@@ -1,23 +1,27 @@
-/** Writes log lines without ever waiting for their reader. */
+/** Writes log lines without blocking when their reader is slow or has stopped reading. */
 import { write } from 'node:fs'
 
-/** What a line is worth when not all can be written: request steps yield first, changes of belief and outcomes last. */
+/**
+ * Priority of a line when not all lines can be written: steps of requests are dropped first, then outcomes, and faults
+ * (warnings and errors) last.
+ */
 export type LinePriority = 'step' | 'outcome' | 'fault'
 
-/** Buffered bytes at most: some seconds of lines at full load, and no burden on a small instance. */
+/** Maximum size of the buffer: it holds some seconds of lines at full load and is small enough for a small instance. */
 const MAXIMUM_BUFFERED_BYTES = 2 * 1024 * 1024
-/** Part of the buffer that lines of a rank may fill. */
+/** Share of the buffer up to which lines of a priority are accepted. */
 const BUFFER_SHARE_OF_PRIORITY: Readonly<Record<LinePriority, number>> = { step: 0.5, outcome: 0.9, fault: 1 }
-/** One write at most; larger ones would hold memory twice. */
+/** Maximum size of one write, since the lines of a write are copied into a second buffer. */
 const MAXIMUM_WRITE_BYTES = 64 * 1024
-/** Lines wait this long for others: each write wakes a thread and this one again, which costs more than the line itself. */
+/** Delay before a write, so that lines are batched: a write wakes a worker thread and then this thread, which costs more than the line itself. */
 const WRITE_DELAY_MILLISECONDS = 25
-/** A pipe that is full and set not to block says so; it is tried again after this. */
+/** Delay before a retry when a non-blocking pipe is full. */
 const FULL_PIPE_RETRY_MILLISECONDS = 50
 
 /**
- * A bounded buffer before a file descriptor. Node.js writes to a pipe synchronously, so that a reader that stops would
- * stop the event loop with it; here one write at a time runs beside the loop, and what does not fit is counted.
+ * A bounded buffer of lines in front of a file descriptor. Node.js writes to a pipe synchronously, so a reader that stops
+ * reading would block the event loop. This sink writes asynchronously, one write at a time; lines that do not fit into the
+ * buffer are dropped and counted.
  */
 export class LineSink {
   private readonly descriptor: number
@@ -27,25 +31,25 @@
   private unreportedDrops = 0
   private droppedLines = 0
 
-  /** @param descriptor - such as 1 for standard output */
+  /** @param descriptor - the file descriptor, such as 1 for standard output */
   constructor (descriptor: number) {
     this.descriptor = descriptor
   }
 
-  /** Lines dropped since the start. */
+  /** Number of lines dropped since the start of the process. */
   get dropped (): number {
     return this.droppedLines
   }
 
   /**
-   * Queues a line, or drops it when its rank has no room.
+   * Queues a line, or drops it when the buffer is full for its priority.
    *
-   * @param text - without its end
-   * @param rank - what it is worth
+   * @param text - the line without its line break
+   * @param priority - the priority of the line
    */
-  add (text: string, rank: LinePriority): void {
+  add (text: string, priority: LinePriority): void {
     const line = Buffer.from(`${text}\n`)
-    if (this.bufferedBytes + line.length > MAXIMUM_BUFFERED_BYTES * BUFFER_SHARE_OF_PRIORITY[rank]) {
+    if (this.bufferedBytes + line.length > MAXIMUM_BUFFERED_BYTES * BUFFER_SHARE_OF_PRIORITY[priority]) {
       this.droppedLines += 1
       this.unreportedDrops += 1
       return
@@ -55,7 +59,11 @@
     this.scheduleWrite()
   }
 
-  /** Waits until all is written, a limited time. */
+  /**
+   * Waits until all lines are written.
+   *
+   * @param milliseconds - maximum duration of the wait
+   */
   async flush (milliseconds: number): Promise<void> {
     const until = performance.now() + milliseconds
     while ((this.writing || this.waiting.length > 0) && performance.now() < until) {
@@ -81,14 +89,14 @@
   }
 
   private takeBatch (): Buffer {
-    const parts: Buffer[] = []
+    const batch: Buffer[] = []
     let bytes = 0
-    for (let part = this.waiting[0]; part !== undefined && (bytes === 0 || bytes + part.length <= MAXIMUM_WRITE_BYTES); part = this.waiting[0]) {
-      parts.push(part)
-      bytes += part.length
+    for (let line = this.waiting[0]; line !== undefined && (bytes === 0 || bytes + line.length <= MAXIMUM_WRITE_BYTES); line = this.waiting[0]) {
+      batch.push(line)
+      bytes += line.length
       this.waiting.shift()
     }
-    return parts.length === 1 ? parts[0] as Buffer : Buffer.concat(parts)
+    return batch.length === 1 ? batch[0] as Buffer : Buffer.concat(batch)
   }
 
   private writeBatch (bytes: Buffer): void {
@@ -97,7 +105,7 @@
         setTimeout(() => this.writeBatch(bytes), FULL_PIPE_RETRY_MILLISECONDS)
         return
       }
-      // A reader that has gone for good takes nothing any more; the process goes on without its logs.
+      // On any other error the lines of this write are lost: the reader has closed the pipe, and the process continues without logs.
       if (error === null && written < bytes.length) return this.writeBatch(bytes.subarray(written))
       this.bufferedBytes -= bytes.length
       this.writing = false
--- a/packages/core/src/logger/logger.ts
+++ b/packages/core/src/logger/logger.ts
@@ -1,63 +1,63 @@
-/** The one logger: short sentences, with the label of the part that speaks as a fixed prefix. */
+/** The logger of all packages. Each line holds a short sentence, optional fields and the label of the component that logs it. */
 import winston from 'winston'
 import Transport from 'winston-transport'
 import type { LinePriority, LineSink } from './line-sink.js'
 
-/** How log lines are written. */
+/** The format of log lines. */
 export type LogFormat = 'text' | 'json'
 
-/** Severities, most severe first. */
+/** The severities of log lines, most severe first. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug'
 
-/** A logger for one part of the process. */
+/** A logger for one component of the process. */
 export interface Logger {
-  error: (sentence: string, fields?: Record<string, unknown>) => void
-  warn: (sentence: string, fields?: Record<string, unknown>) => void
-  info: (sentence: string, fields?: Record<string, unknown>) => void
-  debug: (sentence: string, fields?: Record<string, unknown>) => void
-  /** @returns a logger for a part, with its label as prefix */
+  error: (message: string, fields?: Record<string, unknown>) => void
+  warn: (message: string, fields?: Record<string, unknown>) => void
+  info: (message: string, fields?: Record<string, unknown>) => void
+  debug: (message: string, fields?: Record<string, unknown>) => void
+  /** @returns a logger that marks its lines with another label */
   part: (label: string) => Logger
 }
 
 const textLine = winston.format.printf((entry) => {
   const { timestamp, level, label, message, ...fields } = entry
-  const rest = Object.keys(fields).length === 0 ? '' : ` ${JSON.stringify(fields)}`
-  return `${timestamp} ${level} [${label}] ${message}${rest}`
+  const fieldsText = Object.keys(fields).length === 0 ? '' : ` ${JSON.stringify(fields)}`
+  return `${timestamp} ${level} [${label}] ${message}${fieldsText}`
 })
 
-/** Fields are plain values of this program, so that the runtime's own encoder does; the library's checks each value in turn. */
+/** Uses JSON.stringify, which suffices because all fields are plain values; winston's own JSON format checks each value in turn. */
 const jsonLine = winston.format.printf((entry) => JSON.stringify(entry))
 
-/** Wraps a winston logger, which knows no labels of its own. */
+/** Wraps a winston logger, which has no labels of its own, and adds the label to each line. */
 function labelledLogger (target: winston.Logger, label: string): Logger {
-  const at = (level: LogLevel) => (sentence: string, fields: Record<string, unknown> = {}): void => {
-    target.log(level, sentence, { ...fields, label })
+  const logAt = (level: LogLevel) => (message: string, fields: Record<string, unknown> = {}): void => {
+    target.log(level, message, { ...fields, label })
   }
-  return { error: at('error'), warn: at('warn'), info: at('info'), debug: at('debug'), part: (next) => labelledLogger(target, next) }
+  return { error: logAt('error'), warn: logAt('warn'), info: logAt('info'), debug: logAt('debug'), part: (next) => labelledLogger(target, next) }
 }
 
 /**
- * Makes the logger of a process; it writes to standard error, so that standard output stays for results.
+ * Creates the logger of a process. It writes to standard error, since standard output is reserved for results.
  *
  * @param format - text or JSON lines
- * @param level - the least severe level written
+ * @param level - the least severe level that is written
  * @returns a logger labelled `process`
  */
 export function createLogger (format: LogFormat, level: LogLevel): Logger {
-  const form = format === 'json' ? winston.format.json() : textLine
+  const lineFormat = format === 'json' ? winston.format.json() : textLine
   const target = winston.createLogger({
     level,
-    format: winston.format.combine(winston.format.timestamp(), form),
+    format: winston.format.combine(winston.format.timestamp(), lineFormat),
     transports: [new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info', 'debug'] })]
   })
   return labelledLogger(target, 'process')
 }
 
 const PRIORITY_OF_LEVEL: Readonly<Record<string, LinePriority>> = { error: 'fault', warn: 'fault', info: 'outcome', debug: 'step' }
-/** Where winston keeps a line's text. */
+/** The key under which winston stores the formatted line. */
 const MESSAGE = Symbol.for('message')
 
-/** A winston transport before a {@link LineSink}. */
+/** A winston transport that writes to a {@link LineSink}. */
 class LineSinkTransport extends Transport {
   private readonly sink: LineSink
 
@@ -73,10 +73,10 @@
 }
 
 /**
- * Makes the logger of a process whose log is its only witness: JSON lines, none of which ever blocks.
+ * Creates the logger of a process whose failures are investigated from its log alone. It writes JSON lines without blocking.
  *
- * @param sink - takes the lines
- * @param level - the least severe level written
+ * @param sink - receives the lines
+ * @param level - the least severe level that is written
  * @returns a logger labelled `process`
  */
 export function createStructuredLogger (sink: LineSink, level: LogLevel): Logger {
--- a/packages/core/test/logger/chatty-process.mjs
+++ b/packages/core/test/logger/high-volume-process.mjs
@@ -1,4 +1,5 @@
-// Writes lines faster than anybody reads them, and tells by its exit code how long its event loop stood still at most.
+// Writes lines to standard output faster than they are read. Reports on standard error whether its event loop was blocked for
+// more than two seconds, and how many lines were dropped.
 import { LineSink } from '../../dist/logger/line-sink.js'
 
 const LINES = 60_000
@@ -18,7 +19,7 @@
 }
 sink.add(JSON.stringify({ message: 'last fault' }), 'fault')
 clearInterval(beat)
-process.stderr.write(JSON.stringify({ stoodStill: longest > 2_000, dropped: sink.dropped }))
+process.stderr.write(JSON.stringify({ blocked: longest > 2_000, dropped: sink.dropped }))
 await new Promise((resolve) => { process.stdin.once('data', resolve) })
 await sink.flush(10_000)
 process.exit(0)
