--- a/packages/core/src/settings/cross-checks.ts
+++ b/packages/core/src/settings/cross-checks.ts
@@ -1,21 +1,27 @@
-/** Checks between values, which a schema of single values cannot make. They read raw values, so that all problems show. */
+/**
+ * Checks across several values, which a schema of single values cannot express. They read raw values, so that their problems
+ * are also reported for documents that violate the schema.
+ */
 import type { SettingsPath, TeamId } from '../ids/ids.js'
 import { nearestKey } from './nearest-key.js'
 import { grantedPriority } from './operator-settings.js'
 import type { OperatorSettings } from './operator-settings.js'
 
-/** A problem with the keys and indexes that lead to it. */
+/** A problem and its location in the document. */
 export interface PlacedProblem {
+  /** Keys and list indexes from the root to the value. */
   readonly place: readonly (string | number)[]
   readonly message: string
 }
 
 /**
- * @param path - the document's path
- * @param team - the team whose document it is, if any
- * @param value - the raw value, which need not follow the schema
- * @param inForce - the other settings
- * @returns every problem
+ * Checks a document for contradictions between its values and with the other settings.
+ *
+ * @param path - path of the document
+ * @param team - the team that owns the document, if any
+ * @param value - the raw value, which need not conform to the schema
+ * @param inForce - the settings in force
+ * @returns all problems found
  */
 export function crossProblems (path: SettingsPath, team: TeamId | undefined, value: unknown, inForce: OperatorSettings | undefined): PlacedProblem[] {
   if (team !== undefined) {
@@ -24,7 +30,7 @@
   return path === '/endpoints' ? endpointProblems(value) : []
 }
 
-/** A current version that does not exist would send every request for the adapter into an error. */
+/** Checks the versions of adapters. With a current version that does not exist, every request for the adapter would fail. */
 function currentVersionProblems (value: unknown): PlacedProblem[] {
   const problems: PlacedProblem[] = []
   for (const [adapter, settings] of entriesOf(fieldOf(value, 'adapters'))) {
@@ -36,7 +42,7 @@
       problems.push({ place: [...place, 'current'], message: `'${current}' is not among the versions; write '${choice}' or add '${current}' to the versions` })
     }
     for (const index of repeatedIndexes(versions)) {
-      problems.push({ place: [...place, 'versions', index], message: `version '${versions[index]}' stands twice; remove one of them` })
+      problems.push({ place: [...place, 'versions', index], message: `version '${versions[index]}' appears twice; remove one of them` })
     }
   }
   return problems
@@ -47,8 +53,8 @@
   const hashes = keys.map((key) => String(fieldOf(key, 'sha256')))
   const labels = keys.map((key) => String(fieldOf(key, 'label')))
   return [
-    ...repeatedIndexes(hashes).map((index) => ({ place: ['keys', index, 'sha256'], message: 'this key stands twice; remove one of them' })),
-    ...repeatedIndexes(labels).map((index) => ({ place: ['keys', index, 'label'], message: `label '${labels[index]}' stands twice; choose another` }))
+    ...repeatedIndexes(hashes).map((index) => ({ place: ['keys', index, 'sha256'], message: 'this key appears twice; remove one of them' })),
+    ...repeatedIndexes(labels).map((index) => ({ place: ['keys', index, 'label'], message: `label '${labels[index]}' appears twice; choose another` }))
   ]
 }
 
@@ -60,7 +66,7 @@
   })
 }
 
-/** Two engines at one URL would each be given an owner, and the two owners would evict each other's adapters. */
+/** Checks engines and services. If two engines had the same URL, each would get an owner, and the two owners would evict each other's adapters. */
 function endpointProblems (value: unknown): PlacedProblem[] {
   const engines = entriesOf(fieldOf(value, 'engines'))
   const problems: PlacedProblem[] = []
@@ -71,14 +77,14 @@
     const url = String(fieldOf(engine, 'url')).replace(/\/+$/, '')
     problems.push(...urlProblems(place, url))
     const first = urls.get(url)
-    if (first !== undefined) problems.push({ place, message: `engine '${first}' has this URL already; write this engine's own` })
+    if (first !== undefined) problems.push({ place, message: `engine '${first}' already has this URL; write the URL of this engine` })
     urls.set(url, first ?? name)
   }
   for (const [service, settings] of entriesOf(fieldOf(value, 'services'))) {
     for (const [name, endpoint] of entriesOf(fieldOf(settings, 'endpoints'))) {
       const place = ['services', service, 'endpoints', name]
       problems.push(...urlProblems([...place, 'url'], String(fieldOf(endpoint, 'url'))))
-      if (names.has(name)) problems.push({ place, message: `endpoint '${name}' stands twice; choose another name` })
+      if (names.has(name)) problems.push({ place, message: `endpoint '${name}' appears twice; choose another name` })
       names.add(name)
     }
   }
@@ -88,7 +94,7 @@
 function urlProblems (place: readonly (string | number)[], url: string): PlacedProblem[] {
   const other = /^([a-z][a-z0-9+.-]*):/i.exec(url)?.[1]?.toLowerCase()
   if (other === undefined || other === 'http' || other === 'https') return []
-  return [{ place, message: `'${other}:' is not served; write an http: or https: URL` }]
+  return [{ place, message: `'${other}:' is not supported; write an http: or https: URL` }]
 }
 
 function fieldOf (value: unknown, key: string): unknown {
--- a/packages/core/src/settings/instance-settings.ts
+++ b/packages/core/src/settings/instance-settings.ts
@@ -1,4 +1,4 @@
-/** What one instance is told at its start: its addresses, its data centre, the platform and its limits. */
+/** The start-up settings of one instance: its addresses, its data centre, the platform, and its limits. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -12,12 +12,12 @@
 const milliseconds = z.int().positive()
 const seconds = z.number().positive()
 
-/** The file that an instance is started with. */
+/** Schema of the settings file with which an instance is started. */
 export const instanceSettingsSchema = z.strictObject({
-  /** Where this instance listens; port 0 takes any free one. */
+  /** The addresses on which this instance listens; port 0 selects any free port. */
   address: z.strictObject({ host: z.string().min(1), callerPort: port, adminPort: port, peerPort: port }),
   dataCentre: z.string().regex(/^[a-z0-9][a-z0-9._-]{0,63}$/i, "use letters, digits, '.', '_' or '-'"),
-  /** URL of the platform. */
+  /** Base URL of the platform. */
   platform: z.url({ protocol: /^https?$/ }),
   /** SHA-256 of the administrators' key. */
   administratorKeySha256: z.string().regex(/^[0-9a-f]{64}$/, 'write the SHA-256 of the key as 64 hex digits'),
@@ -25,7 +25,7 @@
     format: z.enum(['text', 'json']).default('text'),
     level: z.enum(['error', 'warn', 'info', 'debug']).default('info')
   }).prefault({}),
-  /** Where metrics go by DogStatsD; none are sent without it. */
+  /** Destination of metrics over DogStatsD; without it no metrics are sent. */
   metrics: z.strictObject({ host: z.string().min(1), port: z.int().min(1).max(65_535).default(8125) }).optional(),
   limits: z.strictObject({
     bodyBytes: z.int().positive().default(1_048_576),
@@ -33,55 +33,55 @@
     connections: z.int().positive().default(10_000),
     headerSeconds: seconds.default(10),
     bodySeconds: seconds.default(30),
-    /** How long a stop waits for requests in progress. */
+    /** Maximum time that a stop waits for requests in progress. */
     stopSeconds: seconds.default(600)
   }).prefault({}),
   timing: z.strictObject({
-    /** With 36 peers a heartbeat costs about 2.8 KB a second at 800 ms; a silent peer is suspect after three. */
+    /** Heartbeat interval. With 36 peers and 800 ms, heartbeats cost about 2.8 KB a second; a peer is suspected after three missed heartbeats. */
     heartbeatMilliseconds: milliseconds.default(800),
-    /** A peer that is silent for so long is suspect. */
+    /** Time without a heartbeat after which a peer is suspected. */
     suspectMilliseconds: milliseconds.default(2_400),
-    /** Every instance reads the list so often; each read counts against the platform's rate. */
+    /** Interval between reads of the instance list by each instance. Each read counts against the platform's rate limit. */
     instanceListMilliseconds: milliseconds.default(3_000),
     settingsWatchMilliseconds: milliseconds.default(5_000)
   }).prefault({})
 })
 
-/** The settings of one instance, defaults filled in. */
+/** The settings of one instance, with defaults filled in. */
 export type InstanceSettings = z.infer<typeof instanceSettingsSchema>
 
-/** One value that a flag or a variable may override. */
+/** A value that a command line flag or an environment variable may override. */
 export interface InstanceSettingsOverride {
-  /** Such as `['address', 'callerPort']`. */
+  /** Keys from the root, such as `['address', 'callerPort']`. */
   readonly place: readonly string[]
-  /** Such as `address-caller-port`. */
+  /** Name of the flag, such as `address-caller-port`. */
   readonly flag: string
-  /** Such as `LIMPETWINCH_ADDRESS_CALLER_PORT`. */
+  /** Name of the environment variable, such as `LIMPETWINCH_ADDRESS_CALLER_PORT`. */
   readonly variable: string
   readonly numeric: boolean
 }
 
 const VARIABLE_PREFIX = 'LIMPETWINCH_'
-/** Variables of other programs and of the start itself. */
+/** Variables with the same prefix that override no setting: they belong to the command line client, or name the settings file. */
 const OTHER_VARIABLES: ReadonlySet<string> = new Set(['LIMPETWINCH_SERVER', 'LIMPETWINCH_KEY', 'LIMPETWINCH_SETTINGS'])
 
-/** Every value that a flag or a variable may override. */
+/** All values that a command line flag or an environment variable may override. */
 export const INSTANCE_SETTINGS_OVERRIDES: readonly InstanceSettingsOverride[] = overridesOf(instanceSettingsSchema, [])
 
 interface Override {
   readonly place: readonly string[]
   readonly value: string | number
-  /** How the operator wrote it, for messages. */
+  /** The flag or variable that sets the value, for error messages. */
   readonly source: string
 }
 
 /**
  * Reads the settings of an instance.
  *
- * @param text - the file: JSON with comments
- * @param environment - variables `LIMPETWINCH_…` override the file
- * @param flags - by name as in {@link InstanceSettingsOverride}; they override both
- * @returns the settings, or `invalid-instance-settings` with every problem
+ * @param text - text of the settings file: JSON with comments
+ * @param environment - environment variables; those named `LIMPETWINCH_…` override the file
+ * @param flags - command line flags by name as in {@link InstanceSettingsOverride}; they override the file and the environment
+ * @returns the settings, or the error `invalid-instance-settings` with all problems
  */
 export function loadInstanceSettings (text: string, environment: Readonly<Record<string, string | undefined>>, flags: Readonly<Record<string, string | undefined>>): Result<InstanceSettings, LimpetwinchError> {
   const result = parseSettingsText(text)
@@ -101,10 +101,10 @@
   const problems: string[] = []
   const { callerPort, adminPort, peerPort } = settings.address
   const fixed = [callerPort, adminPort, peerPort].filter((each) => each !== 0)
-  if (new Set(fixed).size < fixed.length) problems.push('address: two ports are the same; write a different number for each of callerPort, adminPort and peerPort')
+  if (new Set(fixed).size < fixed.length) problems.push('address: two ports are equal; write a different number for each of callerPort, adminPort and peerPort')
   const { heartbeatMilliseconds, suspectMilliseconds } = settings.timing
   if (suspectMilliseconds < 2 * heartbeatMilliseconds) {
-    problems.push(`timing.suspectMilliseconds: one late heartbeat would make a peer suspect; write at least ${2 * heartbeatMilliseconds}`)
+    problems.push(`timing.suspectMilliseconds: one late heartbeat would already make a peer suspect; write at least ${2 * heartbeatMilliseconds}`)
   }
   return problems
 }
--- a/packages/core/src/settings/line-diff.ts
+++ b/packages/core/src/settings/line-diff.ts
@@ -1,21 +1,23 @@
-/** What differs between two texts, by lines. */
+/** Line-based differences between two texts. */
 
 const CONTEXT_LINES = 3
-/** Beyond so many cells the middle is shown as replaced whole, so that two large texts cost no minutes. */
+/** Maximum number of cells in the comparison table. Beyond it the middle is shown as replaced, since comparing two large texts would take minutes. */
 const MAXIMUM_TABLE_CELLS = 4_000_000
 
 interface DiffLine {
   readonly mark: ' ' | '-' | '+'
   readonly text: string
-  /** Line numbers from 1 where the line stands, or would stand. */
+  /** Line numbers, from 1, of the line's position in the earlier and in the later text. */
   readonly before: number
   readonly after: number
 }
 
 /**
- * @param before - the former text
- * @param after - the newer text
- * @returns hunks as in a unified diff; empty when the texts are equal
+ * Compares two texts line by line.
+ *
+ * @param before - the earlier text
+ * @param after - the later text
+ * @returns hunks similar to a unified diff; an empty string if the texts are equal
  */
 export function lineDiff (before: string, after: string): string {
   const lines = withLineNumbers(diffLines(linesOf(before), linesOf(after)))
@@ -49,7 +51,7 @@
   ]
 }
 
-/** Longest common subsequence of the lines between equal beginnings and ends. */
+/** Compares the lines between the common beginning and end of two texts by their longest common subsequence. */
 function middleDiff (before: readonly string[], after: readonly string[]): Pick<DiffLine, 'mark' | 'text'>[] {
   const removed = before.map((text) => ({ mark: '-', text }) as const)
   const added = after.map((text) => ({ mark: '+', text }) as const)
@@ -75,7 +77,7 @@
   return [...output, ...removed.slice(row), ...added.slice(column)]
 }
 
-/** Cell (row, column) holds the length of the longest common subsequence of what follows in both. */
+/** @returns a table whose cell (row, column) holds the length of the longest common subsequence of the remaining lines of both texts */
 function commonLengths (before: readonly string[], after: readonly string[], width: number): Uint32Array {
   const common = new Uint32Array((before.length + 1) * width)
   for (let row = before.length - 1; row >= 0; row -= 1) {
--- a/packages/core/src/settings/nearest-key.ts
+++ b/packages/core/src/settings/nearest-key.ts
@@ -1,6 +1,6 @@
-/** Which known word an unknown one was probably meant to be. */
+/** Suggests the known word that is nearest to an unknown word. */
 
-/** @returns the number of letters to insert, delete, replace or swap with a neighbour to make one word of the other */
+/** @returns the number of letters to insert, delete, replace or swap with a neighbour to turn one word into the other */
 export function editDistance (left: string, right: string): number {
   let beforeLast: number[] = []
   let last = Array.from({ length: right.length + 1 }, (_, column) => column)
@@ -19,12 +19,15 @@
   return last[right.length] ?? 0
 }
 
+/** Longer words are compared only up to this length. */
 const MAXIMUM_COMPARED_CHARACTERS = 80
 
 /**
- * @param word - the word as written
- * @param known - the words that are allowed there
- * @returns the nearest of them when it is near enough to be meant, else undefined
+ * Finds the known word that an unknown word was probably meant to be.
+ *
+ * @param word - the unknown word as written
+ * @param known - the words that are allowed
+ * @returns the nearest known word if it is near enough to be meant, else undefined
  */
 export function nearestKey (word: string, known: readonly string[]): string | undefined {
   const written = word.slice(0, MAXIMUM_COMPARED_CHARACTERS).toLowerCase()
--- a/packages/core/src/settings/operator-settings.ts
+++ b/packages/core/src/settings/operator-settings.ts
@@ -1,18 +1,18 @@
-/** What operators and teams' owners set, under paths; one object of the store for each path below. */
+/** Settings made by operators and by owners of teams. Each path is one document, stored in one object of the store. */
 import { z } from 'zod'
 import type { AdapterName, AdapterVersion, DataCentreId, EndpointId, PriorityClass, Revision, SettingsPath, TeamId } from '../ids/ids.js'
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9._-]{0,63}$/i, "use letters, digits, '.', '_' or '-'")
 const positive = z.number().positive()
 
-/** `/teams/<team>`: one team's subtree. */
+/** `/teams/<team>`: the settings of one team. */
 export const teamSettingsSchema = z.strictObject({
   adapters: z.record(name, z.strictObject({
     baseModel: name,
     versions: z.array(name).min(1),
     current: name
   })).default({}),
-  /** Callers' keys, each only as the SHA-256 of the key in hex. */
+  /** Keys of callers, each stored only as the SHA-256 of the key in hex. */
   keys: z.array(z.strictObject({
     label: name,
     sha256: z.string().regex(/^[0-9a-f]{64}$/, 'write the SHA-256 of the key as 64 hex digits'),
@@ -24,14 +24,14 @@
     inFlight: z.int().positive().default(1000),
     queued: z.int().positive().default(1000)
   }).prefault({}),
-  /** Priority of each class that the team's requests may use; higher goes first. */
+  /** Priority of each class that the team's requests may use; higher priorities are served first. */
   priorityClasses: z.record(name, z.int().min(0).max(9)).default({ normal: 5 })
 })
 
-/** `/shares`: weights between teams; a team not named has weight 1. Operators alone write it. */
+/** `/shares`: weights of teams; a team that is not listed has weight 1. Only operators may write it. */
 export const sharesSettingsSchema = z.strictObject({
   weights: z.record(name, positive).default({}),
-  /** The highest priority that each team may grant itself; a team not named may use up to 5. */
+  /** The highest priority that each team may use; a team that is not listed may use up to 5. */
   highestPriority: z.record(name, z.int().min(0).max(9)).default({})
 })
 
@@ -43,17 +43,17 @@
     baseModel: name,
     slots: z.int().positive(),
     batchCapacity: z.int().positive().default(16),
-    /** Whether the engine refuses an order with an old fencing token. */
+    /** Whether the engine refuses orders with an old fencing token. */
     fencing: z.enum(['refuses', 'ignores'])
   })).default({}),
   services: z.record(name, z.strictObject({
     endpoints: z.record(name, z.strictObject({ url: z.url(), dataCentre: name })),
-    /** Methods that may be repeated after a failure. */
+    /** Methods whose requests may be retried after a failure. */
     idempotentMethods: z.array(z.enum(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS', 'POST'])).default(['GET', 'HEAD', 'OPTIONS'])
   })).default({})
 })
 
-/** `/policy`: how decisions are weighed. */
+/** `/policy`: the weighting of decisions. */
 export const policySettingsSchema = z.strictObject({
   /** 0 puts load stalls first, 1 puts batch efficiency first. */
   batchEfficiencyWeight: z.number().min(0).max(1).default(0.5),
@@ -61,29 +61,29 @@
   longestRequestSeconds: positive.default(600)
 })
 
-/** One team's settings. */
+/** The settings of one team. */
 export type TeamSettings = z.infer<typeof teamSettingsSchema>
-/** Weights between teams. */
+/** Weights and highest priorities of teams. */
 export type SharesSettings = z.infer<typeof sharesSettingsSchema>
 /** Engines and plain services. */
 export type EndpointsSettings = z.infer<typeof endpointsSettingsSchema>
 /** Weighting of the decisions. */
 export type PolicySettings = z.infer<typeof policySettingsSchema>
 
-/** One accepted state of one path, as the store and the peers carry it. */
+/** One accepted state of the settings under one path, in the form that is stored and sent to peers. */
 export interface SettingsDocument {
   readonly path: SettingsPath
-  /** Grows by one with each accepted change, also over a deletion. */
+  /** Increases by one with each accepted change, including a deletion. */
   readonly revision: Revision
   /** JSON with comments as the operator wrote it; undefined when the path was deleted. */
   readonly text: string | undefined
-  /** Identifies the write, so that it can be found again when its answer was lost. */
+  /** Identifies the write, so that it can be recognised when its response was lost. */
   readonly writeId: string
   readonly acceptedAt: number
   readonly author: string
 }
 
-/** What is in force on this instance: parsed and checked. */
+/** The settings in force on this instance, parsed and checked. */
 export interface OperatorSettings {
   readonly teams: ReadonlyMap<TeamId, TeamSettings>
   readonly shares: SharesSettings
@@ -91,7 +91,7 @@
   readonly policy: PolicySettings
 }
 
-/** An engine with its ids branded. */
+/** The settings of one engine, with branded ids. */
 export interface EngineSettings {
   readonly endpoint: EndpointId
   readonly url: string
@@ -102,7 +102,7 @@
   readonly fencing: 'refuses' | 'ignores'
 }
 
-/** @returns the engines of the settings, ids branded */
+/** @returns the settings of all engines, with branded ids */
 export function enginesOf (settings: OperatorSettings): EngineSettings[] {
   return Object.entries(settings.endpoints.engines).map(([endpoint, engine]) => ({
     ...engine,
@@ -111,13 +111,13 @@
   }))
 }
 
-/** @returns an adapter's settings, or undefined when the team has no such adapter */
+/** @returns the settings of an adapter, or undefined if the team has no such adapter */
 export function adapterOf (team: TeamSettings, adapter: AdapterName): { baseModel: string, versions: AdapterVersion[], current: AdapterVersion } | undefined {
   if (!Object.hasOwn(team.adapters, adapter)) return undefined
   return team.adapters[adapter] as { baseModel: string, versions: AdapterVersion[], current: AdapterVersion }
 }
 
-/** @returns the priority of a class in a team within what the operators grant, or undefined when the team has no such class */
+/** @returns the priority of a team's class, limited to what the operators grant the team, or undefined if the team has no such class */
 export function priorityOf (settings: OperatorSettings, team: TeamId, priorityClass: PriorityClass): number | undefined {
   const classes = settings.teams.get(team)?.priorityClasses
   if (classes === undefined || !Object.hasOwn(classes, priorityClass)) return undefined
@@ -130,12 +130,13 @@
   return shares.highestPriority[team] ?? DEFAULT_HIGHEST_PRIORITY
 }
 
+/** Highest priority of a team for which operators have set none. */
 const DEFAULT_HIGHEST_PRIORITY = 5
 
-/** Where settings objects stand in the store: this, then the path. */
+/** Prefix of settings objects in the store, followed by the settings path. */
 export const SETTINGS_PREFIX = '/settings'
 
-/** A document as the store holds it. */
+/** Schema of a settings document in the store. */
 export const settingsDocumentSchema = z.object({
   path: z.string(),
   revision: z.int().positive(),
@@ -145,12 +146,13 @@
   author: z.string()
 })
 
-/** What orders the states of one path. */
+/** The fields of a document that decide which of two states of one path is newer. */
 export type SettingsOrder = Pick<SettingsDocument, 'revision' | 'acceptedAt' | 'writeId'>
 
 /**
- * Whether one state of a path is newer than another. The revision decides. After a restore of the store two writers
- * can give the same revision to different texts; then the later acceptance wins, the same way on every instance.
+ * Checks whether one state of a path is newer than another. The revision decides. After a restore of the store two writers
+ * can give the same revision to different texts. Then the state that was accepted later wins, and the write id breaks a tie, so
+ * that all instances choose the same state.
  */
 export function isNewer (document: SettingsOrder, than: SettingsOrder | undefined): boolean {
   if (than === undefined) return true
--- a/packages/core/src/settings/schema-problems.ts
+++ b/packages/core/src/settings/schema-problems.ts
@@ -1,4 +1,4 @@
-/** What a schema finds wrong, said with the place in the text and what to write instead. */
+/** Turns schema errors into problems that name the position in the text and tell the operator what to write instead. */
 import { z } from 'zod'
 import { nearestKey } from './nearest-key.js'
 import { MAXIMUM_PROBLEMS, offsetOf, problemAt } from './settings-text.js'
@@ -8,12 +8,12 @@
 type Place = readonly (string | number)[]
 
 /**
- * Checks a parsed text by a schema.
+ * Checks a parsed text against a schema.
  *
- * @param schema - what is allowed
- * @param text - the text, for lines and columns
- * @param parsed - the text's value and tree
- * @returns the value with defaults filled in, or its problems, the first hundred at most
+ * @param schema - the schema
+ * @param text - the text, used to determine lines and columns
+ * @param parsed - the value and the syntax tree of the text
+ * @returns the value with defaults filled in, or at most the first hundred problems
  */
 export function checkBySchema<Value> (schema: z.ZodType<Value>, text: string, parsed: ParsedText): { value: Value } | { problems: SettingsProblem[] } {
   const result = schema.safeParse(parsed.value, { reportInput: true })
@@ -35,7 +35,7 @@
   return [problemAt(text, offset, place.join('.'), messageOf(issue, parsed.value, place))]
 }
 
-/** @returns what to say of a key that is not known */
+/** @returns the message for an unknown key */
 export function unknownKeyMessage (key: string, known: readonly string[]): string {
   const nearest = nearestKey(key, known)
   const choice = nearest === undefined ? `use one of ${known.map((word) => `'${word}'`).join(', ')}` : `write '${nearest}'`
@@ -59,7 +59,7 @@
     case 'invalid_key':
       return `this key is not allowed; ${issue.issues[0]?.message ?? 'choose another'}`
     case 'invalid_format':
-      return issue.format === 'url' ? "this is no URL; write one such as 'http://127.0.0.1:9000'" : `this is not allowed; ${issue.message}`
+      return issue.format === 'url' ? "this is not a URL; write one such as 'http://127.0.0.1:9000'" : `this is not allowed; ${issue.message}`
     default:
       return issue.message
   }
@@ -82,7 +82,7 @@
   return place.reduce<unknown>((inside, part) => (inside as Record<string | number, unknown> | undefined)?.[part], value)
 }
 
-/** Follows the schema down to an object and reads the keys it allows. */
+/** @returns the keys that the schema allows for the object at a place, or none if there is no such object */
 function knownKeys (schema: z.ZodType, place: Place): readonly string[] {
   let inner = withoutWrappers(schema)
   for (const part of place) {
--- a/packages/core/src/settings/settings-checks.ts
+++ b/packages/core/src/settings/settings-checks.ts
@@ -1,4 +1,4 @@
-/** Whether a text may become the settings of a path. */
+/** Checks whether a text is acceptable as the settings of a path. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { z } from 'zod'
@@ -19,34 +19,35 @@
   '/policy': policySettingsSchema
 }
 
-/** @returns the schema of a path's document */
+/** @returns the schema of the document under a path */
 export function schemaOf (path: SettingsPath): z.ZodType {
   return SCHEMAS[path] ?? teamSettingsSchema
 }
 
 /**
- * Checks a text that someone wants to put under a path. Problems are named together, up to a hundred of each sort.
+ * Checks a text before it is stored under a path. All problems are reported together, up to a hundred from the schema and a
+ * hundred from the checks across values.
  *
- * @param path - where it is to stand
+ * @param path - path of the document
  * @param text - JSON with comments
- * @param inForce - the other settings, for checks across paths
- * @returns nothing, or `invalid-settings` with `details.list`
+ * @param inForce - the settings in force, for checks across paths
+ * @returns nothing, or the error `invalid-settings` with the problems in `details.list`
  */
 export function checkSettings (path: SettingsPath, text: string, inForce: OperatorSettings | undefined): Result<void, LimpetwinchError> {
   const problems = problemsOf(path, text, inForce)
   return problems.length === 0 ? ok(undefined) : err(invalidSettingsError(path, problems))
 }
 
-/** @returns the error that names every problem with path, line and column */
+/** @returns the error that lists all problems with path, line and column */
 export function invalidSettingsError (path: string, list: readonly SettingsProblem[]): LimpetwinchError {
   const lines = list.map(({ key, line, column, message }) => `${path}${key === '' ? '' : ` ${key}`}, line ${line}, column ${column}: ${message}`)
   return new LimpetwinchError('invalid-settings', { path, problems: lines.join('; '), list })
 }
 
 /**
- * Reads a text that was accepted before.
+ * Reads a text that was accepted earlier, possibly by another release.
  *
- * @returns the value with defaults filled in, or undefined when this release cannot read it
+ * @returns the value with defaults filled in, or undefined if this release cannot read the text
  */
 export function parseAcceptedSettings (path: SettingsPath, text: string): unknown {
   const result = schemaOf(path).safeParse(parseAcceptedText(text))
--- a/packages/core/src/settings/settings-edits.ts
+++ b/packages/core/src/settings/settings-edits.ts
@@ -1,37 +1,37 @@
-/** Changes of a text that keep its comments and layout. */
+/** Edits settings texts while keeping their comments and layout. */
 import { applyEdits, modify } from 'jsonc-parser'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import { parseSettingsText } from './settings-text.js'
 
-/** One value to write at a place; a value of undefined removes the place. */
+/** A value to write at one place in a document; the value undefined removes what is there. */
 export interface PlacedValue {
-  /** Keys from the root; in a list an index, or `-` for its end. */
+  /** Keys from the root. For a list the key is an index, or `-` to append at its end. */
   readonly place: readonly string[]
   readonly value: unknown
 }
 
-/** A JSON merge patch, or values at places, in order. */
+/** A change of a document: a JSON merge patch, or values for single places, applied in order. */
 export type SettingsPatch =
   | { readonly kind: 'merge', readonly patch: unknown }
   | { readonly kind: 'values', readonly values: readonly PlacedValue[] }
 
 const FORMATTING = { insertSpaces: true, tabSize: 2, eol: '\n' }
 const EMPTY_DOCUMENT = '{}\n'
-/** The editor's index for one past the last. */
+/** The index by which jsonc-parser appends to a list. */
 const END_OF_LIST = -1
 
 /**
- * Applies a patch; what it does not name stays as it was written.
+ * Applies a patch to a text. Everything that the patch does not name stays as it was written.
  *
  * @param text - JSON with comments, or undefined for an empty document
- * @param patch - the change
- * @returns the new text, or `invalid-patch`
+ * @param patch - the patch to apply
+ * @returns the new text, or the error `invalid-patch`
  */
 export function patchText (text: string | undefined, patch: SettingsPatch): Result<string, LimpetwinchError> {
   const before = text ?? EMPTY_DOCUMENT
-  if ('problems' in parseSettingsText(before)) return refused('the document it changes is no JSON with comments; put a whole document')
+  if ('problems' in parseSettingsText(before)) return refused('the document to change is not JSON with comments; replace the whole document')
   try {
     if (patch.kind === 'values') {
       return patch.values.reduce<Result<string, LimpetwinchError>>((text, { place, value }) => text.andThen((present) => setValueAt(present, place, value)), ok(before))
@@ -39,12 +39,12 @@
     if (!isObject(patch.patch)) return refused('a merge patch is one JSON object; write null for a key to remove it')
     return ok(merge(before, [], patch.patch))
   } catch (cause) {
-    // The editor throws where a place leads through a number or a text.
+    // jsonc-parser throws if a place leads through a number or a string.
     return refused(cause instanceof Error ? cause.message : String(cause))
   }
 }
 
-/** Applies a merge patch key by key: a whole object written at once would lose the comments inside. */
+/** Applies a merge patch key by key, because replacing a whole object would lose the comments inside it. */
 function merge (text: string, place: readonly string[], patch: Record<string, unknown>): string {
   let changed = text
   for (const [key, value] of Object.entries(patch)) {
@@ -55,7 +55,7 @@
     } else {
       const present = valueAt(changed, inside)
       if (value === null && present === undefined) continue
-      // Writing the same value again would only lose comments inside it.
+      // An equal value is not written again, because that would lose the comments inside it.
       if (JSON.stringify(present) !== JSON.stringify(value)) changed = editValueAt(changed, inside, value ?? undefined)
     }
   }
@@ -64,12 +64,12 @@
 
 function setValueAt (text: string, written: readonly string[], value: unknown): Result<string, LimpetwinchError> {
   const place = resolveListIndexes(text, written)
-  if (place.length === 0) return refused('a place names at least one key; put a whole document to replace everything')
+  if (place.length === 0) return refused('the place must name at least one key; to replace everything, put the whole document')
   if (value === undefined && valueAt(text, place) === undefined) return refused(`there is nothing at '${place.join('.')}' to remove`)
   return ok(editValueAt(text, place, value))
 }
 
-/** A part made of digits is an index in a list and a key in an object; only the document tells which. */
+/** Converts keys to list indexes where the document has a list. Digits are an index in a list, but a key in an object. */
 function resolveListIndexes (text: string, written: readonly string[]): (string | number)[] {
   const place: (string | number)[] = []
   for (const part of written) {
--- a/packages/core/src/settings/settings-paths.ts
+++ b/packages/core/src/settings/settings-paths.ts
@@ -1,20 +1,20 @@
-/** The paths that settings stand under. */
+/** The paths of settings documents. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import type { SettingsPath, TeamId } from '../ids/ids.js'
 
-/** The documents that stand alone; each team has one more. */
+/** The paths of the documents that operators write. Each team has one more document under its own path. */
 export const OPERATOR_SETTINGS_PATHS = ['/shares', '/endpoints', '/policy'] as const
 
 const TEAM_PATH = /^\/teams\/([a-z0-9][a-z0-9._-]{0,63})$/i
 
 /**
- * Checks a path that comes from outside. Anything but the exact form is refused: an encoded slash, `..` or a doubled
- * slash could otherwise name one subtree in the check of the key and another in the store.
+ * Validates a path from untrusted input. Only the exact form is accepted: with an encoded slash, `..` or a double slash the
+ * check of the caller's key could see another document than the store.
  *
  * @param text - the path as written
- * @returns the path, or `unknown-settings-path`
+ * @returns the path, or the error `unknown-settings-path`
  */
 export function parseSettingsPath (text: string): Result<SettingsPath, LimpetwinchError> {
   if ((OPERATOR_SETTINGS_PATHS as readonly string[]).includes(text)) return ok(text as SettingsPath)
@@ -22,12 +22,12 @@
   return err(new LimpetwinchError('unknown-settings-path', { path: text.slice(0, 120) }))
 }
 
-/** @returns the team whose subtree a path is, or undefined for the operators' own paths */
+/** @returns the team whose settings are under a path, or undefined for the paths of the operators */
 export function teamOfPath (path: SettingsPath): TeamId | undefined {
   return TEAM_PATH.exec(path)?.[1] as TeamId | undefined
 }
 
-/** @returns the path of a team's subtree */
+/** @returns the path of a team's settings */
 export function teamPath (team: TeamId): SettingsPath {
   return `/teams/${team}` as SettingsPath
 }
--- a/packages/core/src/settings/settings-text.ts
+++ b/packages/core/src/settings/settings-text.ts
@@ -1,20 +1,20 @@
-/** JSON with comments as operators write it, with the place of each value. */
+/** Parses settings texts, which are JSON with comments, and finds the positions of values in them. */
 import { createScanner, findNodeAtLocation, getNodePath, getNodeValue, parse, parseTree, printParseErrorCode } from 'jsonc-parser'
 import type { Node, ParseError } from 'jsonc-parser'
 
-/** One reason to refuse a text. */
+/** One problem for which a text is refused. */
 export interface SettingsProblem {
-  /** Where inside the document, such as `adapters.poem.current`; empty for the document itself. */
+  /** Location in the document, such as `adapters.poem.current`; empty for the whole document. */
   readonly key: string
-  /** From 1. */
+  /** Line number, from 1. */
   readonly line: number
-  /** From 1, in UTF-16 units. */
+  /** Column number, from 1, in UTF-16 code units. */
   readonly column: number
   /** What is wrong and what to write instead. */
   readonly message: string
 }
 
-/** A text that is JSON with comments. */
+/** The value and the syntax tree of a text that is valid JSON with comments. */
 export interface ParsedText {
   readonly value: unknown
   readonly root: Node
@@ -24,33 +24,33 @@
 const MAXIMUM_DEPTH = 32
 const MAXIMUM_SYNTAX_PROBLEMS = 20
 /**
- * Problems named at most. Each is placed by a pass over the text, so that a text with a problem in every line, a
- * hundred kilobytes long, would keep the instance from everything else for ten seconds and more.
+ * Maximum number of reported problems. Finding the position of each problem takes a pass over the text. Without the limit, a
+ * text of a hundred kilobytes with a problem in every line would block the instance for more than ten seconds.
  */
 export const MAXIMUM_PROBLEMS = 100
-/** Tokens by the numbers of jsonc-parser, whose own names exist only for its compiler. */
+/** Token numbers of jsonc-parser, whose own names for them exist only at compile time. */
 const TOKEN = { openBrace: 1, closeBrace: 2, openBracket: 3, closeBracket: 4, end: 17 }
 
 const SYNTAX_REMEDIES: Readonly<Record<string, string>> = {
-  InvalidSymbol: "this is no JSON value; write text in double quotes, a number, true, false, null, '{' or '['",
-  InvalidNumberFormat: 'this is no number; write digits such as 12 or 0.5',
+  InvalidSymbol: "this is not a JSON value; write text in double quotes, a number, true, false, null, '{' or '['",
+  InvalidNumberFormat: 'this is not a number; write digits such as 12 or 0.5',
   PropertyNameExpected: 'a key is missing here; write it in double quotes',
   ValueExpected: 'a value is missing here; write one',
-  ColonExpected: "write ':' between key and value",
-  CommaExpected: "write ',' between this and what stands before it",
+  ColonExpected: "write ':' between the key and the value",
+  CommaExpected: "write ',' between this and the value before it",
   CloseBraceExpected: "write '}' to close the object",
   CloseBracketExpected: "write ']' to close the list",
-  EndOfFileExpected: 'the document has ended before this; remove the rest',
+  EndOfFileExpected: 'the document ends before this; remove the rest',
   InvalidCommentToken: "write comments as '// …' or '/* … */'",
   UnexpectedEndOfComment: "close the comment with '*/'",
   UnexpectedEndOfString: 'close the text with a double quote',
   UnexpectedEndOfNumber: 'the number ends too early; write its digits',
   InvalidUnicode: 'write four hex digits after \\u',
-  InvalidEscapeCharacter: 'this escape is unknown; write \\\\ for a backslash',
+  InvalidEscapeCharacter: 'this escape sequence is unknown; write \\\\ for a backslash',
   InvalidCharacter: 'this character must be escaped; write \\n, \\t or \\u and four hex digits'
 }
 
-/** @returns line and column of an offset, both from 1 */
+/** @returns the line and the column of an offset, both from 1 */
 export function positionAt (text: string, offset: number): { line: number, column: number } {
   let line = 1
   let lineStart = 0
@@ -62,30 +62,30 @@
 }
 
 /**
- * Reads JSON with comments and trailing commas.
+ * Parses JSON with comments and trailing commas.
  *
  * @param text - the document
- * @returns its value and tree, or every syntax problem
+ * @returns the value and the syntax tree, or the syntax problems, up to a limit
  */
 export function parseSettingsText (text: string): { parsed: ParsedText } | { problems: readonly SettingsProblem[] } {
-  const deep = offsetDeeperThan(text, MAXIMUM_DEPTH)
-  if (deep !== undefined) return { problems: [problemAt(text, deep, '', `this is nested more than ${MAXIMUM_DEPTH} deep; write it flatter`)] }
+  const tooDeep = offsetDeeperThan(text, MAXIMUM_DEPTH)
+  if (tooDeep !== undefined) return { problems: [problemAt(text, tooDeep, '', `this is nested more than ${MAXIMUM_DEPTH} deep; write it flatter`)] }
   const errors: ParseError[] = []
   const root = parseTree(text, errors, PARSE_OPTIONS)
   if (errors.length > 0 || root === undefined) return { problems: syntaxProblems(text, errors) }
-  const doubled = duplicateKeyProblems(text, root)
-  if (doubled.length > 0) return { problems: doubled }
+  const duplicates = duplicateKeyProblems(text, root)
+  if (duplicates.length > 0) return { problems: duplicates }
   return { parsed: { value: getNodeValue(root), root } }
 }
 
 /**
- * Reads a text that was accepted before, without the tree.
+ * Parses a text that was accepted earlier, without building a syntax tree.
  *
- * @returns the value, or undefined when the text is no JSON with comments
+ * @returns the value, or undefined if the text is not JSON with comments
  */
 export function parseAcceptedText (text: string): unknown {
   try {
-    // Many times faster than a parser that knows comments; every instance reads each change, between tokens to relay.
+    // Many times faster than a parser that supports comments. Every instance parses each change while it relays tokens.
     return JSON.parse(text)
   } catch {
     return parseWithComments(text)
@@ -98,23 +98,23 @@
     const value: unknown = parse(text, errors, PARSE_OPTIONS)
     return errors.length > 0 ? undefined : value
   } catch {
-    // The parser recurses; a text of brackets alone ends its stack. What was accepted is never so deep.
+    // The parser is recursive and overflows the stack on a text of brackets alone. Accepted texts are never nested so deeply.
     return undefined
   }
 }
 
-/** @returns a problem at an offset */
+/** @returns a problem at the position of an offset */
 export function problemAt (text: string, offset: number, key: string, message: string): SettingsProblem {
   return { key, ...positionAt(text, offset), message }
 }
 
 /**
- * Finds where a value stands; the nearest part around it when it is missing.
+ * Finds the position of a value. For a missing value it is the position of the nearest enclosing value.
  *
- * @param root - the tree
+ * @param root - root of the syntax tree
  * @param path - keys and indexes from the root
- * @param ofKey - whether to point at the key and not at the value
- * @returns an offset
+ * @param ofKey - whether to return the position of the key instead of the value
+ * @returns the offset in the text
  */
 export function offsetOf (root: Node, path: readonly (string | number)[], ofKey = false): number {
   const node = findNodeAtLocation(root, [...path])
@@ -125,7 +125,10 @@
   return path.length === 0 ? root.offset : offsetOf(root, path.slice(0, -1), ofKey)
 }
 
-/** The parser recurses, so that a text of brackets alone would end the process by its stack; the scanner does not. */
+/**
+ * Checks the nesting depth with the scanner. The parser is recursive, so a text of brackets alone would crash the process by a
+ * stack overflow.
+ */
 function offsetDeeperThan (text: string, deepest: number): number | undefined {
   const scanner = createScanner(text, true)
   let depth = 0
@@ -141,13 +144,13 @@
   if (errors.length === 0) return [problemAt(text, 0, '', 'the document is empty; write one object, such as {}')]
   return errors.slice(0, MAXIMUM_SYNTAX_PROBLEMS).map(({ error, offset }) => {
     const name = printParseErrorCode(error)
-    return problemAt(text, offset, '', SYNTAX_REMEDIES[name] ?? `this is no JSON (${name}); write JSON with comments`)
+    return problemAt(text, offset, '', SYNTAX_REMEDIES[name] ?? `this is not JSON (${name}); write JSON with comments`)
   })
 }
 
 /**
- * A key written twice would silently keep its last value only, and `__proto__` would set no key at all: the operator
- * would see one thing and the instances another.
+ * Finds duplicate keys and the key `__proto__`. The parser would silently keep only the last value of a duplicate key and would
+ * set no key for `__proto__`, so that operators and instances would see different settings.
  */
 function duplicateKeyProblems (text: string, node: Node): SettingsProblem[] {
   const problems: SettingsProblem[] = []
@@ -163,9 +166,9 @@
 
 function keyProblems (text: string, property: Node, seen: Set<string>): SettingsProblem[] {
   const key = String(property.children?.[0]?.value)
-  const doubled = seen.has(key)
+  const isDuplicate = seen.has(key)
   seen.add(key)
-  if (!doubled && key !== '__proto__') return []
-  const message = doubled ? `'${key}' stands twice; remove one of them` : "'__proto__' cannot be a key; choose another name"
+  if (!isDuplicate && key !== '__proto__') return []
+  const message = isDuplicate ? `'${key}' appears twice; remove one of them` : "'__proto__' cannot be a key; choose another name"
   return [problemAt(text, property.offset, [...getNodePath(property.parent ?? property), key].join('.'), message)]
 }
--- a/packages/core/src/settings/text-edit.ts
+++ b/packages/core/src/settings/text-edit.ts
@@ -1,26 +1,26 @@
-/** A change of a text as the one stretch that differs, so that a large document need not be sent for a small change. */
+/** Describes a change of a text as one replaced range, so that a large document need not be sent for a small change. */
 
-/** Replaces the characters from `start` to before `end`. */
+/** Replaces the characters from `start` up to, but not including, `end`. Offsets count UTF-16 code units. */
 export interface TextEdit {
   readonly start: number
   readonly end: number
   readonly insert: string
 }
 
-/** @returns the smallest single stretch that makes `after` of `before` */
+/** @returns the smallest single edit that turns `before` into `after` */
 export function textEditBetween (before: string, after: string): TextEdit {
   const shorter = Math.min(before.length, after.length)
   let start = 0
   while (start < shorter && before.charCodeAt(start) === after.charCodeAt(start)) start += 1
-  let same = 0
-  while (same < shorter - start && before.charCodeAt(before.length - 1 - same) === after.charCodeAt(after.length - 1 - same)) same += 1
-  // Half of a surrogate pair cannot be sent as UTF-8: the receiver would read another character in its place.
+  let commonEnd = 0
+  while (commonEnd < shorter - start && before.charCodeAt(before.length - 1 - commonEnd) === after.charCodeAt(after.length - 1 - commonEnd)) commonEnd += 1
+  // A surrogate pair must not be split: half of a pair cannot be encoded as UTF-8, so the receiver would get another character.
   if (start > 0 && isHighSurrogate(before.charCodeAt(start - 1))) start -= 1
-  if (same > 0 && isLowSurrogate(before.charCodeAt(before.length - same))) same -= 1
-  return { start, end: before.length - same, insert: after.slice(start, after.length - same) }
+  if (commonEnd > 0 && isLowSurrogate(before.charCodeAt(before.length - commonEnd))) commonEnd -= 1
+  return { start, end: before.length - commonEnd, insert: after.slice(start, after.length - commonEnd) }
 }
 
-/** @returns the text with the edit made */
+/** @returns the text after the edit */
 export function applyTextEdit (before: string, { start, end, insert }: TextEdit): string {
   return before.slice(0, start) + insert + before.slice(end)
 }
--- a/packages/core/test/settings/instance-settings.test.ts
+++ b/packages/core/test/settings/instance-settings.test.ts
@@ -23,7 +23,7 @@
     expect(overridden).toMatchObject({ address: { callerPort: 9080, host: '127.0.0.1' }, dataCentre: 'west', logs: { level: 'debug' }, metrics: { host: '127.0.0.1' }, limits: { bodySeconds: 2.5 } })
   })
 
-  it('names every problem with its place, or the variable or flag that brought it', () => {
+  it('reports all problems with their positions, or with the variable or flag that caused them', () => {
     const text = TEXT.replace('"dataCentre"', '"dataCenter"').replace('8081', '"8081"')
     expect(problemsOf(text, { LIMPETWINCH_LOGS_FORMAT: 'xml', LIMPETWINCH_ADDRES_HOST: 'x', LIMPETWINCH_KEY: 'of the command line' }, { 'limits-body-bytes': 'many', 'stop-seconds': '1' })).toMatchInlineSnapshot(`
       [
@@ -43,7 +43,7 @@
     `)
   })
 
-  it('refuses ports that are the same, and a suspicion after one late heartbeat', () => {
+  it('refuses equal ports, and a suspicion after one late heartbeat', () => {
     expect(problemsOf(TEXT.replace('8081', '8080'), { LIMPETWINCH_TIMING_SUSPECT_MILLISECONDS: '600' })).toHaveLength(2)
     expect(loadInstanceSettings(TEXT.replace(/80\d\d/g, '0'), {}, {}).isOk()).toBe(true)
   })
--- a/packages/core/test/settings/line-diff.test.ts
+++ b/packages/core/test/settings/line-diff.test.ts
@@ -6,7 +6,7 @@
 const lines = fc.array(fc.constantFrom('a', 'b', 'c', 'd', ''), { maxLength: 30 })
 
 describe('line diff', () => {
-  it('says nothing of equal texts, and shows what differs with what stands around it', () => {
+  it('is empty for equal texts, and shows differences with context lines', () => {
     expect(lineDiff('a\nb\n', 'a\nb\n')).toBe('')
     expect(lineDiff('a\nb\nc\nd\ne\nf\ng\nh\n', 'a\nb\nc\nd\ne\nf\nG\nh\n')).toMatchInlineSnapshot(`
       "@@ -4 +4 @@
@@ -20,7 +20,7 @@
     `)
   })
 
-  it('turns the former text into the later one', () => {
+  it('turns the earlier text into the later one when applied', () => {
     fc.assert(fc.property(lines, lines, (before, after) => {
       const diff = lineDiff(before.map((line) => `${line}\n`).join(''), after.map((line) => `${line}\n`).join(''))
       expect(applied(before, diff)).toEqual(after)
@@ -28,7 +28,7 @@
   })
 })
 
-/** Applies hunks by their line numbers. */
+/** Applies the hunks of a diff by their line numbers. */
 function applied (before: readonly string[], diff: string): string[] {
   const output: string[] = []
   let at = 0
--- a/packages/core/test/settings/settings-text.test.ts
+++ b/packages/core/test/settings/settings-text.test.ts
@@ -13,17 +13,17 @@
 }
 `
 
-/** Texts near JSON with comments: most of them broken somewhere. */
+/** Texts that resemble JSON with comments, most of them invalid. */
 const nearJson = fc.array(fc.oneof(
   fc.constantFrom('{', '}', '[', ']', ':', ',', '"', '//', '/*', '*/', '\n', '\r\n', '\\', '\\u12', 'null', 'true', '1e9', '-', '.5', '"a"', '"adapters"', '"__proto__"', '\u0000', '\ud800', '🙂'),
   fc.string({ maxLength: 5 })
 ), { maxLength: 60 }).map((parts) => parts.join(''))
 
-/** One character of a good text removed, doubled or replaced. */
+/** A valid text with one character replaced by up to three others. */
 const spoiled = fc.tuple(fc.nat(TEXT.length - 1), fc.string({ maxLength: 3 })).map(([at, replacement]) => TEXT.slice(0, at) + replacement + TEXT.slice(at + 1))
 
 describe('settings text', () => {
-  it('never crashes on any text, and every problem points into it', () => {
+  it('does not crash on any text, and every problem has a position within the text', () => {
     fc.assert(fc.property(fc.oneof(fc.string({ unit: 'binary', maxLength: 200 }), nearJson, spoiled), fc.constantFrom(...PATHS), (text, path) => {
       const checked = checkSettings(path, text, undefined)
       if (checked.isOk()) {
@@ -43,8 +43,8 @@
     }), RUNS)
   })
 
-  it('points at the very place of a wrong value, wherever it stands', () => {
-    // Any amount of comments, lines and spaces may stand before the value; the position is counted over all of them.
+  it('reports the exact position of a wrong value', () => {
+    // Comments, line breaks and spaces before the value all count for its position.
     const trivia = fc.array(fc.constantFrom(' ', '\n', '\t', '// a comment\n', '/* one { */', '/* over\ntwo lines */', '\r\n'), { maxLength: 8 }).map((parts) => parts.join(''))
     fc.assert(fc.property(trivia, trivia, trivia, (first, second, third) => {
       const before = `${first}{${second}"batchEfficiencyWeight":${third}`
@@ -70,7 +70,7 @@
     }), RUNS)
   })
 
-  it('changes only what a patch names, and keeps every comment', () => {
+  it('changes only what a patch names, and keeps all comments', () => {
     const patches = fc.record({ current: fc.constantFrom('v1', 'v2'), inFlight: fc.integer({ min: 1, max: 9_999 }), extra: fc.option(fc.dictionary(fc.constantFrom('a', 'b'), fc.integer())) })
     fc.assert(fc.property(patches, ({ current, inFlight, extra }) => {
       const patch = { adapters: { poem: { current } }, limits: { inFlight }, ...(extra === null ? {} : { priorityClasses: extra }) }
@@ -82,7 +82,7 @@
     }), RUNS)
   })
 
-  it('never crashes on any patch of any text', () => {
+  it('does not crash on any patch of any text', () => {
     const places = fc.array(fc.constantFrom('adapters', 'poem', 'versions', '0', '-', '7', '', '__proto__', 'limits'), { maxLength: 4 })
     fc.assert(fc.property(fc.oneof(nearJson, spoiled), places, fc.jsonValue(), (text, place, value) => {
       for (const patched of [patchText(text, { kind: 'values', values: [{ place, value }] }), patchText(text, { kind: 'values', values: [{ place, value: undefined }] }), patchText(text, { kind: 'merge', patch: value })]) {
