--- a/packages/entry/src/concurrency/backoff.ts
+++ b/packages/entry/src/concurrency/backoff.ts
@@ -1,20 +1,20 @@
-/** Waits between tries, growing and jittered, so that many instances do not try at the same moment. */
+/** Increasing, jittered waits between attempts, so that many instances do not retry at the same moment. */
 
-/** Bounds of the waits, milliseconds. */
+/** Bounds of the wait ceiling, in milliseconds. */
 export interface BackoffBounds {
   readonly first: number
   readonly largest: number
 }
 
-/** One run of tries. */
+/** Computes the waits of one series of attempts. */
 export class Backoff {
   private readonly bounds: BackoffBounds
   private readonly random: () => number
   private ceiling: number
 
   /**
-   * @param bounds - smallest and largest ceiling
-   * @param random - uniform in 0 to 1
+   * @param bounds - first and largest ceiling of the waits
+   * @param random - returns uniformly distributed numbers from 0 to 1
    */
   constructor (bounds: BackoffBounds, random: () => number) {
     this.bounds = bounds
@@ -22,14 +22,14 @@
     this.ceiling = bounds.first
   }
 
-  /** @returns the next wait, milliseconds: between half the ceiling and all of it; the ceiling doubles */
+  /** @returns the next wait in milliseconds, between half the ceiling and the ceiling; the ceiling then doubles, up to its bound */
   next (): number {
     const wait = this.ceiling * (1 + this.random()) / 2
     this.ceiling = Math.min(this.ceiling * 2, this.bounds.largest)
     return wait
   }
 
-  /** Starts over after a success. */
+  /** Resets the ceiling after a successful attempt. */
   reset (): void {
     this.ceiling = this.bounds.first
   }
--- a/packages/entry/src/concurrency/for-each-limited.ts
+++ b/packages/entry/src/concurrency/for-each-limited.ts
@@ -1,14 +1,16 @@
-/** Does the same for many things, a few at a time. */
+/** Concurrent processing of many items with a limit. */
 
 /**
- * @param items - what to work on
- * @param limit - how many at a time
- * @param work - done for each; must not reject
+ * Processes all items, with a limited number in progress at the same time.
+ *
+ * @param items - the items to process
+ * @param limit - maximum number of items in progress
+ * @param work - processes one item; must not reject
  */
 export async function forEachLimited<Item> (items: readonly Item[], limit: number, work: (item: Item) => Promise<void>): Promise<void> {
-  const left = [...items]
+  const remaining = [...items]
   const worker = async (): Promise<void> => {
-    for (let item = left.shift(); item !== undefined; item = left.shift()) await work(item)
+    for (let item = remaining.shift(); item !== undefined; item = remaining.shift()) await work(item)
   }
   await Promise.all(Array.from({ length: Math.min(limit, items.length) }, worker))
 }
--- a/packages/entry/src/concurrency/task-group.ts
+++ b/packages/entry/src/concurrency/task-group.ts
@@ -1,17 +1,17 @@
-/** The tasks of one part: a task that fails is said in the log and ends alone. */
+/** Groups the background tasks of one component. A failed task is logged and does not affect the other tasks. */
 import type { Logger } from '@limpetwinch/core'
 
-/** Running tasks. */
+/** A set of running background tasks. */
 export class TaskGroup {
   private readonly logger: Logger
   private readonly tasks = new Set<Promise<void>>()
 
-  /** @param logger - where a failed task is said */
+  /** @param logger - logs failed tasks */
   constructor (logger: Logger) {
     this.logger = logger
   }
 
-  /** Starts a task; its failure reaches neither the caller nor the other tasks. */
+  /** Starts a task. Its failure is logged and reaches neither the caller nor the other tasks. */
   spawn (label: string, task: () => Promise<void>): void {
     const running = task().catch((cause: unknown) => {
       const reason = cause instanceof Error ? cause.stack : String(cause)
@@ -20,7 +20,7 @@
     this.tasks.add(running)
   }
 
-  /** Waits until all tasks have ended, those started meanwhile included. */
+  /** Waits until all tasks have ended, including tasks that are started during the wait. */
   async settle (): Promise<void> {
     while (this.tasks.size > 0) await Promise.all(this.tasks)
   }
--- a/packages/entry/src/concurrency/wake.ts
+++ b/packages/entry/src/concurrency/wake.ts
@@ -1,11 +1,11 @@
-/** Wakes tasks that wait for something to change. */
+/** Wakes tasks that wait for a change. */
 
-/** A condition without a value: whoever waits looks again after each wake. */
+/** A condition variable without a value: a waiting task checks its condition again after each wake. */
 export class Wake {
   private readonly waiting = new Set<() => void>()
   private pending = false
 
-  /** Wakes all that wait; the next wait returns at once when nobody waits now, so that no wake is lost. */
+  /** Wakes all waiting tasks. If no task is waiting, the next wait returns at once, so that no wake is lost. */
   notify (): void {
     this.pending = this.waiting.size === 0
     for (const wake of [...this.waiting]) wake()
@@ -14,8 +14,8 @@
   /**
    * Waits for a wake.
    *
-   * @param milliseconds - how long at most
-   * @param signal - ends the wait as well
+   * @param milliseconds - maximum duration of the wait
+   * @param signal - ends the wait early; the promise then resolves
    */
   async wait (milliseconds: number, signal?: AbortSignal): Promise<void> {
     if (this.pending || signal?.aborted === true) {
--- a/packages/entry/src/endpoints/endpoint-clients.ts
+++ b/packages/entry/src/endpoints/endpoint-clients.ts
@@ -1,39 +1,39 @@
-/** The clients of endpoints, one for each URL, with the connections that they keep. */
+/** The clients of endpoints, one for each URL. Each client keeps its connections open. */
 import { HttpServiceClient } from '@limpetwinch/core'
 import type { EndpointId, EngineClient, EngineSettings, HttpEngineClient, ServiceClient } from '@limpetwinch/core'
 
-/** Makes each client once. */
+/** Creates each client on first use and reuses it afterwards. */
 export class EndpointClients {
   private readonly engines = new Map<string, HttpEngineClient>()
   private readonly services = new Map<string, HttpServiceClient>()
   private readonly createEngineClient: (engine: EngineSettings) => HttpEngineClient
 
-  /** @param createEngineClient - makes the client of an engine */
+  /** @param createEngineClient - creates the client of an engine */
   constructor (createEngineClient: (engine: EngineSettings) => HttpEngineClient) {
     this.createEngineClient = createEngineClient
   }
 
   /** @returns the client of an engine */
   engine (engine: EngineSettings): EngineClient {
-    return present(this.engines, engine.url, () => this.createEngineClient(engine))
+    return getOrCreate(this.engines, engine.url, () => this.createEngineClient(engine))
   }
 
-  /** @returns the client of a plain service's endpoint */
+  /** @returns the client of an endpoint of a plain service */
   service (endpoint: EndpointId, url: string): ServiceClient {
-    return present(this.services, url, () => new HttpServiceClient(endpoint, url))
+    return getOrCreate(this.services, url, () => new HttpServiceClient(endpoint, url))
   }
 
-  /** Closes all connections. */
+  /** Closes the connections of all clients. */
   async close (): Promise<void> {
     const clients = [...this.engines.values(), ...this.services.values()]
     await Promise.allSettled(clients.map(async (client) => await client.close()))
   }
 }
 
-function present<Client> (clients: Map<string, Client>, url: string, make: () => Client): Client {
+function getOrCreate<Client> (clients: Map<string, Client>, url: string, create: () => Client): Client {
   const known = clients.get(url)
   if (known !== undefined) return known
-  const client = make()
+  const client = create()
   clients.set(url, client)
   return client
 }
--- a/packages/entry/src/runtime/linked-abort.ts
+++ b/packages/entry/src/runtime/linked-abort.ts
@@ -1,6 +1,6 @@
-/** An abort of one's own that also follows another signal, and lets go of it when it is no longer needed. */
+/** An abort controller that also follows a parent signal and can be detached from it. */
 
-/** Costs one listener, where AbortSignal.any keeps a list that is cleared only by garbage collection. */
+/** Adds only one listener to the parent signal, while AbortSignal.any keeps a list that only garbage collection clears. */
 export class LinkedAbort {
   private readonly controller = new AbortController()
   private readonly parent: AbortSignal
@@ -13,17 +13,17 @@
     else parent.addEventListener('abort', this.onParentAbort, { once: true })
   }
 
-  /** Aborted by the parent or by {@link LinkedAbort.abort}. */
+  /** The signal, aborted by the parent signal or by {@link LinkedAbort.abort}. */
   get signal (): AbortSignal {
     return this.controller.signal
   }
 
-  /** Aborts, whatever the parent does. */
+  /** Aborts the signal independently of the parent signal. */
   abort (): void {
     this.controller.abort()
   }
 
-  /** Follows the parent no longer. */
+  /** Stops following the parent signal and removes the listener from it. */
   unlink (): void {
     this.parent.removeEventListener('abort', this.onParentAbort)
   }
--- a/packages/entry/src/runtime/supervisor.ts
+++ b/packages/entry/src/runtime/supervisor.ts
@@ -1,15 +1,15 @@
-/** Supervision: long-lived tasks, restarted when they crash, ended together. */
+/** Supervision of long-lived tasks, which are restarted after a crash and stopped together. */
 import type { Clock, Logger } from '@limpetwinch/core'
 
 const INITIAL_RESTART_DELAY_MILLISECONDS = 50
 const MAXIMUM_RESTART_DELAY_MILLISECONDS = 5_000
 
-/** A long-lived task; it ends when the signal does. */
+/** A long-lived task, which ends when its signal is aborted. */
 export type Task = (signal: AbortSignal) => Promise<void>
 
 /**
- * A node of the supervisor tree. A task that crashes is started again after a growing pause, and its siblings go on:
- * one broken connection or answer must not take the instance down.
+ * A node of the supervisor tree. A crashed task is restarted after an increasing delay while the other tasks continue, so
+ * that one broken connection or response does not take down the instance.
  */
 export class Supervisor {
   private readonly controller = new AbortController()
@@ -18,15 +18,15 @@
   private readonly clock: Clock
 
   /**
-   * @param logger - hears of crashes
-   * @param clock - pauses before restarts
+   * @param logger - logs crashes
+   * @param clock - measures the delays before restarts
    */
   constructor (logger: Logger, clock: Clock) {
     this.logger = logger
     this.clock = clock
   }
 
-  /** Ends with the tree. */
+  /** Aborted when this node is stopped. */
   get signal (): AbortSignal {
     return this.controller.signal
   }
@@ -34,36 +34,36 @@
   /**
    * Starts a task.
    *
-   * @param name - for the log
+   * @param name - name of the task, for the log
    * @param task - the task
-   * @param signal - ends this task alone
-   * @returns a promise that resolves when the task has ended for good
+   * @param signal - stops only this task
+   * @returns a promise that resolves when the task has ended and will not be restarted
    */
   start (name: string, task: Task, signal?: AbortSignal): Promise<void> {
-    // Each task gets a signal of its own: on a shared one the waits of a dozen healthy tasks look like a leak, and a
-    // leak in one of them would not be told from its neighbours.
-    const own = AbortSignal.any(signal === undefined ? [this.signal] : [this.signal, signal])
-    const ended = this.keep(name, task, own)
+    // Each task gets its own signal. On a shared signal Node.js reports the listeners of a dozen healthy tasks as a leak,
+    // and a real leak in one task could not be distinguished from the listeners of the other tasks.
+    const taskSignal = AbortSignal.any(signal === undefined ? [this.signal] : [this.signal, signal])
+    const ended = this.runWithRestarts(name, task, taskSignal)
     this.running.add(ended)
     void ended.finally(() => this.running.delete(ended))
     return ended
   }
 
-  /** @returns a node below this one, ended with it */
+  /** @returns a child node, which is stopped together with this node */
   child (label: string): Supervisor {
     const child = new Supervisor(this.logger.part(label), this.clock)
     this.signal.addEventListener('abort', () => { void child.stop() })
     return child
   }
 
-  /** Ends all tasks and waits for them. */
+  /** Stops all tasks and waits until they have ended. */
   async stop (): Promise<void> {
     this.controller.abort()
     await Promise.allSettled([...this.running])
   }
 
-  private async keep (name: string, task: Task, signal: AbortSignal): Promise<void> {
-    let pause = INITIAL_RESTART_DELAY_MILLISECONDS
+  private async runWithRestarts (name: string, task: Task, signal: AbortSignal): Promise<void> {
+    let delay = INITIAL_RESTART_DELAY_MILLISECONDS
     while (!signal.aborted) {
       try {
         await task(signal)
@@ -71,8 +71,8 @@
       } catch (cause) {
         if (signal.aborted) return
         this.logger.error('A task crashed and is started again.', { task: name, reason: cause instanceof Error ? cause.stack : String(cause) })
-        await this.clock.sleep(pause, signal)
-        pause = Math.min(MAXIMUM_RESTART_DELAY_MILLISECONDS, 2 * pause)
+        await this.clock.sleep(delay, signal)
+        delay = Math.min(MAXIMUM_RESTART_DELAY_MILLISECONDS, 2 * delay)
       }
     }
   }
--- a/packages/entry/src/runtime/work-in-progress.ts
+++ b/packages/entry/src/runtime/work-in-progress.ts
@@ -1,15 +1,20 @@
-/** The requests in progress, for a stop that cuts none off. */
+/** Tracks the requests in progress, so that a stopping instance can finish them. */
 
-/** Counts work and tells when there is none. */
+/** Counts the requests in progress and waits until none is left. */
 export class WorkInProgress {
   private readonly running = new Set<Promise<void>>()
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get count (): number {
     return this.running.size
   }
 
-  /** @returns the work itself, counted until it has ended */
+  /**
+   * Counts a request until its work has ended.
+   *
+   * @param work - the work of the request
+   * @returns a promise that settles with the work
+   */
   async track (work: Promise<void>): Promise<void> {
     this.running.add(work)
     try {
@@ -19,7 +24,7 @@
     }
   }
 
-  /** Resolves when nothing is in progress. */
+  /** Waits until no request is in progress. */
   async finished (): Promise<void> {
     while (this.running.size > 0) await Promise.allSettled([...this.running])
   }
--- a/packages/entry/test/runtime/supervisor.test.ts
+++ b/packages/entry/test/runtime/supervisor.test.ts
@@ -1,5 +1,5 @@
-// A dozen tasks of one tree wait at the same time. On a signal that they share, Node.js counts their waits as a leak and warns,
-// which fails a run of tests here and hides a leak that is one.
+// Guards against a shared abort signal for the tasks of one tree. When a dozen tasks wait on one signal, Node.js reports their
+// listeners as a leak; the warning makes test runs fail and hides real leaks.
 import { getEventListeners } from 'node:events'
 import { silentLogger, SystemClock } from '@limpetwinch/core'
 import { describe, expect, it } from 'vitest'
@@ -7,7 +7,7 @@
 import { Supervisor } from '../../src/runtime/supervisor.js'
 
 describe('a supervisor', () => {
-  it('gives each task a signal of its own, and ends them all', async () => {
+  it('gives each task its own signal, and stops all tasks', async () => {
     const supervisor = new Supervisor(silentLogger(), new SystemClock())
     const signals: AbortSignal[] = []
     const ended = Array.from({ length: 12 }, async (_, index) => await supervisor.start(`task ${index}`, async (signal) => {
