--- a/packages/entry/src/bin/limpetwinch-entry.ts
+++ b/packages/entry/src/bin/limpetwinch-entry.ts
@@ -10,15 +10,15 @@
 const EXIT_CUT_OFF = 3
 
 const overrideFlags = Object.fromEntries(INSTANCE_SETTINGS_OVERRIDES.map(({ flag, place }) =>
-  [flag, Flags.string({ description: `overrides ${place.join('.')}` })]))
+  [flag, Flags.string({ description: `overrides ${place.join('.')} of the settings file` })]))
 
-/** The one command of the binary. */
+/** The only command of the binary. */
 class EntryCommand extends Command {
   static override description = 'Runs one entry instance of limpetwinch.'
 
   static override flags = {
     ...overrideFlags,
-    settings: Flags.string({ required: true, env: 'LIMPETWINCH_SETTINGS', description: 'file with the settings of this instance, JSON with comments' })
+    settings: Flags.string({ required: true, env: 'LIMPETWINCH_SETTINGS', description: 'settings file of this instance, in JSON with comments' })
   }
 
   override async run (): Promise<void> {
@@ -43,7 +43,7 @@
   }
 }
 
-/** Stops in order on SIGTERM and SIGINT; the exit code says whether anything was cut off. */
+/** Stops the instance gracefully on SIGTERM and SIGINT. The exit code tells whether requests were cut off. */
 function stopOnSignal (entry: EntryInstance): void {
   let stopping = false
   for (const signal of ['SIGTERM', 'SIGINT'] as const) {
--- a/packages/entry/src/entry-components.ts
+++ b/packages/entry/src/entry-components.ts
@@ -1,4 +1,4 @@
-/** Makes those parts of an instance that keep the promises, so that a test can put another in place of one. */
+/** Creates the components on which the guarantees of an instance depend, so that a test can replace one of them. */
 import { HttpEngineClient } from '@limpetwinch/core'
 import type { Clock, EngineSettings, ObjectStore } from '@limpetwinch/core'
 import { Delivery } from './delivery/delivery.js'
@@ -15,44 +15,44 @@
 import { SettingsFollower } from './settings/settings-follower.js'
 import type { SettingsFollowerDependencies } from './settings/settings-follower.js'
 
-/** The parts as they ship. The proof of the promises subclasses this to see that its checks catch a wrong part. */
+/** Creates the production components. The fault tests subclass it with faulty components to verify that their checks find the faults. */
 export class EntryComponents {
   /** @returns the client of an engine */
   engineClient (engine: EngineSettings): HttpEngineClient {
     return new HttpEngineClient(engine.endpoint, engine.url)
   }
 
-  /** @returns who else is here */
+  /** @returns the membership of the deployment */
   membership (options: ListMembershipOptions): ListMembership {
     return new ListMembership(options)
   }
 
-  /** @returns the settings in force */
-  settings (parts: SettingsFollowerDependencies): SettingsFollower {
-    return new SettingsFollower(parts)
+  /** @returns the follower of the settings in force */
+  settings (dependencies: SettingsFollowerDependencies): SettingsFollower {
+    return new SettingsFollower(dependencies)
   }
 
-  /** @returns who owns which endpoint */
+  /** @returns the ownership of endpoints */
   ownership (options: StoreOwnershipOptions): StoreOwnership {
     return new StoreOwnership(options)
   }
 
-  /** @returns how long a new owner waits for what it may not have heard yet */
+  /** @returns the timeouts and intervals with which a new owner learns the pins of earlier owners */
   recoveryTimes (): RecoveryTimes {
     return DEFAULT_RECOVERY_TIMES
   }
 
-  /** @returns the schedulers of owned endpoints */
+  /** @returns the endpoints owned by this instance, with their schedulers */
   ownedEndpoints (options: OwnedEndpointsOptions): OwnedEndpoints {
     return new OwnedEndpoints(options)
   }
 
-  /** @returns the holder of idempotency keys */
+  /** @returns the claims of idempotency keys */
   claims (store: ObjectStore, clock: Clock): IdempotencyClaims {
     return new IdempotencyClaims(store, clock)
   }
 
-  /** @returns the delivery of answers */
+  /** @returns the delivery of requests to engines */
   delivery (options: DeliveryOptions): Delivery {
     return new Delivery(options)
   }
--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -1,4 +1,4 @@
-/** One entry instance: all its parts under one supervisor tree. */
+/** One entry instance: it connects all components and runs them under one supervisor tree. */
 import type { HttpBindings } from '@hono/node-server'
 import type { Hono } from 'hono'
 import { HttpInstanceList, HttpObjectStore, newInstanceId, SystemClock } from '@limpetwinch/core'
@@ -40,25 +40,27 @@
 import { SettingsHistory } from './settings/settings-history.js'
 import { SettingsWriter } from './settings/settings-writer.js'
 
-/** A stream that says nothing for so long is taken up again on a new connection. */
+/** Time without an event after which a stream is resumed on a new connection. */
 const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5_000
+/** Maximum number of successive resumes of a stream that bring no further part of the response. */
 const RESUMES_WITHOUT_PROGRESS = 3
-/** An instance is ready without owners that have not been heard after so long. */
+/** Time after which an instance becomes ready even if it has not received the digests of all owners. */
 const OWNER_DIGESTS_TIMEOUT_MILLISECONDS = 10_000
-/** The balancer and the peers are given so long to see that this instance is not ready before it closes. */
+/** Time for the load balancer and the peers to notice that this instance is not ready, before it stops accepting connections. */
 const LEAVING_ANNOUNCEMENT_MILLISECONDS = 1_000
+/** Time for the goodbye to reach the peers before the connections are closed. */
 const GOODBYE_DELIVERY_MILLISECONDS = 50
-/** After the last request of its own an instance waits so long for its hand-overs. */
+/** Maximum time that an instance waits for its hand-overs after its last request has ended. */
 const HAND_OVER_TIMEOUT_MILLISECONDS = 3_000
 
-/** Where an instance listens. */
+/** The addresses on which an instance listens. */
 export interface ListeningAddresses {
   readonly caller: string
   readonly admin: string
   readonly peer: string
 }
 
-/** All parts of one instance. */
+/** One entry instance with all its components. */
 export class EntryInstance {
   readonly instance: InstanceId = newInstanceId()
   readonly dataCentre: DataCentreId
@@ -91,9 +93,9 @@
   private settingsAppliedAt: number | undefined
 
   /**
-   * @param settings - the instance's own settings
-   * @param logger - the process's logger
-   * @param components - makes the parts
+   * @param settings - the start-up settings of the instance
+   * @param logger - the logger of the process
+   * @param components - creates the replaceable components
    */
   constructor (settings: InstanceSettings, logger: Logger, components: EntryComponents = new EntryComponents()) {
     this.settings = settings
@@ -170,7 +172,11 @@
     this.adminServer = this.buildAdminServer()
   }
 
-  /** Starts to listen and to follow; resolves when the addresses are known, before the instance is ready. */
+  /**
+   * Starts listening and starts the background tasks.
+   *
+   * @returns the addresses, as soon as they are known and before the instance is ready
+   */
   async start (): Promise<ListeningAddresses> {
     const { address } = this.settings
     const peer = (await this.network.listen())._unsafeUnwrap()
@@ -183,13 +189,13 @@
     void this.supervisor.start('recoveries', async (signal) => await this.recoveries.run(signal))
     void this.supervisor.start('hand-overs', async (signal) => await this.handOvers.run(signal))
     void this.supervisor.start('digests', async (signal) => await this.owned.broadcast(signal))
-    this.logger.info('The instance listens.', { caller, admin, peer, instance: this.instance })
+    this.logger.info('The instance is listening.', { caller, admin, peer, instance: this.instance })
     return { caller, admin, peer }
   }
 
   /**
-   * Whether the instance may be sent requests: the settings are in force, and the owners of the data centre's engines
-   * have been heard, or have had their time. Before, each request would be refused for want of an endpoint.
+   * Whether the instance can serve requests: settings are in force, and the owners of the data centre's engines have sent
+   * their digests or have had enough time to do so. Before that, each request would be refused because no endpoint is known.
    */
   get isReady (): boolean {
     const settings = this.follower.current()
@@ -201,39 +207,40 @@
   }
 
   /**
-   * Stops in order: not ready first, then no new work, then every request in progress is finished.
+   * Stops gracefully: the instance first reports that it is not ready, then accepts no new requests, and then finishes the
+   * requests in progress.
    *
-   * @returns what was still in progress when the time for stopping was over; 0 when nothing was cut off
+   * @returns the number of requests that were still in progress at the stop timeout and were cut off
    */
   async stop (): Promise<number> {
     this.logger.info('The instance is stopping.', { requestsInProgress: this.work.count })
     this.stopping = true
     this.membership.startLeaving()
-    const inTime = this.clock.sleep(1000 * this.settings.limits.stopSeconds, this.supervisor.signal).then(() => false)
-    const finished = await Promise.race([this.drain().then(() => true), inTime])
+    const timedOut = this.clock.sleep(1000 * this.settings.limits.stopSeconds, this.supervisor.signal).then(() => false)
+    const finished = await Promise.race([this.drain().then(() => true), timedOut])
     const cut = finished ? 0 : this.work.count
-    if (cut > 0) this.logger.error('Requests are cut off, since the time for stopping is over.', { requests: cut })
+    if (cut > 0) this.logger.error('Requests are cut off because the stop timeout has passed.', { requests: cut })
     await this.end()
     return cut
   }
 
-  /** New work is still taken until the balancer has had time to see that this instance is not ready any more. */
+  /** Finishes all requests. New ones are accepted until the load balancer has had time to notice that this instance is no longer ready. */
   private async drain (): Promise<void> {
-    const enough = new AbortController()
-    const handedOver = this.handOvers.handOverAll(AbortSignal.any([this.supervisor.signal, enough.signal]))
+    const handOverTimeout = new AbortController()
+    const handedOver = this.handOvers.handOverAll(AbortSignal.any([this.supervisor.signal, handOverTimeout.signal]))
     await this.clock.sleep(LEAVING_ANNOUNCEMENT_MILLISECONDS)
     await Promise.allSettled([this.callerServer.close(), this.work.finished()])
-    // Nobody may be left to hand over to, as when all instances stop; what is left is taken over as after a loss.
-    const timer = setTimeout(() => enough.abort(), HAND_OVER_TIMEOUT_MILLISECONDS)
-    const left = await handedOver
+    // If all instances stop, no instance is left to hand over to. Endpoints that are not handed over get new owners as after a crash.
+    const timer = setTimeout(() => handOverTimeout.abort(), HAND_OVER_TIMEOUT_MILLISECONDS)
+    const remaining = await handedOver
     clearTimeout(timer)
-    if (left.length > 0) this.logger.warn('Endpoints are left for others to take over.', { endpoints: left })
-    // With this word the others need not wait for the platform's list to say that nothing runs here any more.
+    if (remaining.length > 0) this.logger.warn('Endpoints were not handed over; other instances have to take them over.', { endpoints: remaining })
+    // The goodbye tells peers that nothing runs here any more, so that they need not wait for the platform's list.
     this.membership.sendGoodbye()
     await this.clock.sleep(GOODBYE_DELIVERY_MILLISECONDS)
   }
 
-  /** Ends at once, as a crash would; for tests. */
+  /** Ends at once, like a crash, for tests. */
   async kill (): Promise<void> {
     this.callerServer.destroy()
     await this.end()
@@ -351,7 +358,7 @@
     return settingsRoutes({ follower, writer, history, administratorKeySha256, bodySeconds: limits.bodySeconds })
   }
 
-  /** A new owner learns what may still run here, and grants under older tokens are refused from then on. */
+  /** Responds to a new owner with the requests of this instance that may still run on the endpoint, and refuses grants under older tokens from then on. */
   private handlePinsAsks (): void {
     this.network.onCall('pins-ask', async (_from, frame) => ({
       kind: 'pins-report',
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry instance and its parts. */
+/** The entry instance and its components. */
 export * from './peers/peer-network.js'
 export * from './membership/membership.js'
 export * from './ownership/ownership.js'
