--- a/packages/decisions/src/eviction/use-rates.ts
+++ b/packages/decisions/src/eviction/use-rates.ts
@@ -1,18 +1,24 @@
+/** Estimates how often each adapter is used, for eviction and for loading adapters ahead of demand. */
 import { LRUCache } from 'lru-cache'
 
 interface UseRecord {
   /** Number of uses, where each use loses half its weight with every half-life. */
   decayedUses: number
+  /** Tokens of these uses, decayed in the same way. */
   decayedTokens: number
+  /** Monotonic time to which both sums are decayed, milliseconds. */
   updatedAt: number
 }
 
-/** Upper bound of the exponent, so that the exponential stays finite. */
+/**
+ * Upper bound of the number of uses that were expected since the last use of an adapter but did not come. This number is the exponent
+ * in {@link UseRates.alive}; without the bound, the exponential would become infinite.
+ */
 const MAXIMUM_MISSED_USES = 500
 
 /** Options of {@link UseRates}. */
 export interface UseRatesOptions {
-  /** Time after which a use has half its weight, milliseconds. */
+  /** Age at which a use counts half as much as a new one, milliseconds. */
   readonly halfLifeMilliseconds?: number
   /** Maximum number of tracked adapters; the least recently used is dropped first. */
   readonly maximumAdapters?: number
@@ -55,7 +61,7 @@
    * @param adapter - `team/adapter@version`
    * @param inactiveOdds - prior odds that the adapter is out of use, before the time since its last use is taken into account
    * @param now - monotonic milliseconds
-   * @returns a probability that falls with the number of uses expected since the last one
+   * @returns a probability from 0 to 1, which falls with the number of uses that were expected since the last use
    */
   alive (adapter: string, inactiveOdds: number, now: number): number {
     const record = this.records.peek(adapter)
--- a/packages/decisions/src/fairness/service-accounting.ts
+++ b/packages/decisions/src/fairness/service-accounting.ts
@@ -1,36 +1,42 @@
+/** Records how much service each team got, in tokens, so that fair queues can divide it between the teams. */
+
 /** Options of {@link ServiceAccounting}. */
 export interface ServiceAccountingOptions {
-  /** Service of all teams after which earlier service has 1/e of its weight, tokens. */
+  /** Number of tokens served to all teams together after which an earlier token counts 1/e as much as a new one. */
   readonly memoryTokens?: number
 }
 
 interface TeamAccount {
+  /** Teams get service in proportion to their weights. */
   weight: number
-  /** Service divided by weight; raised when the team becomes backlogged again after being idle. */
+  /** Service charged to the team, in tokens, divided by its weight; raised when the team becomes backlogged again after being idle. */
   virtualTime: number
-  /** Decayed service, multiplied by the growing `scale`. */
+  /** Recent service in tokens, multiplied by the growing `scale`. */
   recent: number
-  /** Number of queued requests in all queues that share this accounting. */
+  /** Number of queued requests of the team in all queues that share this accounting. */
   waiting: number
 }
 
-/** Scale at which all accounts are rescaled, well below the largest floating-point number. */
+/**
+ * When `scale` reaches this value, all accounts are divided by `scale`, which restarts at 1. The value is well below the
+ * largest floating-point number, so that sums do not overflow.
+ */
 const MAXIMUM_SCALE = 1e100
-/** Number of charges between two recounts of the active teams. */
+/** Number of charges between two recounts of the active teams; a recount visits every team, so it is not done at each charge. */
 const CHARGES_PER_COUNT = 100
-/** A team with less than this share of the recent service counts as idle. */
+/** A team with less than this part of all teams' recent service counts as idle: its weight does not reduce the fair share of the others. */
 const MINIMUM_ACTIVE_SHARE = 1e-3
 
 /**
- * Records the service that each team received: a virtual time for fair queueing, and a decayed sum that shows which teams are over
- * their share. All queues of an instance share one accounting, so that a team does not get a full share on each engine that it
- * uses. Service by other instances of the data centre is added with {@link ServiceAccounting.charge}.
+ * Records the service that each team received, in tokens, in two forms: a virtual time for fair queueing, and a decayed sum that shows
+ * which teams got more than their fair share. All queues of an instance share one accounting, so that a team does not get a full
+ * share on each engine that it uses. Service by other instances of the data centre is added with {@link ServiceAccounting.charge}.
  */
 export class ServiceAccounting {
   private readonly accounts = new Map<string, TeamAccount>()
   private readonly backlogged = new Set<string>()
   private readonly memoryTokens: number
-  /** Grows with service, which decays all accounts relative to new service without updating each of them. */
+  /** Factor on new service when it is added to an account. It grows with service, so earlier service decays without an update of each account. */
   private scale = 1
   /** Largest virtual time reached so far; the start value for a team that arrives when no team is backlogged. */
   private maximumVirtualTime = 0
@@ -45,7 +51,7 @@
   /** Sets the weight of a team. Its recorded service does not change. */
   setWeight (team: string, weight: number): void {
     const account = this.account(team)
-    // The virtual time stays as it is, so that the team's lead or lag is not multiplied by the change of weight.
+    // The virtual time stays as it is, so that the team's lead or lag behind other teams is not multiplied by the change of weight.
     account.weight = weight
   }
 
@@ -53,7 +59,7 @@
   arrived (team: string): void {
     const account = this.account(team)
     if (account.waiting === 0) {
-      // Otherwise a team that was idle would return with a low virtual time and be served alone until it had caught up.
+      // Without this, a team that was idle would return with a low virtual time and be served alone until it had caught up.
       account.virtualTime = Math.max(account.virtualTime, this.minimumVirtualTime())
       this.backlogged.add(team)
     }
@@ -87,7 +93,12 @@
     return this.account(team).virtualTime
   }
 
-  /** @returns the team's recent service divided by its weighted share of the backlogged teams' recent service; 1 is fair */
+  /**
+   * Compares the recent service of a team, in tokens, with its fair share. The fair share is a part of the recent service of this
+   * team and all teams that have requests queued, in proportion to the team's weight.
+   *
+   * @returns service divided by fair share: 1 is fair, above 1 the team had more than its share
+   */
   shareUsed (team: string): number {
     const account = this.account(team)
     let service = account.waiting === 0 ? account.recent : 0
@@ -105,7 +116,8 @@
    * Compares a team with all recently served teams. A team that floods the queue is often the only backlogged one, since the
    * others are served at once, so {@link ServiceAccounting.shareUsed} does not show that it is over its share.
    *
-   * @returns the team's recent service divided by its weighted share of all teams' recent service; 1 is fair
+   * @returns recent service divided by fair share, where the fair share is a part of all teams' recent service in proportion to the
+   *   team's weight; 1 is fair
    */
   shareUsedAmongActive (team: string): number {
     if (this.chargesUntilCount <= 0) this.countActive()
@@ -114,7 +126,7 @@
     return (account.recent / this.activeService) / (account.weight / this.activeWeight)
   }
 
-  /** Recomputes the totals over all teams. Its linear cost is spread over many charges. */
+  /** Recomputes the total recent service and the weight of the active teams. Visits every team, so it runs only once in many charges. */
   private countActive (): void {
     this.chargesUntilCount = CHARGES_PER_COUNT
     this.activeService = 0
--- a/packages/decisions/src/fairness/virtual-time-fair-queue.ts
+++ b/packages/decisions/src/fairness/virtual-time-fair-queue.ts
@@ -1,3 +1,4 @@
+/** Weighted fair queueing of requests between teams. */
 import { FairQueue } from './fair-queue.js'
 import type { QueuedRequest } from './fair-queue.js'
 import { ServiceAccounting } from './service-accounting.js'
@@ -6,15 +7,18 @@
 export interface VirtualTimeFairQueueOptions {
   /** Accounting shared with the other queues of this instance; by default the queue has its own. */
   readonly accounting?: ServiceAccounting
-  /** Waiting time that raises a request by one priority level within its team, milliseconds. */
+  /** Waiting time that raises a request by one priority level among the requests of its team, milliseconds. */
   readonly agingMilliseconds?: number
-  /** Reduction of virtual time per priority level when teams are compared, in tokens for a team of weight 1. */
+  /**
+   * Tokens subtracted from the virtual time of a team for each priority level of its next request, when teams are compared.
+   * Virtual time is service divided by weight.
+   */
   readonly tokensPerPriorityLevel?: number
   /** Number of places in a batch that are withheld from a team that floods the queue. */
   readonly reservedPlaces?: number
   /** A team can count as flooding only while it has more queued requests than this. */
   readonly floodQueueLength?: number
-  /** A team counts as flooding when its recent service is more than this many times its share. */
+  /** A team counts as flooding when its recent service is more than this many times its fair share, which is in proportion to the team's weight. */
   readonly floodShareFactor?: number
 }
 
@@ -22,11 +26,12 @@
 const DEFAULT_TOKENS_PER_PRIORITY_LEVEL = 4_000
 
 /**
- * Weighted fair queueing by virtual time.
+ * Weighted fair queueing by virtual time. The virtual time of a team is the service charged to the team, in tokens, divided by its weight.
  *
  * Within a team, the request with the highest priority is served first, and waiting raises the priority. Between teams, the
- * request of the team with the lowest virtual time is served first, where a priority lowers the virtual time that is compared. It
- * does not lower the service charged, so in the long run no priority gets a team more than its share and no team starves.
+ * request of the team with the lowest virtual time is served first, where a high priority lowers the virtual time that is
+ * compared. The priority does not lower the service charged, so in the long run no priority gets a team more than its
+ * share and no team starves.
  *
  * Complexity: `push` and `remove` are linear in the team's own queued requests, `next` in the requests checked until one is
  * eligible. Neither depends on the number of adapters.
@@ -120,7 +125,10 @@
     return candidate
   }
 
-  /** Teams are served in turn, so another team's queue counts only up to the service that the team gets while this team's queue is served. */
+  /**
+   * Teams are served in turn. So the queue of another team counts only up to the service that this other team gets while the
+   * item's own team is served up to the item.
+   */
   override tokensAhead (item: Item): number {
     const own = this.costByTeam.get(item.team) ?? 0
     const turns = (own + item.cost) / this.accounting.weight(item.team)
@@ -141,8 +149,8 @@
 
   /**
    * A team that floods the queue takes every place in the batch as soon as it becomes free. Requests of other teams, however low
-   * their virtual time, then wait until one of its requests ends. Withholding the last places from the flooding team leaves room
-   * for them. A popular team without a long queue does not count, since it does not delay others.
+   * their virtual time, then wait until a request of the flooding team ends. Withholding the last places from the flooding
+   * team leaves room for the other teams. A popular team without a long queue does not count, since it does not delay others.
    *
    * @returns whether the team floods the queue
    */
@@ -165,7 +173,7 @@
 
 /**
  * Finds the position of a request in its team's queue by binary search. Age and priority are combined in one rank, where a priority
- * level equals `aging` milliseconds, so the order of queued requests never changes. Without ageing, a steady stream of
+ * level equals `aging` milliseconds of waiting, so the order of queued requests never changes. Without ageing, a steady stream of
  * high-priority requests would keep the team's low-priority ones waiting for ever.
  */
 function insertionIndex (item: QueuedRequest, waiting: readonly QueuedRequest[], aging: number): number {
--- a/packages/decisions/src/limits/team-limiter.ts
+++ b/packages/decisions/src/limits/team-limiter.ts
@@ -1,9 +1,13 @@
+/** Contract of the admission check that enforces a team's limits. */
+
 /** Limits of one team on one instance. The caller divides the deployment's limits between the live instances. */
 export interface TeamLimits {
   readonly requestsPerSecond: number
+  /** Prompt tokens and the most output tokens that a request may produce, added up. */
   readonly tokensPerSecond: number
-  /** Requests that are queued or running. */
+  /** Maximum number of requests that are queued or running. */
   readonly inFlight: number
+  /** Maximum number of requests that are queued. */
   readonly queued: number
 }
 
@@ -14,7 +18,7 @@
 
 /** Refuses requests that exceed a team's limits when they arrive, before they are queued. */
 export abstract class TeamLimiter {
-  /** Replaces the limits. Requests that are queued or in flight stay counted. */
+  /** Replaces the limits. Requests that are queued or running stay counted. */
   abstract configure (limits: TeamLimits): void
 
   /**
--- a/packages/decisions/src/limits/token-bucket-team-limiter.ts
+++ b/packages/decisions/src/limits/token-bucket-team-limiter.ts
@@ -1,3 +1,4 @@
+/** Enforces a team's limits on one instance with token buckets and counters. */
 import { TeamLimiter } from './team-limiter.js'
 import type { LimitDecision, TeamLimits } from './team-limiter.js'
 import { TokenBucket } from './token-bucket.js'
@@ -5,15 +6,19 @@
 /** Initial limits and burst size. */
 export interface TokenBucketTeamLimiterOptions {
   readonly limits: TeamLimits
-  /** Burst size of both rate limits, as seconds of their rate. */
+  /** Capacity of the token buckets for requests and for tokens: each holds what its rate adds in this many seconds. */
   readonly burstSeconds?: number
 }
 
 type LimitName = Extract<LimitDecision, { admitted: false }>['limit']
 
+/** Lower bound of the time after which a refused caller should retry, also when the time is unknown, so that no caller retries at once. */
 const MINIMUM_RETRY_AFTER_SECONDS = 1
 
-/** Enforces the two rate limits with token buckets and the other two with counters. A refused request consumes no limit. */
+/**
+ * Enforces the limits per second with token buckets and the limits on requests in flight and queued with counters. A refused
+ * request takes nothing from the buckets and is not counted.
+ */
 export class TokenBucketTeamLimiter extends TeamLimiter {
   private limits: TeamLimits
   private readonly burstSeconds: number
@@ -61,12 +66,15 @@
     this.tokens.refund(unusedTokens, now)
   }
 
-  /** Numbers of queued and running requests. */
+  /** Numbers of the team's requests that are queued and running on this instance. */
   get counts (): { readonly queued: number, readonly running: number } {
     return { queued: this.queued, running: this.running }
   }
 
-  /** A team's share of one instance can be less than one request per second. The bucket must still hold one request, or none would ever be admitted. */
+  /**
+   * Burst of the request rate, in requests. The limit of a team on one instance can be less than one request per second. The
+   * bucket must still hold one request, or none would ever be admitted.
+   */
   private requestBurst (): number {
     return Math.max(1, this.limits.requestsPerSecond * this.burstSeconds)
   }
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -11,14 +11,14 @@
     this.level = burst
   }
 
-  /** Changes rate and capacity. The number of tokens missing from a full bucket stays the same. */
+  /** Changes rate and capacity. The difference between capacity and level stays the same. */
   configure (rate: number, burst: number): void {
     this.level = Math.min(burst, this.level + burst - this.burst)
     this.rate = rate
     this.burst = burst
   }
 
-  /** @returns seconds until `amount` tokens can be taken, 0 if they can be taken now; an amount above the burst needs a full bucket */
+  /** @returns seconds until `amount` tokens can be taken, 0 if they can be taken now; an amount above the capacity needs a full bucket */
   secondsUntil (amount: number, now: number): number {
     this.refill(now)
     const missing = Math.min(amount, this.burst) - this.level
--- a/packages/decisions/src/loads/load-ahead.ts
+++ b/packages/decisions/src/loads/load-ahead.ts
@@ -7,7 +7,7 @@
   abstract recordUse (adapter: string, now: number): void
 
   /**
-   * @param isHeld - whether an adapter is loaded or being loaded on any engine of the data centre
+   * @param isHeld - returns whether an adapter is loaded or being loaded on any engine of the data centre
    * @param now - monotonic milliseconds
    * @returns the adapter to load into a free slot, or undefined when no load is worthwhile
    */
--- a/packages/decisions/src/loads/load-backoff.ts
+++ b/packages/decisions/src/loads/load-backoff.ts
@@ -1,9 +1,14 @@
+/** Delays the retry of an adapter load that failed. */
+
 /** Bounds of the delay before a failed load is retried. */
 export interface LoadBackoffOptions {
+  /** Delay after the first failure; doubled with each further consecutive failure. */
   readonly firstMilliseconds?: number
+  /** Upper bound of the delay. */
   readonly longestMilliseconds?: number
 }
 
+/** Upper bound of the exponent of 2, so that the delay stays a finite number after any number of failures. */
 const MAXIMUM_DOUBLINGS = 20
 
 /**
--- a/packages/decisions/src/loads/load-ordering-policy.ts
+++ b/packages/decisions/src/loads/load-ordering-policy.ts
@@ -1,3 +1,5 @@
+/** Contract of the policies that choose which pending adapter load runs next. */
+
 /** Pending load of an adapter on one engine, shared by all requests that wait for it. */
 export interface LoadCandidate {
   readonly adapter: string
@@ -8,9 +10,9 @@
   /** Number of requests that wait for the load. */
   readonly waitingRequests: number
   readonly highestPriority: number
-  /** The team's recent service divided by its share; above 1 the team had more than its share. */
+  /** Recent service of the adapter's team, in tokens, divided by the team's fair share of it; above 1 the team had more than its share. */
   readonly shareUsed: number
-  /** Number of consecutive failed attempts. */
+  /** Number of consecutive failed attempts of this load. */
   readonly failures: number
   /** Time before which the load must not be attempted, monotonic milliseconds. */
   readonly notBefore: number
--- a/packages/decisions/src/loads/load-queue.ts
+++ b/packages/decisions/src/loads/load-queue.ts
@@ -1,22 +1,37 @@
-/** A waiting request repeats its load request every 300 ms. A request that did not repeat it for this long no longer waits. */
+/** Queue of the adapters to be loaded on one engine. It decides which adapter is loaded next. */
+
+/**
+ * For each request that waits for an adapter, a load request is sent to the queue and repeated every 300 ms. A waiting request whose
+ * load request was not repeated for this long is removed from the queue, as it is assumed not to wait any more.
+ */
 const REQUEST_EXPIRY_MILLISECONDS = 800
 /**
- * A request that did not repeat its load request for this long was served elsewhere or refused, or the repetition is delayed. A load
- * for it would usually serve nobody and take a slot from requests that wait. It stays queued, since it may still be repeated.
+ * A waiting request whose load request was not repeated for this long is overdue: it was served elsewhere or refused, or the
+ * repetition is delayed. A load for an overdue request would usually serve nobody and take a slot from requests that wait. The
+ * overdue request stays in the queue, since its load request may still be repeated.
  */
 const REQUEST_OVERDUE_MILLISECONDS = 450
-/** Weight of a load for which only overdue requests wait; below that of any load with a request that is not overdue. */
+/**
+ * Weight of a load for which only overdue requests wait. The load with the highest weight runs first; any load with a request
+ * that is not overdue weighs more.
+ */
 const OVERDUE_WEIGHT = 0.1
 /** Time for which a response counts as on time if the request has no known latency objective; usual objectives are near a second. */
 const DEFAULT_ON_TIME_MILLISECONDS = 1_000
-/** Weight of a request whose response will be late. To callers, it is worth a third to a half of one on time; the order is the same with either. */
+/**
+ * Weight that a request whose response will be late adds to its load; one that can be on time adds 1. To callers, a late response is
+ * worth a third to a half of one on time, and both values give the same order of loads.
+ */
 const LATE_WEIGHT = 0.5
 /**
- * Weight that a load gains per second in the queue. Within the longest time that a request waits, a load for one late request
- * thereby overtakes a load for one request that is still on time, so that no adapter is passed over for ever.
+ * Weight that a load gains per second since it was first requested. Within the longest time that a request waits, a load for one late
+ * request thereby overtakes a new load for one request that can be on time, so that no adapter is passed over for ever.
  */
 const WEIGHT_PER_SECOND = 0.35
-/** Factor on the weight of an adapter in the engine's cache. Its load takes a tenth of the time and no capacity of the weight store. */
+/**
+ * Factor on the weight of a load whose adapter is in the engine's cache. Such a load takes a tenth of the time and no capacity of
+ * the weight store.
+ */
 const CACHED_FACTOR = 3
 
 /** Reason why a load has not started yet. */
@@ -24,9 +39,9 @@
 
 /** A request that waits for an adapter. */
 interface WaitingRequest {
-  /** Monotonic time after which its response is late. */
+  /** Monotonic time after which the response to this request is late, milliseconds. */
   readonly onTimeUntil: number
-  /** Monotonic time of its latest load request. */
+  /** Monotonic time of the latest load request for this request, milliseconds. */
   requestedAt: number
 }
 
@@ -34,15 +49,16 @@
 export interface WaitingRequestFacts {
   /** Id of the request. */
   readonly request: string
-  /** Time until its response is late, milliseconds; undefined if the request has no known latency objective. */
+  /** Time from this load request until the response is late, milliseconds; undefined if the request has no known latency objective. */
   readonly onTimeMilliseconds: number | undefined
 }
 
 /** Adapter that waits to be loaded. */
 export interface PendingLoad<Key extends string = string> {
   readonly key: Key
-  /** Lowest version that the requests can use. */
+  /** Lowest version of the adapter that serves all requests that wait for it. */
   version: number
+  /** Monotonic time of the first load request for the adapter, milliseconds. */
   readonly firstRequestedAt: number
   /** Reason why the load was last passed over; logged when the load is ordered. */
   heldUpBy: LoadDelayReason
@@ -50,15 +66,15 @@
 
 interface QueueEntry<Key extends string> extends PendingLoad<Key> {
   readonly waitingRequests: Map<string, WaitingRequest>
-  /** Monotonic time of the latest load request without a waiting request, which asks for another copy or a newer version. */
+  /** Monotonic time of the latest load request for another copy or a newer version, without a waiting request; milliseconds. */
   copyRequestedAt: number
 }
 
 /**
  * Adapters that wait to be loaded on one engine, and the order in which they are loaded.
  *
- * The workload it is designed for: more adapters are requested at once than the engine has slots. First come, first served then
- * makes every response late, since each adapter is loaded when the requests that came first are late already. So adapters whose
+ * The queue is designed for this workload: more adapters are requested at once than the engine has slots. First come, first served
+ * then makes every response late, since each adapter is loaded when the requests that came first are late already. So adapters whose
  * requests can still be served on time are loaded first, ordered by the number of requests that one load serves; the others
  * follow in the order of arrival. More responses are on time than with first come, first served, and no fewer are given in all.
  * If the slots suffice, the order makes no difference.
@@ -72,10 +88,10 @@
   }
 
   /**
-   * Adds a load request, or repeats it to keep it in the queue.
+   * Adds a load request, or repeats an earlier one to keep the pending load in the queue.
    *
    * @param key - the adapter
-   * @param version - lowest version that is needed
+   * @param version - lowest version of the adapter that is needed
    * @param waiting - the request that waits for the adapter; undefined for another copy or a newer version
    * @param now - monotonic milliseconds
    */
@@ -110,7 +126,7 @@
     return [...this.entries.keys()]
   }
 
-  /** Removes requests whose load request was not repeated in time, and the pending loads that then have none. */
+  /** Removes waiting requests whose load request was not repeated in time, and pending loads that no load request asks for any more. */
   expire (now: number): void {
     for (const entry of this.entries.values()) {
       for (const [id, request] of entry.waitingRequests) if (now - request.requestedAt > REQUEST_EXPIRY_MILLISECONDS) entry.waitingRequests.delete(id)
@@ -119,9 +135,12 @@
   }
 
   /**
+   * Chooses the load to run next by its weight. The weight of a load rises with the number of its waiting requests, more for those that
+   * can still be served on time, and with the time since the load was first requested. A load from the cache of the engine weighs more.
+   *
    * @param isBlocked - whether an adapter cannot be loaded now
    * @param isCached - whether the engine has the adapter in its cache and loads it without the weight store
-   * @param loadMilliseconds - duration of a load from the weight store
+   * @param loadMilliseconds - duration of a load from the weight store, used to tell which requests can still be served on time
    * @param now - monotonic milliseconds
    * @returns the pending load with the highest weight, or undefined when none can be loaded
    */
@@ -140,7 +159,7 @@
 }
 
 function weightOf (entry: QueueEntry<string>, cached: boolean, loadMilliseconds: number, now: number): number {
-  // A load without waiting requests is for another copy of an adapter, whose requests another engine serves as well.
+  // A load that no request waits for makes another copy of an adapter, and another engine serves the requests for that adapter as well.
   if (entry.waitingRequests.size === 0) return 0
   const active = [...entry.waitingRequests.values()].filter(({ requestedAt }) => now - requestedAt <= REQUEST_OVERDUE_MILLISECONDS)
   const weight = active.length === 0
--- a/packages/decisions/src/loads/popularity-load-ahead.ts
+++ b/packages/decisions/src/loads/popularity-load-ahead.ts
@@ -1,9 +1,10 @@
+/** Suggests popular adapters to load before any request waits for them. */
 import { UseRates } from '../eviction/use-rates.js'
 import { LoadAhead } from './load-ahead.js'
 
 /** Options of {@link PopularityLoadAhead}. */
 export interface PopularityLoadAheadOptions {
-  /** Half-life of the use rates, milliseconds. */
+  /** Age at which a use of an adapter counts half as much as a new one in its use rate, milliseconds. */
   readonly halfLifeMilliseconds?: number
   /** Number of adapters considered, most recently used first. */
   readonly candidates?: number
@@ -14,8 +15,8 @@
 const MINUTE_MILLISECONDS = 60_000
 
 /**
- * Suggests the adapter with the highest recent use rate that is on no engine, as after a cold restart or when an adapter becomes
- * popular. Considers only the most recently used adapters, so the cost does not depend on the number of all adapters.
+ * Suggests the adapter with the highest recent use rate among those that no engine holds, as after a cold restart or when an
+ * adapter becomes popular. Considers only the most recently used adapters, so the cost does not depend on the number of all adapters.
  */
 export class PopularityLoadAhead extends LoadAhead {
   private readonly rates: UseRates
--- a/packages/decisions/src/loads/queue-pace.ts
+++ b/packages/decisions/src/loads/queue-pace.ts
@@ -1,11 +1,22 @@
-/** Interval between two loads before any was measured: the time of the orders for one load on an engine that responds at once. */
+/** Measures how fast the load queue of one engine advances, to forecast the wait for a load. */
+
+/**
+ * Interval between the starts of two loads that is assumed before any was measured: the time that the orders for one load take on
+ * an engine that responds at once.
+ */
 const INITIAL_INTERVAL_MILLISECONDS = 40
-/** Weight of the latest interval. The last three loads make up half of the average, which evens out slots that become free in bursts. */
+/**
+ * Weight of the latest interval in the moving average of the intervals between loads. The last three loads make up half of the
+ * average, which evens out slots that become free in bursts.
+ */
 const SMOOTHING_FACTOR = 0.2
-/** Upper bound of one measured interval, since an engine that was unresponsive for seconds resumes loading at its usual pace. */
+/** Upper bound of one measured interval between loads, since an engine that was unresponsive for seconds resumes loading at its usual pace. */
 const MAXIMUM_INTERVAL_MILLISECONDS = 1_000
 
-/** Average interval between loads from the load queue of one engine, used to forecast the wait of requests that may join the queue. */
+/**
+ * Average interval between the starts of consecutive loads on one engine, measured while its load queue is not empty. Used to forecast
+ * the wait of requests that may join the queue.
+ */
 export class QueuePace {
   private interval = INITIAL_INTERVAL_MILLISECONDS
   /** Monotonic time since which the queue waits for its next load to start; undefined while the queue is empty. */
@@ -17,7 +28,7 @@
     else this.waitingSince ??= now
   }
 
-  /** Records the start of a load. @param remaining - number of adapters that still wait */
+  /** Records the start of a load. @param remaining - number of adapters that still wait to be loaded */
   recordLoadStart (remaining: number, now: number): void {
     if (this.waitingSince !== undefined) {
       const sample = Math.min(MAXIMUM_INTERVAL_MILLISECONDS, now - this.waitingSince)
--- a/packages/decisions/src/loads/queue-position.ts
+++ b/packages/decisions/src/loads/queue-position.ts
@@ -1,8 +1,16 @@
-/** Wait that a move to another queue must save, since the request gives up its time in the queue and possibly a load from the weight store. */
+/** Keeps a waiting request at the load queue that it joined, unless another engine would load its adapter much sooner. */
+
+/**
+ * Least wait that a move to another load queue must save, since the request loses the time that it spent in its queue, and
+ * possibly a load from the weight store is wasted.
+ */
 const MINIMUM_MOVE_GAIN_MILLISECONDS = 400
-/** Preference for the current queue after a move, large enough that the request does not move again. */
+/** Deducted from the expected wait in the current load queue once the request has moved, large enough that it does not move again. */
 const STAY_PREFERENCE_MILLISECONDS = 5_000
-/** The load owner of an engine announces every change of its load queue. Without an announcement for this long, it counts as unresponsive. */
+/**
+ * The load owner of an engine announces every change of its load queue. Without an announcement for this long, the load owner
+ * counts as unresponsive.
+ */
 const UNRESPONSIVE_MILLISECONDS = 900
 /** Extra wait assumed for an engine whose load owner is unresponsive. */
 const UNRESPONSIVE_PENALTY_MILLISECONDS = 1_000
@@ -10,6 +18,7 @@
 /** The load queue of an engine, and when the request joined it. */
 interface JoinedQueue {
   readonly endpoint: string
+  /** Monotonic time at which the request joined the queue, milliseconds. */
   readonly since: number
 }
 
--- a/packages/decisions/src/loads/stall-load-ordering-policy.ts
+++ b/packages/decisions/src/loads/stall-load-ordering-policy.ts
@@ -1,19 +1,32 @@
+/** Orders adapter loads by how long and how many requests wait for each of them. */
 import { LoadOrderingPolicy } from './load-ordering-policy.js'
 import type { LoadCandidate } from './load-ordering-policy.js'
 
-/** Weights of the factors of the urgency. */
+/** How much each factor counts in the urgency of a load. The load with the highest urgency runs first. */
 export interface StallLoadOrderingOptions {
-  /** Exponent of the number of waiting requests: 0 is first come, first served; with 1 the urgency is proportional to the number. */
+  /**
+   * Exponent of the number of waiting requests in the urgency. With 0 the number is ignored: first come, first served. With 1 the
+   * urgency is proportional to the number.
+   */
   readonly waitingRequestsExponent?: number
-  /** Added to the age of every load, so that a new load with many waiting requests becomes urgent at once, milliseconds. */
+  /**
+   * Milliseconds added to the age of every load. The urgency is the age multiplied by the other factors, so with a large value a
+   * new load with many waiting requests is urgent at once; with 0 every new load begins with almost no urgency.
+   */
   readonly baseAgeMilliseconds?: number
-  /** Factor on the urgency per priority level. */
+  /** Factor by which the urgency grows with each level of the highest priority among the waiting requests. */
   readonly priorityFactor?: number
-  /** Exponent of the share used by a team that is over its share, by which the urgency is divided; 0 ignores shares. */
+  /**
+   * Exponent that reduces the urgency of loads for a team that got more than its fair share of the service: the urgency is divided by
+   * {@link LoadCandidate.shareUsed}, if above 1, to the power of this exponent. With 0, shares are ignored.
+   */
   readonly shareExponent?: number
 }
 
-/** Urgency grows with the age of the load, the number of waiting requests and their priority, and falls with the share that the team used. */
+/**
+ * Urgency grows with the age of the load, the number of waiting requests and their priority, and falls if the team got more
+ * service than its fair share.
+ */
 export class StallLoadOrderingPolicy extends LoadOrderingPolicy {
   private readonly waitingRequestsExponent: number
   private readonly baseAge: number
--- a/packages/decisions/src/overload/overload-guard.ts
+++ b/packages/decisions/src/overload/overload-guard.ts
@@ -1,11 +1,16 @@
+/** Load shedding: refuses requests that a queue has no room for or cannot serve before their deadline. */
 import type { FairQueue, QueuedRequest } from '../fairness/fair-queue.js'
 
 /** Limits that the guard enforces on a queue. */
 export interface OverloadGuardOptions {
   /** Maximum number of requests in the queue. */
   readonly maximumQueued?: number
-  /** Factor on the expected time before it is compared with a deadline; below 1, only requests that are clearly too late are refused. */
+  /**
+   * Factor on the expected time until a response is complete, before that time is compared with the deadline; below 1, only
+   * requests that are clearly too late are refused.
+   */
   readonly waitFactor?: number
+  /** Upper bound of the time after which a refused caller is told to retry. */
   readonly longestRetryAfterSeconds?: number
 }
 
@@ -21,6 +26,7 @@
 export interface Refusal {
   readonly admitted: false
   readonly reason: 'queue full' | 'deadline cannot be met'
+  /** Expected time until the response would have been complete. */
   readonly expectedMilliseconds: number
   readonly retryAfterSeconds: number
 }
@@ -33,8 +39,8 @@
 }
 
 /**
- * Load shedding for a queue: refuses requests that do not fit or cannot meet their deadline, as early as possible and with
- * a time after which to retry.
+ * Load shedding for a queue: refuses requests for which the queue has no room or that cannot meet their deadline,
+ * as early as possible and with a time after which to retry.
  */
 export class OverloadGuard<Item extends QueuedRequest> {
   private readonly maximumQueued: number
@@ -57,7 +63,8 @@
    */
   admit (item: Item, queue: FairQueue<Item>, forecast: WaitForecast, now: number): Admission<Item> | Refusal {
     const expected = forecast.firstTokenMilliseconds + forecast.serviceMilliseconds
-    // Queued until its deadline, the request would take the position of one that can be served, and its caller would learn later that it was not served.
+    // If it were queued until its deadline, the request would take the place of one that can be served, and its caller would
+    // learn of the refusal only later.
     if (now + expected * this.waitFactor > item.deadlineAt) return this.refuse('deadline cannot be met', expected, item.deadlineAt - now)
     if (queue.size < this.maximumQueued) return { admitted: true }
     const candidate = queue.worst()
@@ -97,7 +104,7 @@
    * @param reason - why the request is refused
    * @param expected - expected time until the response would be complete, milliseconds
    * @param acceptable - time that the caller can wait for the complete response, milliseconds
-   * @returns a refusal whose retry time is when the expected time should have fallen to the acceptable one
+   * @returns a refusal; its retry time is the excess of the expected over the acceptable time, within bounds
    */
   private refuse (reason: Refusal['reason'], expected: number, acceptable: number): Refusal {
     const seconds = Math.ceil(Math.max(0, expected - Math.max(0, acceptable)) / 1_000)
--- a/packages/decisions/src/overload/service-rate.ts
+++ b/packages/decisions/src/overload/service-rate.ts
@@ -1,14 +1,17 @@
+/** Measures how fast a queue is served, to forecast the wait of its requests. */
+
+/** Decayed time with a full batch that must be measured before the measured rate replaces the initial one. */
 const MINIMUM_BUSY_MILLISECONDS = 250
 
-/** Recent service rate of a queue in tokens per millisecond, from exponentially decayed sums. */
+/** Rate at which a queue was recently served while the batch was full, in tokens per millisecond, from exponentially decayed sums. */
 export class ServiceRate {
   private tokens = 0
   private milliseconds = 0
   private updatedAt: number | undefined
 
   /**
-   * @param initialRate - tokens per millisecond, used until enough busy time was recorded
-   * @param memoryMilliseconds - time after which a sample has 1/e of its weight
+   * @param initialRate - tokens per millisecond, used until enough time with a full batch was recorded
+   * @param memoryMilliseconds - age at which a sample counts 1/e as much as a new one
    */
   constructor (private readonly initialRate: number, private readonly memoryMilliseconds: number) {}
 
@@ -16,8 +19,8 @@
    * Records tokens served since the last call.
    *
    * @param tokens - number of tokens
-   * @param busy - whether the batch was full; otherwise neither tokens nor time count, since a batch that is half empty because
-   *   adapters are missing says nothing about the rate of a full one
+   * @param busy - whether the batch was full; otherwise neither the tokens nor the time since the last call count, since a batch
+   *   that is half empty because adapters are missing says nothing about the rate of a full one
    * @param now - monotonic milliseconds
    */
   served (tokens: number, busy: boolean, now: number): void {
--- a/packages/decisions/src/quarantine/crash-tracker.ts
+++ b/packages/decisions/src/quarantine/crash-tracker.ts
@@ -1,29 +1,36 @@
+/** Finds and quarantines requests that crash the endpoints on which they run. */
 import { prefixOf } from './request-fingerprint.js'
 import type { FingerprintPrefix, RequestFingerprint } from './request-fingerprint.js'
 
-/** Crashes after which a request is suspected and runs in isolation from all other suspected requests. */
+/** Number of crashes with a request in flight after which a request is suspected and runs in isolation from all other suspected requests. */
 const CRASHES_TO_ISOLATE = 2
-/** Minimum number of crashes for a quarantine decision. */
+/** Minimum number of crashes with a request in flight for a decision to quarantine the request. */
 const CRASHES_TO_QUARANTINE = 3
-/** A request that crashed this often without a completed run is quarantined even if the crashes may be coincidence. */
+/** A request that was in flight at this many crashes, without a completed run, is quarantined even if the crashes may be coincidence. */
 const MAXIMUM_CRASHES = 5
-/** Maximum sends after the third crash. A send counts even if the endpoint refuses the request. */
+/**
+ * Maximum number of times that a request is sent to an endpoint after its third crash; then the request is quarantined. A send
+ * counts even if the endpoint refuses the request.
+ */
 const MAXIMUM_LATE_SENDS = 2
-/** A decision is certain only if an innocent request would be in flight at all these crashes with a lower probability than this. */
+/**
+ * A quarantine decision is certain only if the probability that an innocent request was in flight at all crashes of the request
+ * is lower than this.
+ */
 const MAXIMUM_CHANCE = 0.00001
 /** Duration of a quarantine whose decision is certain, before one more trial run. */
 const CERTAIN_QUARANTINE_MILLISECONDS = 3_600_000
-/** Duration of the first quarantine of a request that may have been in flight by chance. Each repeated quarantine is longer by the factor. */
+/** Duration of the first quarantine of a request that may have been in flight by chance. Each repeated quarantine is longer by the factor below. */
 const UNCERTAIN_QUARANTINE_MILLISECONDS = 60_000
 const QUARANTINE_GROWTH_FACTOR = 10
 /**
- * Windows before a crash over which the rate of unrelated crashes is measured. The highest rate counts, since crashes come in
- * bursts.
+ * Lengths of the time windows before a crash. The rate of unrelated crashes is measured in each window, and the highest rate counts,
+ * since crashes come in bursts.
  */
 const CRASH_RATE_WINDOWS_MILLISECONDS = [10_000, 60_000] as const
-/** Time after which a crash is forgotten, and with it the suspicion against requests that did not crash again. */
+/** Age at which a crash is forgotten, and with it the suspicion against requests that were in flight at no later crash. */
 const RETENTION_MILLISECONDS = 600_000
-/** Maximum number of crashes kept; the oldest are forgotten first. */
+/** Maximum number of crashes kept, which bounds the memory of the tracker; the oldest are forgotten first. */
 const MAXIMUM_TRACKED_CRASHES = 250
 
 /** Crash of an endpoint, as observed by one or several instances. */
@@ -44,13 +51,13 @@
   readonly isolated: boolean
 }
 
-/** How a request is treated. */
+/** How a request is treated, depending on the crashes at which it was in flight. */
 export type RequestStanding =
-  /** It was in flight at too few crashes to be treated differently from other requests. */
+  /** The request was in flight at too few crashes to be treated differently from other requests. */
   | 'unsuspected'
-  /** It runs in isolation from all other suspected requests, on one instance at a time. */
+  /** The request runs in isolation from all other suspected requests, on one instance at a time. */
   | 'suspected'
-  /** It is not sent to endpoints. */
+  /** The request is not sent to endpoints. */
   | 'quarantined'
 
 /** Reason and duration of a quarantine. */
@@ -60,14 +67,14 @@
   readonly crashes: number
   /** Number of quarantines in a row without a completed run between them. */
   readonly strikes: number
-  /** Whether coincidence is ruled out. */
+  /** Whether it is ruled out that the request was in flight at the crashes by coincidence. */
   readonly certain: boolean
   /** Monotonic time from which one trial run is allowed, milliseconds. */
   readonly until: number
 }
 
 interface CrashRecord extends EndpointCrash {
-  /** Requests that were in flight at the crash, without those cleared by a completed run. */
+  /** Requests that were in flight at the crash, by fingerprint. A request that is cleared by a completed run is removed. */
   readonly aboard: Map<RequestFingerprint, Omit<InFlightRequest, 'fingerprint'>>
 }
 
@@ -81,7 +88,7 @@
  */
 export class CrashTracker {
   private readonly crashes = new Map<string, CrashRecord>()
-  /** Unexplained crashes at which each request was in flight. */
+  /** For each request, the crashed incarnations of endpoints on which it was in flight, as far as the cause of the crash is unknown. */
   private readonly implicated = new Map<RequestFingerprint, Set<string>>()
   private readonly decisions = new Map<RequestFingerprint, QuarantineDecision>()
   /** Number of times that each implicated request was sent after its third crash. */
@@ -90,7 +97,7 @@
   private readonly prefixes = new Map<FingerprintPrefix, number>()
   private readonly endpointCount: (service: string) => number
 
-  /** @param endpointCount - number of endpoints of a service, over which its crash rate is averaged */
+  /** @param endpointCount - number of endpoints of a service, by which the crash rate of the service is divided */
   constructor (endpointCount: (service: string) => number) {
     this.endpointCount = endpointCount
   }
@@ -158,8 +165,9 @@
   }
 
   /**
-   * Looks for the cause of a crash. To be called after all instances have reported their requests in flight: a run that seems
-   * isolated on this instance may have shared the endpoint with a suspected request of another instance.
+   * Looks for the request that caused a crash. To be called after all instances have reported their requests in flight. A suspected
+   * request that this instance ran in isolation from its other suspected requests may have shared the endpoint with a suspected
+   * request of another instance.
    *
    * @param life - incarnation of the endpoint that crashed
    * @returns new quarantine decisions
@@ -173,8 +181,8 @@
   }
 
   /**
-   * Records that this or another instance sent a suspected request to an endpoint. When the allowed sends are used up, the
-   * request is quarantined at once; if its last run completes, {@link completed} lifts the quarantine.
+   * Records that this or another instance sent a suspected request to an endpoint. When the request was sent as often as
+   * allowed after its third crash, it is quarantined at once; if its last run completes, {@link completed} lifts the quarantine.
    */
   sent (fingerprint: RequestFingerprint, now: number): void {
     const decision = this.decisions.get(fingerprint)
@@ -186,7 +194,11 @@
     if (sends >= MAXIMUM_LATE_SENDS) this.quarantine({ fingerprint, crashes, strikes: 1, certain: false, until: now + quarantineMilliseconds(false, 1) })
   }
 
-  /** Clears a request after a completed run, which shows that it does not crash endpoints. @returns whether it was implicated or quarantined */
+  /**
+   * Clears a request after a completed run, which shows that the request does not crash endpoints.
+   *
+   * @returns whether the request was implicated or quarantined
+   */
   completed (fingerprint: RequestFingerprint): boolean {
     const wasImplicated = this.implicated.has(fingerprint)
     for (const record of this.crashes.values()) record.aboard.delete(fingerprint)
@@ -196,7 +208,7 @@
 
   /**
    * Quarantines a request and clears the other requests that were in flight at its crashes. Replaces an existing decision only if
-   * the new one has more strikes.
+   * the new one counts more quarantines in a row (`strikes`).
    */
   quarantine (decision: QuarantineDecision): void {
     const { fingerprint, strikes } = decision
@@ -214,7 +226,12 @@
     if (decision !== undefined) this.decisions.set(fingerprint, { ...decision, until: -Infinity })
   }
 
-  /** Removes the quarantine decision on a request and its part in all crashes. @returns whether there was a decision */
+  /**
+   * Removes the quarantine decision on a request, and removes the request from the records of all crashes at which it was in
+   * flight.
+   *
+   * @returns whether there was a decision
+   */
   release (fingerprint: RequestFingerprint): boolean {
     if (!this.decisions.delete(fingerprint)) return false
     this.count(fingerprint, -1)
@@ -253,14 +270,17 @@
     return next
   }
 
-  /** Uses up the one trial run after a quarantine. Sends that began before the quarantine ended change nothing. */
+  /** Uses up the one trial run after a quarantine. A send before the end of the quarantine changes nothing. */
   private recordTrialSend (decision: QuarantineDecision, now: number): void {
     if (now < decision.until) return
     const strikes = decision.strikes + 1
     this.decisions.set(decision.fingerprint, { ...decision, strikes, until: now + quarantineMilliseconds(decision.certain, strikes) })
   }
 
-  /** @returns whether the request ran in isolation; another request at the endpoint may have become suspected only after that run began */
+  /**
+   * @returns whether the request ran in isolation and no other request at the endpoint is suspected; another one may have become
+   *   suspected only after the isolated run began
+   */
   private isConclusive ({ aboard }: CrashRecord, fingerprint: RequestFingerprint): boolean {
     if (aboard.get(fingerprint)?.isolated !== true) return false
     return [...aboard.keys()].every((other) => other === fingerprint || this.crashCount(other) < CRASHES_TO_ISOLATE)
@@ -276,7 +296,10 @@
     }, 1)
   }
 
-  /** @returns crashes per endpoint and millisecond in the windows before this crash */
+  /**
+   * @returns crashes of the service per endpoint and millisecond shortly before this crash: the highest rate among the windows of
+   *   `CRASH_RATE_WINDOWS_MILLISECONDS`, where one crash is added to each so that no rate is 0
+   */
   private rateAt ({ service, at }: EndpointCrash, others: readonly CrashRecord[]): number {
     const endpoints = Math.max(1, this.endpointCount(service))
     const rates = CRASH_RATE_WINDOWS_MILLISECONDS.map((milliseconds) => {
@@ -295,7 +318,7 @@
     return this.decisions.size > 0 && [...aboard.keys()].some((fingerprint) => this.decisions.has(fingerprint))
   }
 
-  /** Clears all requests in flight at a crash whose cause is known or no longer looked for. */
+  /** Removes the suspicion from all requests in flight at a crash whose cause is known or no longer looked for. */
   private explain (record: CrashRecord): void {
     for (const fingerprint of record.aboard.keys()) this.exonerate(fingerprint, record.life)
   }
@@ -343,7 +366,7 @@
   return certain ? CERTAIN_QUARANTINE_MILLISECONDS : UNCERTAIN_QUARANTINE_MILLISECONDS * QUARANTINE_GROWTH_FACTOR ** (strikes - 1)
 }
 
-/** Adds a request to a crash. Several instances may have sent copies of it to the endpoint, so an existing entry is merged. */
+/** Adds a request to a crash. Several instances may have sent copies of the request to the endpoint, so an existing entry is merged. */
 function addInFlight ({ aboard }: CrashRecord, { fingerprint, milliseconds, isolated }: InFlightRequest): void {
   const existing = aboard.get(fingerprint)
   aboard.set(fingerprint, {
--- a/packages/decisions/src/retries/retry-budget.ts
+++ b/packages/decisions/src/retries/retry-budget.ts
@@ -1,8 +1,11 @@
-/** Limits retries to a share of the recent first attempts, so that retries cannot multiply the load of an overloaded service. */
+/**
+ * Limits the number of retries to a fraction of the number of recent first attempts, so that retries cannot multiply the load of
+ * an overloaded service.
+ */
 export abstract class RetryBudget {
-  /** Records a first attempt. */
+  /** Records a first attempt, which adds to the budget. */
   abstract deposit (now: number): void
 
-  /** @returns whether a retry may be made now; if so, it is deducted from the budget */
+  /** @returns whether a retry may be made now; if so, the retry is deducted from the budget */
   abstract withdraw (now: number): boolean
 }
--- a/packages/decisions/src/retries/share-retry-budget.ts
+++ b/packages/decisions/src/retries/share-retry-budget.ts
@@ -1,11 +1,13 @@
+/** Retry budget that allows retries in proportion to recent first attempts. */
 import { RetryBudget } from './retry-budget.js'
 
 /** Size of the budget. */
 export interface ShareRetryBudgetOptions {
-  /** Retries allowed per first attempt. */
+  /** Number of retries allowed per first attempt in the window, for example 0.1. */
   readonly share?: number
-  /** Retries always allowed in a window, so that a team with few requests can retry at all. */
+  /** Number of retries allowed in a window in any case, so that a team with few requests can retry at all. */
   readonly minimumRetries?: number | (() => number)
+  /** Length of the sliding window in which first attempts and retries are counted. */
   readonly windowMilliseconds?: number
 }
 
@@ -15,9 +17,10 @@
   retries: number
 }
 
+/** Number of parts of the window that are counted separately; the oldest part is dropped as the window moves on. */
 const BUCKETS = 10
 
-/** Sliding-window budget: in any window, retries are at most `minimumRetries + share × first attempts`. */
+/** Budget over a sliding window: a retry is allowed only while the retries in the window stay within `minimumRetries + share × first attempts`. */
 export class ShareRetryBudget extends RetryBudget {
   private readonly share: number
   private readonly minimumRetries: () => number
--- a/packages/decisions/src/routing/engine-speeds.ts
+++ b/packages/decisions/src/routing/engine-speeds.ts
@@ -1,16 +1,22 @@
-/** Prefill rate of the fastest engine before any prompt was measured. */
+/** Estimates how fast the engines are relative to each other, from the response streams that they produce. */
+
+/** Prefill rate assumed for the fastest engine before any prompt was measured. Prefill is the processing of the prompt before the first output. */
 const INITIAL_PREFILL_TOKENS_PER_MILLISECOND = 35
 /** Prompts below this size are not measured, since network delay dominates the time until their first event. */
 const MINIMUM_PROMPT_TOKENS = 2_000
-/** Weight of the latest sample in the moving averages. */
+/** Weight of the latest sample in the moving averages of event spacing and prefill rate. */
 const SMOOTHING_FACTOR = 0.2
-/** Streams needed before an engine's event spacing is used. */
+/** Number of measured streams needed before the event spacing of an engine is used. */
 const MINIMUM_STREAMS = 3
-/** Bounds the factor by which a sample may differ from the current prefill rate, since the prompt may have waited for others. */
+/**
+ * Bounds the factor by which a sample may differ from the current prefill rate, since the prompt may have waited for the prefill
+ * of other prompts.
+ */
 const MAXIMUM_CHANGE_FACTOR = 2
+/** Upper bound of {@link EngineSpeeds.slowness}, the factor by which an engine is slower than the fastest one. */
 const MAXIMUM_SLOWNESS = 6
 
-/** Average event spacing of one engine. */
+/** Average time between two events of a response stream on one engine, and the number of streams measured. */
 interface Spacing {
   milliseconds: number
   streams: number
@@ -21,8 +27,8 @@
  *
  * Engines of one service differ in speed without reporting it. While an engine prefills a long prompt, all its streams pause.
  * On an engine that is a third slower, the pause exceeds what callers accept, and every stream there is late. The spacing of
- * events shows the relative speed of an engine within a few streams. The prefill rate differs between engines by the same
- * factor, so a single rate is learnt from long prompts on all of them.
+ * events, that is, the time between two events of a stream, shows the relative speed of an engine within a few streams. The
+ * prefill rate differs between engines by the same factor, so a single rate is learnt from long prompts on all of them.
  */
 export class EngineSpeeds {
   private readonly spacings = new Map<string, Spacing>()
@@ -39,7 +45,7 @@
     spacing.milliseconds += SMOOTHING_FACTOR * (milliseconds - spacing.milliseconds)
   }
 
-  /** Records that the engine prefilled a prompt of this many tokens in this time. */
+  /** Records that the engine took this time to prefill a prompt of this many tokens. */
   recordPrefill (endpoint: string, tokens: number, milliseconds: number): void {
     if (tokens < MINIMUM_PROMPT_TOKENS || milliseconds <= 0) return
     const sample = tokens / milliseconds * this.slowness(endpoint)
--- a/packages/decisions/src/routing/error-rates.ts
+++ b/packages/decisions/src/routing/error-rates.ts
@@ -1,12 +1,13 @@
+/** Finds endpoints that respond with errors much more often than other endpoints of their service. */
 import type { EndpointId } from '@limpetwinch/core'
 
 /** Thresholds and smoothing of {@link ErrorRates}. */
 export interface ErrorRatesOptions {
-  /** Weight of the latest response in the moving average, 0 to 1. */
+  /** Weight of the latest response in the moving average of the error rate, 0 to 1. */
   readonly smoothing?: number
   /** Error rate below which an endpoint is never an outlier, 0 to 1. */
   readonly minimumErrorRate?: number
-  /** Factor by which the error rate of an outlier exceeds the mean rate of its peers. */
+  /** Factor by which the error rate of an outlier exceeds the mean error rate of the other endpoints of the service. */
   readonly peerFactor?: number
 }
 
@@ -14,7 +15,7 @@
  * Finds endpoints whose error rate is much higher than that of their peers.
  *
  * Some services respond to part of their requests with errors in normal operation, so consecutive failures do not identify a
- * failing endpoint. Its error rate compared with the other endpoints of the service does.
+ * failing endpoint. A comparison of its error rate with those of the other endpoints of the service does.
  */
 export class ErrorRates {
   private readonly rates = new Map<EndpointId, number>()
--- a/packages/decisions/src/routing/event-spacing.ts
+++ b/packages/decisions/src/routing/event-spacing.ts
@@ -1,9 +1,15 @@
-/** Number of gaps that is enough for an estimate; later gaps of the stream are ignored. */
+/** Measures the time between the events of one response stream. The relative speed of engines is estimated from it, see `engine-speeds.ts`. */
+
+/** Number of measured gaps, that is, times between two consecutive events, that is enough for an estimate; later gaps of the stream are ignored. */
 const MAXIMUM_GAPS = 32
+/** Number of measured gaps below which there is no estimate. */
 const MINIMUM_GAPS = 6
-/** Shorter gaps are ignored: the events arrived in one chunk, so their gap does not show the spacing. */
+/** Shorter gaps are ignored: the two events arrived in one chunk, so the gap between them does not show the spacing. */
 const MINIMUM_GAP_MILLISECONDS = 2
-/** On a busy engine fewer than half of the gaps are free of other requests' prefill, but a quarter usually are. */
+/**
+ * Quantile of the gaps that is taken as the spacing. On a busy engine fewer than half of the gaps are free of other requests'
+ * prefill, but a quarter usually are.
+ */
 const GAP_QUANTILE = 0.25
 
 /** Estimates the spacing of one stream's events without the pauses in which the engine prefilled other requests' prompts. */
@@ -15,7 +21,7 @@
     if (this.gaps.length < MAXIMUM_GAPS && milliseconds >= MINIMUM_GAP_MILLISECONDS) this.gaps.push(milliseconds)
   }
 
-  /** Event spacing in milliseconds; undefined while the stream has too few gaps. */
+  /** Time between two events of the stream, milliseconds; undefined while the stream has too few gaps. */
   get milliseconds (): number | undefined {
     if (this.gaps.length < MINIMUM_GAPS) return undefined
     const sorted = this.gaps.toSorted((left, right) => left - right)
--- a/packages/decisions/src/routing/outlier-ejection.ts
+++ b/packages/decisions/src/routing/outlier-ejection.ts
@@ -1,13 +1,15 @@
+/** Outlier ejection: keeps requests away from endpoints that fail repeatedly. */
 import type { EndpointId } from '@limpetwinch/core'
 
 /** Thresholds and durations of {@link OutlierEjection}. */
 export interface OutlierEjectionOptions {
   /** Consecutive failures after which an endpoint is ejected. */
   readonly failuresToEject?: number
-  /** Duration of the first ejection, milliseconds; doubled with each further ejection during recovery. */
+  /** Duration of the first ejection, milliseconds; doubled with each further ejection until the endpoint has recovered. */
   readonly ejectionMilliseconds?: number
+  /** Upper bound of the duration of an ejection. */
   readonly longestEjectionMilliseconds?: number
-  /** Share of the endpoints that stays usable however many fail, 0 to 1. */
+  /** Fraction of the endpoints that stays usable however many fail, 0 to 1. */
   readonly minimumUsableShare?: number
   /** Time after an ejection during which one failure ejects the endpoint again and its penalty falls to 0, milliseconds. */
   readonly recoveryMilliseconds?: number
@@ -20,6 +22,7 @@
   lastFailureAt: number
 }
 
+/** Upper bound of the exponent of 2, so that the duration stays a finite number after any number of ejections. */
 const MAXIMUM_DOUBLINGS = 16
 
 /** Ejects endpoints that fail several times in a row and penalises them after their return. Only endpoints that failed use memory. */
@@ -57,7 +60,7 @@
     this.records.set(endpoint, current)
     current.consecutiveFailures += 1
     current.lastFailureAt = now
-    // Attempts that were in flight when the endpoint was ejected may fail during the ejection. They must not extend it.
+    // Attempts that were in flight when the endpoint was ejected may fail during the ejection. Such failures must not extend the ejection.
     if (now < current.ejectedUntil) return
     const onProbation = current.ejections > 0 && now < current.ejectedUntil + this.recoveryMilliseconds
     if (current.consecutiveFailures < this.failuresToEject && !onProbation) return
@@ -72,11 +75,12 @@
    * Selects the endpoints that may be used.
    *
    * If a network fault makes most endpoints fail, ejecting all of them would send all requests to the few that are left and
-   * overload them. A minimum share therefore stays usable, completed by the ejected endpoints whose ejection ends first.
+   * overload them. A minimum fraction of the endpoints therefore stays usable. If too few are left, the ejected endpoints whose
+   * ejection ends first are added.
    *
    * @param endpoints - the candidates
    * @param now - monotonic milliseconds
-   * @returns the candidates that are not ejected, plus ejected ones up to the minimum share
+   * @returns the candidates that are not ejected, plus ejected ones up to the minimum fraction
    */
   usable<Item extends { readonly endpoint: EndpointId }> (endpoints: readonly Item[], now: number): readonly Item[] {
     if (this.records.size === 0) return endpoints
@@ -93,7 +97,10 @@
     return this.ejectedUntil(endpoint) > now
   }
 
-  /** @returns 1 for an endpoint that just failed or returned from ejection, falling to 0 over the recovery time */
+  /**
+   * @returns the penalty of an endpoint, 0 to 1: 1 for an endpoint that just failed or returned from ejection, falling to 0 over
+   *   the recovery time
+   */
   penalty (endpoint: EndpointId, now: number): number {
     const record = this.records.get(endpoint)
     if (record === undefined) return 0
--- a/packages/decisions/src/routing/routing-policy.ts
+++ b/packages/decisions/src/routing/routing-policy.ts
@@ -1,6 +1,10 @@
+/** Contract of the policies that choose an endpoint for each request. */
 import type { DataCentreId, EndpointId } from '@limpetwinch/core'
 
-/** Router's view of an engine. Engine reports lag, so `sentSinceReport` counts the requests sent after the latest report. */
+/**
+ * An engine as the router sees it. The reports of an engine are delayed, so `sentSinceReport` counts the requests sent to the
+ * engine after its latest report.
+ */
 export interface EndpointView {
   readonly endpoint: EndpointId
   readonly dataCentre: DataCentreId
@@ -17,16 +21,16 @@
   readonly leaving: boolean
   /**
    * Number of queued requests that would be served before a new request of the team. Under fair queueing, a long queue of
-   * another team does not delay it. `queued` is used when this is absent.
+   * another team does not delay the request. `queued` is used when this is absent.
    */
   readonly queuedBefore?: (team: string) => number
-  /** Adapter loads that are waiting or running for this engine. */
+  /** Number of adapter loads that are waiting or running for this engine. */
   readonly pendingLoads: number
   /** @returns whether the adapter `team/adapter@version` is loaded or being loaded */
   readonly holds: (adapter: string) => 'loaded' | 'loading' | 'absent'
   /** @returns number of requests that the eviction for one more load is expected to stall: 0 with a free slot, Infinity if all are pinned */
   readonly evictionCost?: () => number
-  /** @returns the share of the prompt that is probably in the engine's prefix cache, 0 to 1 */
+  /** @returns the fraction of the prompt that is probably in the engine's prefix cache, 0 to 1 */
   readonly cachedShare: (prompt: string) => number
 }
 
@@ -40,7 +44,7 @@
   readonly promptTokens: number
   readonly maximumTokens: number
   readonly priority: number
-  /** The team's recent service divided by its fair share of all teams' service; 1, the fair value, is used when this is absent. */
+  /** The team's recent service in tokens, divided by its fair share of all teams' service. If absent, the fair value 1 is used. */
   readonly shareUsed?: number
   /** Endpoints on which this request has already failed. */
   readonly avoid: ReadonlySet<EndpointId>
--- a/packages/decisions/src/routing/weighted-routing-policy.ts
+++ b/packages/decisions/src/routing/weighted-routing-policy.ts
@@ -1,3 +1,4 @@
+/** Routing policy that sends each request to the endpoint with the lowest expected cost. */
 import type { EndpointId } from '@limpetwinch/core'
 import { OutlierEjection } from './outlier-ejection.js'
 import type { OutlierEjectionOptions } from './outlier-ejection.js'
@@ -5,43 +6,51 @@
 import { RoutingPolicy } from './routing-policy.js'
 import type { EndpointView, RoutingRequest } from './routing-policy.js'
 
-/** Parameters of the cost model. */
+/** Parameters of the estimate of what it costs to send a request to an endpoint. */
 export interface WeightedRoutingOptions {
   /** Trade-off between avoiding load stalls (0) and filling batches (1). */
   readonly batchEfficiencyWeight?: number
   /** Adapter loads per second of the whole deployment. */
   readonly loadsPerSecond?: number
-  /** Duration of one decoding step, milliseconds. */
+  /** Duration of one decoding step, in which each running request gets one output token, milliseconds. */
   readonly stepMilliseconds?: number
   /** Output tokens of a typical request. */
   readonly usualOutputTokens?: number
   /** Prefill rate, tokens per millisecond. */
   readonly promptTokensPerMillisecond?: number
-  /** Roles of engines that accept requests. */
+  /** Engines with one of these roles accept requests; by default the roles in `DEFAULT_ROLES`. An engine reports its role, which may be empty. */
   readonly roles?: readonly string[]
   readonly ejection?: OutlierEjectionOptions
 }
 
 /** Aggregates over all candidates, computed once per request. */
 interface CandidateTotals {
+  /** Adapter loads that are waiting or running for all candidates together. */
   readonly pendingLoads: number
   /** Candidates on which the adapter is loaded or being loaded. */
   readonly copies: number
-  /** Length of the shortest queue among the copies; Infinity without copies. */
+  /** Number of requests in the shortest queue among the engines with a copy; Infinity without copies. */
   readonly shortestQueueAtCopies: number
 }
 
 const DEFAULT_ROLES: readonly string[] = ['', 'generate', 'mixed', 'decode', 'serve']
+/** Cost of an endpoint that just failed or returned from ejection; the cost falls to 0 during its recovery. */
 const FAILURE_PENALTY_MILLISECONDS = 2_000
-/** Cost of an empty batch at a weight of 1, divided evenly between its places. One empty place costs less than one request that waits. */
+/**
+ * Cost of an empty batch at a batch efficiency weight of 1, divided evenly between the places of the batch. One empty place costs
+ * less than one request that waits.
+ */
 const EMPTY_BATCH_MILLISECONDS = 250
-/** Cost of the longer steps of a full batch at a weight of 0. */
+/** Cost of the longer decoding steps of a full batch at a batch efficiency weight of 0. */
 const FULL_BATCH_MILLISECONDS = 20
-/** Maximum cost of an endpoint that is not the home of the adapter. */
+/** Upper bound of the cost of an endpoint that is not the home of the adapter, that is, the one that rendezvous hashing prefers. */
 const HOME_PREFERENCE_MILLISECONDS = 20
-/** A team that had less than this part of its fair share may have another copy of an adapter loaded where its turn comes sooner. */
+/**
+ * A team that got at most this part of its fair share of the service may have another copy of an adapter loaded, on an engine
+ * that serves the team sooner.
+ */
 const SERVED_SHARE_THRESHOLD = 0.6
-/** Length of the queue at which the cost of another copy is halved. */
+/** Number of requests in the shortest queue among the existing copies at which the cost of loading another copy is halved. */
 const COPY_COST_HALVING_QUEUE = 4
 
 /**
@@ -106,8 +115,8 @@
 
   /** @returns the wait for a place in the batch, milliseconds; requests sent since the latest report count as queued */
   private queueWait (request: RoutingRequest, view: EndpointView, totals: CandidateTotals): number {
-    // A team is served sooner on an engine where it has no queue yet. For a team that already gets its share, this is no reason
-    // to load another copy: its share counts over all engines, and in an overload copies would only use up the load capacity.
+    // A team is served sooner on an engine where it has no queue yet. For a team that already gets its fair share, this is no
+    // reason to load another copy: the share counts over all engines, and in an overload copies would only use up the load capacity.
     const isNewCopy = totals.copies > 0 && request.adapter !== undefined && view.holds(request.adapter) === 'absent'
     const hasShare = (request.shareUsed ?? 1) > SERVED_SHARE_THRESHOLD
     const before = isNewCopy && hasShare ? view.queued : queuedBefore(request, view)
@@ -167,7 +176,10 @@
   return view.queuedBefore?.(request.team) ?? view.queued
 }
 
-/** Estimate for an engine whose owner reports no eviction cost. Each adapter prefers its home endpoint, which spreads loads over all slots. */
+/**
+ * Estimates the eviction cost of an engine whose owner reports none, in stalled requests. Each adapter prefers its home endpoint,
+ * which spreads loads over all slots.
+ */
 function estimatedEvictionCost (adapter: string, view: EndpointView): number {
   return view.pinnedSlots / view.slots + 1 - rendezvousWeight(adapter, view.endpoint)
 }
