--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -1,26 +1,26 @@
-/** Histograms for each team and class, and the same figures sent out as metrics. */
+/** Request metrics by team and priority class, kept as histograms and sent to a StatsD collector. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import { StatsD } from 'hot-shots'
 
-/** What is measured, milliseconds. */
+/** Names of the measured times. All of them are in milliseconds. */
 export const METRIC_NAMES = ['load_stall', 'queue_wait', 'first_token', 'between_tokens', 'whole'] as const
-/** One of them. */
+/** Name of a measured time. */
 export type MetricName = (typeof METRIC_NAMES)[number]
 
-/** How a request ended, as counted. */
+/** Outcome of a request as counted in the metrics. */
 export type CountedOutcome = 'answered' | 'not_run' | 'unknown'
 
 const MAXIMUM_MILLISECONDS = 3_600_000
 const MICROSECONDS_PER_MILLISECOND = 1_000
 
-/** Where metrics go; without it they are only kept. */
+/** Address of a StatsD collector. Without one, metrics are only kept in memory. */
 export interface StatsDTarget {
   readonly host: string
   readonly port: number
 }
 
-/** The figures of one team and class. */
+/** Metrics of one team and priority class. */
 export class MetricSeries {
   readonly team: string
   readonly priorityClass: string
@@ -29,9 +29,9 @@
   private readonly metrics: StatsD | undefined
 
   /**
-   * @param team - whose requests
-   * @param priorityClass - of which class
-   * @param metrics - where they are sent as well
+   * @param team - the team of the requests
+   * @param priorityClass - the priority class of the requests
+   * @param metrics - the StatsD client, or undefined when metrics are only kept in memory
    */
   constructor (team: string, priorityClass: string, metrics: StatsD | undefined) {
     this.team = team
@@ -39,47 +39,53 @@
     this.metrics = metrics
   }
 
-  /** Records a time, milliseconds. */
-  recordTime (measure: MetricName, milliseconds: number): void {
-    this.histogram(measure).recordValue(Math.max(1, Math.min(MAXIMUM_MILLISECONDS, milliseconds) * MICROSECONDS_PER_MILLISECOND))
-    // A metric for each token would cost more than relaying it; the histogram holds them.
-    if (measure !== 'between_tokens') this.metrics?.histogram(measure, milliseconds, { team: this.team, class: this.priorityClass })
+  /** Records a time in milliseconds. */
+  recordTime (metric: MetricName, milliseconds: number): void {
+    this.histogram(metric).recordValue(Math.max(1, Math.min(MAXIMUM_MILLISECONDS, milliseconds) * MICROSECONDS_PER_MILLISECOND))
+    // Sending a metric for each token would cost more than relaying the token, so only the histogram records this time.
+    if (metric !== 'between_tokens') this.metrics?.histogram(metric, milliseconds, { team: this.team, class: this.priorityClass })
   }
 
-  /** Counts how a request ended. */
+  /** Counts the outcome of a request. */
   outcome (outcome: CountedOutcome): void {
     this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1)
     this.metrics?.increment('requests', { team: this.team, class: this.priorityClass, outcome })
   }
 
-  /** @returns the figures, milliseconds by measure */
+  /** @returns the counted outcomes, and the times in milliseconds by metric name */
   summary (): Record<string, unknown> {
-    const times = [...this.histograms.entries()].map(([measure, histogram]) => [measure, summaryOf(histogram)])
+    const times = [...this.histograms.entries()].map(([metric, histogram]) => [metric, summaryOf(histogram)])
     return { team: this.team, class: this.priorityClass, outcomes: Object.fromEntries(this.outcomes), milliseconds: Object.fromEntries(times) }
   }
 
-  private histogram (measure: MetricName): Histogram {
-    const present = this.histograms.get(measure)
+  private histogram (metric: MetricName): Histogram {
+    const present = this.histograms.get(metric)
     if (present !== undefined) return present
-    const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_MILLISECONDS * MICROSECONDS_PER_MILLISECOND, numberOfSignificantValueDigits: 2, useWebAssembly: false, bitBucketSize: 32 })
-    this.histograms.set(measure, histogram)
+    const histogram = build({
+      lowestDiscernibleValue: 1,
+      highestTrackableValue: MAXIMUM_MILLISECONDS * MICROSECONDS_PER_MILLISECOND,
+      numberOfSignificantValueDigits: 2,
+      useWebAssembly: false,
+      bitBucketSize: 32
+    })
+    this.histograms.set(metric, histogram)
     return histogram
   }
 }
 
-/** The figures of one instance. */
+/** Metrics of one instance. */
 export class Metrics {
   private readonly seriesByKey = new Map<string, MetricSeries>()
   private readonly metrics: StatsD | undefined
 
-  /** @param target - where metrics are sent by UDP */
+  /** @param target - the StatsD collector that metrics are sent to over UDP, or undefined to only keep them in memory */
   constructor (target: StatsDTarget | undefined) {
     if (target === undefined) return
-    // An unreachable collector must not end the instance, and hot-shots throws without a handler.
+    // hot-shots throws errors when it has no error handler, and an unreachable collector must not end the instance.
     this.metrics = new StatsD({ host: target.host, port: target.port, prefix: 'limpetwinch.', errorHandler: () => undefined })
   }
 
-  /** @returns the series of a team and class */
+  /** @returns the metrics of a team and priority class, created if there are none yet */
   series (team: string, priorityClass: string): MetricSeries {
     const key = `${team} ${priorityClass}`
     const present = this.seriesByKey.get(key)
@@ -89,12 +95,12 @@
     return series
   }
 
-  /** @returns the figures, for the admin path */
+  /** @returns the metrics of all teams and priority classes, for the admin API */
   summary (): unknown[] {
     return [...this.seriesByKey.values()].map((series) => series.summary())
   }
 
-  /** Sends what waits and closes the socket. */
+  /** Sends buffered metrics and closes the socket. */
   close (): void {
     this.metrics?.close()
   }
