--- a/packages/entry/src/callers/authentication.ts
+++ b/packages/entry/src/callers/authentication.ts
@@ -1,18 +1,21 @@
-/** Which team a key belongs to. Keys are kept only as SHA-256, so a look-up by hash tells nothing by its time. */
+/**
+ * Authenticates callers by API key. The settings hold only the SHA-256 of a key, so the duration of a lookup by hash reveals
+ * nothing about the key.
+ */
 import { createHash } from 'node:crypto'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { OperatorSettings, TeamId } from '@limpetwinch/core'
 
-/** Who calls: the teams whose settings hold the key, with the role that each gives it. */
+/** Teams whose settings list the caller's key, with the role that each team gives to the key. */
 export type CallerTeams = ReadonlyMap<TeamId, 'caller' | 'owner'>
 
 /**
- * Looks keys up; the index is made anew when settings have changed.
+ * Resolves an API key to its teams. The index by key hash is rebuilt whenever the settings have changed.
  *
- * The same hash may stand in several teams. Were the last one to win, an owner who puts another team's hash into the
- * own subtree would take that team's callers away from it; so a key reaches every team that holds it.
+ * Several teams may list the same hash, and the key then belongs to all of them. If only the last team counted, an owner
+ * who copied the hash of another team's key into the settings of the own team would take over the callers of that team.
  */
 export class Authentication {
   private settings: OperatorSettings | undefined
@@ -20,8 +23,8 @@
 
   /**
    * @param header - the `Authorization` header
-   * @param settings - what is in force
-   * @returns the caller's teams, or `unauthorized`
+   * @param settings - the operator settings in force
+   * @returns the teams of the caller, or the error `unauthorized`
    */
   check (header: string | undefined, settings: OperatorSettings): Result<CallerTeams, LimpetwinchError> {
     const key = /^Bearer (\S+)$/i.exec(header ?? '')?.[1]
--- a/packages/entry/src/callers/body-reader.ts
+++ b/packages/entry/src/callers/body-reader.ts
@@ -1,22 +1,22 @@
-/** Reads a caller's body within its limits. */
+/** Reads request bodies within limits on size and time. */
 import type { IncomingMessage } from 'node:http'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
 
-/** How much may come, and for how long. */
+/** Limits on a request body: its size in bytes, and the time in seconds within which the whole body must arrive. */
 export interface BodyLimits {
   readonly bytes: number
   readonly seconds: number
 }
 
 /**
- * Reads a whole body. A caller that sends slowly, or stops in the middle, would hold memory and a connection for ever;
- * the time limit is for the whole body, so that a byte now and then does not stretch it.
+ * Reads a complete request body. The time limit covers the whole body and does not restart with each chunk. Otherwise a
+ * caller that sends a byte now and then, or stops midway, could hold memory and a connection indefinitely.
  *
  * @param message - the request
- * @param limits - bytes and seconds
- * @returns the body, `body-too-large`, `body-timeout` or `request-ended-early`
+ * @param limits - the maximum size and time
+ * @returns the body, or the error `body-too-large`, `body-timeout` or `request-ended-early`
  */
 export async function readBody (message: IncomingMessage, limits: BodyLimits): Promise<Result<Buffer, LimpetwinchError>> {
   if (Number(message.headers['content-length'] ?? 0) > limits.bytes) return err(bodyTooLarge(limits))
@@ -42,8 +42,8 @@
 }
 
 /**
- * @param body - bytes that should be one JSON object in UTF-8
- * @returns the value, or `malformed-json`
+ * @param body - bytes that are expected to be JSON in UTF-8
+ * @returns the parsed value, or the error `malformed-json`
  */
 export function parseJson (body: Buffer): Result<unknown, LimpetwinchError> {
   try {
--- a/packages/entry/src/callers/caller-api.ts
+++ b/packages/entry/src/callers/caller-api.ts
@@ -1,4 +1,4 @@
-/** HTTP towards callers. */
+/** HTTP routes for callers: completions, the list of models, and calls of plain services. */
 import { Hono } from 'hono'
 import type { Context } from 'hono'
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response'
@@ -6,15 +6,15 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { LimpetwinchError, newRequestId } from '@limpetwinch/core'
 import type { OperatorSettings, TeamId } from '@limpetwinch/core'
-import { refuse } from './completions.js'
+import { sendErrorResponse } from './completions.js'
 import type { Completions, CompletionsOptions } from './completions.js'
 import type { ServiceCalls } from './service-calls.js'
 
-/** What the caller API works with. */
+/** Dependencies of the caller API. */
 export interface CallerApiOptions extends CompletionsOptions {
   readonly completions: Completions
   readonly serviceCalls: ServiceCalls
-  /** Tells of each request that begins and ends, for the graceful stop. */
+  /** Registers a request in progress until its promise settles, so that a graceful stop can wait for it. */
   readonly trackRequest: (work: Promise<void>) => Promise<void>
 }
 
@@ -22,8 +22,8 @@
 type RequestHandler = (message: IncomingMessage, response: ServerResponse) => Promise<void>
 
 /**
- * @param options - what it works with
- * @returns the routes for callers; answers are written straight onto the connection, a part at a time
+ * @param options - the dependencies of the routes
+ * @returns the routes for callers. Handlers write responses directly to the connection, so that they can stream them
  */
 export function callerApi (options: CallerApiOptions): Hono<{ Bindings: HttpBindings }> {
   const app = new Hono<{ Bindings: HttpBindings }>()
@@ -37,7 +37,7 @@
   app.get('/v1/models', serve(async (message, response) => listModels(options, message, response)))
   app.all('/services/*', serve(async (message, response) => await options.serviceCalls.serve(message, response)))
   app.notFound((context) => {
-    refuse(context.env.outgoing, new LimpetwinchError('unknown-path', { path: context.req.path.slice(0, 80) }), newRequestId())
+    sendErrorResponse(context.env.outgoing, new LimpetwinchError('unknown-path', { path: context.req.path.slice(0, 80) }), newRequestId())
     return RESPONSE_ALREADY_SENT
   })
   return app
@@ -47,10 +47,10 @@
   const settings = options.settings()
   const requestId = newRequestId()
   if (settings === undefined) {
-    return refuse(response, new LimpetwinchError('store-unavailable', { reason: 'no settings yet' }, { retryAfterSeconds: 1 }), requestId)
+    return sendErrorResponse(response, new LimpetwinchError('store-unavailable', { reason: 'no settings yet' }, { retryAfterSeconds: 1 }), requestId)
   }
   const caller = options.authentication.check(message.headers.authorization, settings)
-  if (caller.isErr()) return refuse(response, caller.error, requestId)
+  if (caller.isErr()) return sendErrorResponse(response, caller.error, requestId)
   response.writeHead(200, { 'content-type': 'application/json', 'x-request-id': requestId })
   response.end(JSON.stringify({ object: 'list', data: [...caller.value.keys()].flatMap((team) => modelsOf(settings, team)) }))
 }
--- a/packages/entry/src/callers/caller-disconnect.ts
+++ b/packages/entry/src/callers/caller-disconnect.ts
@@ -1,14 +1,16 @@
-/** Tells that a caller has closed its connection before its answer was whole. */
+/** Detects that a caller closed its connection before the response was complete. */
 import type { ServerResponse } from 'node:http'
 
 /**
- * @param response - the caller's connection, which may have closed already: that is told once, and not to whoever listens
- *   after a wait
- * @returns aborted by the caller's leaving, or by whoever else gives the request up
+ * Creates a controller that is aborted when the caller disconnects before the response is complete.
+ *
+ * @param response - the response to the caller. Its connection may have closed already; the `close` event is emitted only
+ *   once, so a listener that is added later would miss it
+ * @returns the controller, which the calling code may also abort itself, for example on a timeout
  */
 export function abortOnDisconnect (response: ServerResponse): AbortController {
-  const gone = new AbortController()
-  if (response.destroyed) gone.abort()
-  response.on('close', () => { if (!response.writableFinished) gone.abort() })
-  return gone
+  const cancellation = new AbortController()
+  if (response.destroyed) cancellation.abort()
+  response.on('close', () => { if (!response.writableFinished) cancellation.abort() })
+  return cancellation
 }
--- a/packages/entry/src/callers/completion-request.ts
+++ b/packages/entry/src/callers/completion-request.ts
@@ -1,4 +1,4 @@
-/** What callers may ask for: the parts of the OpenAI request forms that limpetwinch uses. Other fields are left alone. */
+/** Parses completion requests: the fields of the OpenAI request formats that limpetwinch uses. Other fields are ignored. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -7,7 +7,10 @@
 const DEFAULT_MAXIMUM_TOKENS = 256
 const MAXIMUM_TOKENS = 131_072
 const MAXIMUM_MESSAGES = 4_096
-/** A rough count without the model's own tokenizer; the engine's count replaces it when the answer ends. */
+/**
+ * Estimates prompt tokens without the tokenizer of the model. The engine's own count replaces the estimate at the end of the
+ * run.
+ */
 const CHARACTERS_PER_TOKEN = 4
 
 const maximumTokens = z.int().min(1).max(MAXIMUM_TOKENS)
@@ -30,10 +33,10 @@
 })
 const textSchema = z.looseObject({ ...commonFields, prompt: z.string() })
 
-/** Which of the two forms a request has. */
+/** Format of a completion request: a list of chat messages or a text prompt. */
 export type CompletionForm = 'chat' | 'text'
 
-/** A checked request. */
+/** A validated completion request. */
 export interface CompletionRequest {
   readonly form: CompletionForm
   readonly model: string
@@ -46,9 +49,9 @@
 }
 
 /**
- * @param form - which path was called
- * @param body - the parsed JSON
- * @returns the request, or `invalid-request` with the field that is wrong
+ * @param form - the format of the request, as given by the path that was called
+ * @param body - the parsed JSON body
+ * @returns the request, or the error `invalid-request` that names the invalid field
  */
 export function parseCompletion (form: CompletionForm, body: unknown): Result<CompletionRequest, LimpetwinchError> {
   if (form === 'chat') return check(chatSchema, body).map((fields) => build(form, fields, promptOf(fields.messages)))
--- a/packages/entry/src/callers/completion-response.ts
+++ b/packages/entry/src/callers/completion-response.ts
@@ -1,10 +1,10 @@
-/** Writes answers in the OpenAI forms, streamed or whole, straight onto the connection. */
+/** Writes completion responses in the OpenAI formats directly to the connection, streamed or as one JSON document. */
 import type { ServerResponse } from 'node:http'
 import type { LimpetwinchError, RequestId } from '@limpetwinch/core'
 import type { CompletionForm } from './completion-request.js'
 import { errorBody, errorHeaders, REQUEST_ID_HEADER } from './error-response.js'
 
-/** Who answers, named in every answer. */
+/** Identifies a request and the adapter version that serves it. Every completion response carries these values. */
 export interface ResponseIdentity {
   readonly requestId: RequestId
   readonly team: string
@@ -12,31 +12,34 @@
   readonly version: string
 }
 
-/** How an answer ended. */
+/** Finish reason and token counts of a completion. */
 export interface CompletionEnd {
   readonly finishReason: string
   readonly promptTokens: number
   readonly outputTokens: number
 }
 
-/** Writes one answer. */
+/** Writes the response to one completion request. */
 export abstract class CompletionResponse {
   protected readonly created = Math.floor(Date.now() / 1000)
 
   /**
-   * @param response - the connection
-   * @param form - chat or text
-   * @param identity - who answers
+   * @param response - the HTTP response to write to
+   * @param form - the format of the request, chat or text
+   * @param identity - the request and the adapter version that serves it
    */
   constructor (protected readonly response: ServerResponse, protected readonly form: CompletionForm, protected readonly identity: ResponseIdentity) {}
 
-  /** Writes one text. Resolves when the caller's connection takes more: a slow caller slows its own stream only. */
+  /**
+   * Adds a piece of text. Resolves when the connection accepts more data, so that a slow caller slows down only its own
+   * stream.
+   */
   abstract text (text: string): Promise<void>
 
-  /** Ends a whole answer. */
+  /** Completes the response with the finish reason and the token counts. */
   abstract end (end: CompletionEnd): void
 
-  /** Ends with an error. */
+  /** Ends the response with an error. */
   abstract endWithError (error: LimpetwinchError): void
 
   protected get modelName (): string {
@@ -73,7 +76,7 @@
   }
 }
 
-/** One JSON document at the end. */
+/** Collects the text and sends the response as one JSON document at the end. */
 export class JsonCompletionResponse extends CompletionResponse {
   private readonly texts: string[] = []
 
@@ -94,18 +97,21 @@
   }
 }
 
-/** Stands where the text of a chunk goes; no name may hold it. */
+/**
+ * Placeholder for the text in the chunk template. It contains null characters, which no team, adapter or version name may
+ * contain.
+ */
 const TEXT_PLACEHOLDER = '\u0000text\u0000'
 
-/** Server-sent events, ended by `[DONE]`; a caller that does not see it knows that the answer is not whole. */
+/** Streams the response as server-sent events that end with `[DONE]`. A stream without `[DONE]` is an incomplete response. */
 export class StreamedCompletionResponse extends CompletionResponse {
-  /** All of a chunk but its text, which is the same for each token. */
+  /** The parts of a chunk before and after its text. They are the same for each token, so they are serialized only once. */
   private chunkTemplate: { readonly before: string, readonly after: string } | undefined
 
   override async text (text: string): Promise<void> {
     const { before, after } = this.begin()
-    const roomLeft = this.response.write(before + JSON.stringify(text) + after)
-    if (!roomLeft && !this.response.destroyed) await waitForDrain(this.response)
+    const acceptsMore = this.response.write(before + JSON.stringify(text) + after)
+    if (!acceptsMore && !this.response.destroyed) await waitForDrain(this.response)
   }
 
   override end (end: CompletionEnd): void {
--- a/packages/entry/src/callers/completions.ts
+++ b/packages/entry/src/callers/completions.ts
@@ -1,4 +1,4 @@
-/** One completion from its headers to its last byte. */
+/** Serves completion requests, from reading the headers to writing the last byte of the response. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { randomInt } from 'node:crypto'
 import { err, ok } from 'neverthrow'
@@ -21,7 +21,7 @@
 import type { RequestOptions } from './request-options.js'
 import type { TeamAdmission, TeamLimiters } from './team-limiters.js'
 
-/** What completions work with. */
+/** Dependencies of completion serving. */
 export interface CompletionsOptions {
   readonly settings: () => OperatorSettings | undefined
   readonly authentication: Authentication
@@ -33,7 +33,7 @@
   readonly clock: Clock
 }
 
-/** A request that may go on to its delivery. */
+/** A request that has passed authentication and validation and can be delivered to an engine. */
 interface AcceptedRequest {
   readonly settings: OperatorSettings
   readonly reference: AdapterReference
@@ -42,32 +42,33 @@
   readonly delivery: DeliveryRequest
 }
 
+/** Exclusive upper bound of seeds that are chosen for requests without a seed. */
 const SEED_UPPER_BOUND = 2 ** 31
 
-/** Serves completions. */
+/** Serves chat and text completions over HTTP. */
 export class Completions {
   private readonly options: CompletionsOptions
 
-  /** @param options - what it works with */
+  /** @param options - the dependencies of completion serving */
   constructor (options: CompletionsOptions) {
     this.options = options
   }
 
-  /** Serves one request; resolves when the answer has ended. */
+  /** Serves one request. Resolves when the response has ended. */
   async serve (form: CompletionForm, message: IncomingMessage, response: ServerResponse): Promise<void> {
     const requestId = newRequestId()
     const accepted = await this.accept(form, message, requestId)
-    if (accepted.isErr()) return refuse(response, accepted.error, requestId)
+    if (accepted.isErr()) return sendErrorResponse(response, accepted.error, requestId)
     const { reference, settings, completion, options } = accepted.value
-    const passage = this.options.teamLimiters.admit(reference.team, settings, completion.promptTokens, completion.maximumTokens)
-    if (passage.isErr()) {
+    const admission = this.options.teamLimiters.admit(reference.team, settings, completion.promptTokens, completion.maximumTokens)
+    if (admission.isErr()) {
       this.options.measures.series(reference.team, options.priorityClass).outcome('not_run')
-      return refuse(response, passage.error, requestId)
+      return sendErrorResponse(response, admission.error, requestId)
     }
     try {
-      await this.claimAndDeliver(accepted.value, passage.value, response)
+      await this.claimAndDeliver(accepted.value, admission.value, response)
     } finally {
-      passage.value.finish(0)
+      admission.value.finish(0)
     }
   }
 
@@ -77,16 +78,22 @@
     const caller = this.options.authentication.check(message.headers.authorization, settings)
     if (caller.isErr()) return err(caller.error)
     const body = await readBody(message, this.options.bodyLimits)
-    const longest = 1000 * settings.policy.longestRequestSeconds
+    const maximumPatience = 1000 * settings.policy.longestRequestSeconds
     return body
       .andThen(parseJson)
       .andThen((value) => parseCompletion(form, value))
       .andThen((completion) => resolveAdapter(completion, caller.value, settings)
-        .andThen((reference) => parseRequestOptions(headerReader(message), longest, true)
+        .andThen((reference) => parseRequestOptions(headerReader(message), maximumPatience, true)
           .andThen((options) => this.prepare(requestId, settings, reference, completion, options))))
   }
 
-  private prepare (requestId: RequestId, settings: OperatorSettings, reference: AdapterReference, completion: CompletionRequest, options: RequestOptions): Result<AcceptedRequest, LimpetwinchError> {
+  private prepare (
+    requestId: RequestId,
+    settings: OperatorSettings,
+    reference: AdapterReference,
+    completion: CompletionRequest,
+    options: RequestOptions
+  ): Result<AcceptedRequest, LimpetwinchError> {
     const team = settings.teams.get(reference.team)
     const priority = priorityOf(settings, reference.team, options.priorityClass)
     const adapter = team === undefined ? undefined : adapterOf(team, reference.adapter)
@@ -104,7 +111,7 @@
       promptTokens: completion.promptTokens,
       maximumTokens: completion.maximumTokens,
       temperature: completion.temperature,
-      // A repeated run must say the same, so every run of a request has one seed.
+      // A retried run must produce the same text, so all runs of a request use the same seed.
       seed: completion.seed ?? randomInt(SEED_UPPER_BOUND),
       idempotent: options.idempotent,
       deadlineAt: this.options.clock.now() + options.patience
@@ -112,18 +119,18 @@
     return ok({ settings, reference, completion, options, delivery })
   }
 
-  private async claimAndDeliver (accepted: AcceptedRequest, passage: TeamAdmission, response: ServerResponse): Promise<void> {
+  private async claimAndDeliver (accepted: AcceptedRequest, admission: TeamAdmission, response: ServerResponse): Promise<void> {
     const { options, reference, delivery } = accepted
     if (options.idempotent || options.key === undefined) {
-      await this.deliver(accepted, passage, response)
+      await this.deliver(accepted, admission, response)
       return
     }
     const claim = await this.options.claims.claim(reference.team, options.key, delivery.requestId)
     if (claim.isErr()) {
       this.options.measures.series(reference.team, options.priorityClass).outcome(claim.error.outcome)
-      return refuse(response, claim.error, delivery.requestId)
+      return sendErrorResponse(response, claim.error, delivery.requestId)
     }
-    const outcome = await this.deliver(accepted, passage, response)
+    const outcome = await this.deliver(accepted, admission, response)
     await this.settleClaim(claim.value, outcome)
   }
 
@@ -132,25 +139,25 @@
     if (outcome === 'answered') await this.options.claims.answered(claim)
   }
 
-  private async deliver (accepted: AcceptedRequest, passage: TeamAdmission, response: ServerResponse): Promise<CountedOutcome> {
+  private async deliver (accepted: AcceptedRequest, admission: TeamAdmission, response: ServerResponse): Promise<CountedOutcome> {
     const { reference, completion, delivery, options, settings } = accepted
-    const answer = createResponse(response, completion, reference, delivery.requestId)
-    const gone = abortOnDisconnect(response)
+    const completionResponse = createResponse(response, completion, reference, delivery.requestId)
+    const cancellation = abortOnDisconnect(response)
     const meter = new RequestMeter(this.options.measures.series(reference.team, options.priorityClass), this.options.clock)
-    for await (const event of this.options.delivery.deliver(delivery, settings, gone.signal)) {
+    for await (const event of this.options.delivery.deliver(delivery, settings, cancellation.signal)) {
       if (event.kind === 'text') {
         meter.token()
-        await answer.text(event.text)
+        await completionResponse.text(event.text)
       } else if (event.kind === 'admitted') {
-        passage.start()
+        admission.start()
         meter.admitted(event.loadStall, event.queueWait)
       } else if (event.kind === 'end') {
-        passage.finish(Math.max(0, completion.maximumTokens - event.outputTokens))
-        answer.end(event)
+        admission.finish(Math.max(0, completion.maximumTokens - event.outputTokens))
+        completionResponse.end(event)
         return meter.recordEnd('answered')
       } else {
-        passage.finish(event.error.outcome === 'not_run' ? completion.maximumTokens : 0)
-        answer.endWithError(event.error)
+        admission.finish(event.error.outcome === 'not_run' ? completion.maximumTokens : 0)
+        completionResponse.endWithError(event.error)
         return meter.recordEnd(event.error.outcome)
       }
     }
@@ -158,7 +165,7 @@
   }
 }
 
-/** Measures one request. */
+/** Records the metrics of one request. */
 class RequestMeter {
   private readonly startedAt: number
   private lastTokenAt: number | undefined
@@ -186,7 +193,7 @@
   }
 }
 
-/** The adapter and version that a request is addressed to; the version is fixed here for the whole request. */
+/** Resolves the model name of a request to an adapter version. The version stays fixed for the rest of the request. */
 function resolveAdapter (completion: CompletionRequest, caller: CallerTeams, settings: OperatorSettings): Result<AdapterReference, LimpetwinchError> {
   return parseModelName(completion.model).andThen((model): Result<AdapterReference, LimpetwinchError> => {
     const team = settings.teams.get(model.team)
@@ -203,11 +210,13 @@
 }
 
 function createResponse (response: ServerResponse, completion: CompletionRequest, reference: AdapterReference, requestId: RequestId): CompletionResponse {
-  const names = { requestId, ...reference }
-  return completion.stream ? new StreamedCompletionResponse(response, completion.form, names) : new JsonCompletionResponse(response, completion.form, names)
+  const identity = { requestId, ...reference }
+  return completion.stream
+    ? new StreamedCompletionResponse(response, completion.form, identity)
+    : new JsonCompletionResponse(response, completion.form, identity)
 }
 
-/** @returns a function that reads one header of a message */
+/** @returns a function that returns the value of a header of the message, or its first value when there are several */
 export function headerReader (message: IncomingMessage): (name: string) => string | undefined {
   return (name) => {
     const value = message.headers[name]
@@ -215,10 +224,10 @@
   }
 }
 
-/** Answers with an error. */
-export function refuse (response: ServerResponse, error: LimpetwinchError, requestId: RequestId): void {
+/** Sends an error response, unless a response has begun already or the connection is closed. */
+export function sendErrorResponse (response: ServerResponse, error: LimpetwinchError, requestId: RequestId): void {
   if (response.headersSent || response.destroyed) return
-  // The rest of a body that is not wanted would be read as the next request.
+  // The connection is closed because the unread rest of the body would be parsed as the next request.
   const close = error.kind === 'body-too-large' || error.kind === 'body-timeout' ? { connection: 'close' } : {}
   response.writeHead(error.status, { ...errorHeaders(error, requestId), ...close })
   response.end(JSON.stringify(errorBody(error, requestId)))
--- a/packages/entry/src/callers/error-response.ts
+++ b/packages/entry/src/callers/error-response.ts
@@ -1,12 +1,15 @@
-/** Errors in the OpenAI shape, with a stable code, what is known of the work, a remedy, and when to come back. */
+/**
+ * Error responses in the OpenAI format, with a stable code, the known outcome of the request, a remedy and the time to retry
+ * after.
+ */
 import type { LimpetwinchError, RequestId } from '@limpetwinch/core'
 
-/** Header with the request id, on every answer. */
+/** Header with the request id, which every response carries. */
 export const REQUEST_ID_HEADER = 'x-request-id'
-/** Header with what is known of the work when there is no answer. */
+/** Header of error responses with the known outcome of the request: `not_run` or `unknown`. */
 export const OUTCOME_HEADER = 'x-limpetwinch-outcome'
 
-/** The body of an error answer. */
+/** Body of an error response. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string
@@ -19,7 +22,7 @@
   }
 }
 
-/** @returns the body for an error */
+/** @returns the response body for an error */
 export function errorBody (error: LimpetwinchError, requestId: RequestId): ErrorBody {
   return {
     error: {
@@ -34,7 +37,7 @@
   }
 }
 
-/** @returns the headers for an error */
+/** @returns the response headers for an error */
 export function errorHeaders (error: LimpetwinchError, requestId: RequestId): Record<string, string> {
   return {
     'content-type': 'application/json',
--- a/packages/entry/src/callers/http-server.ts
+++ b/packages/entry/src/callers/http-server.ts
@@ -1,4 +1,7 @@
-/** An HTTP server with limits on connections, headers and time, around a hono application. */
+/**
+ * HTTP server for a Hono application, with limits on the number of connections, the size of headers and the time of
+ * requests.
+ */
 import { createServer } from 'node:http'
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -6,7 +9,7 @@
 import type { HttpBindings } from '@hono/node-server'
 import type { Hono } from 'hono'
 
-/** Limits of a server. */
+/** Limits that a server sets to connections and requests. */
 export interface ServerLimits {
   readonly headerBytes: number
   readonly headerSeconds: number
@@ -14,17 +17,18 @@
   readonly connections: number
 }
 
-/** How long an idle connection is kept. */
+/** Time for which an idle connection is kept open. */
 const KEEP_ALIVE_MILLISECONDS = 65_000
+/** Interval between closings of idle connections while the server closes. */
 const IDLE_CLOSE_INTERVAL_MILLISECONDS = 50
 
-/** A server that can be listened on and closed in order. */
+/** An HTTP server that can be closed gracefully. */
 export class HttpServer {
   private readonly server: Server
 
   /**
-   * @param app - the routes
-   * @param limits - what callers may take
+   * @param app - the routes to serve
+   * @param limits - the limits on connections and requests
    */
   constructor (app: Hono<{ Bindings: HttpBindings }>, limits: ServerLimits) {
     this.server = createServer({
@@ -36,7 +40,13 @@
     this.server.maxConnections = limits.connections
   }
 
-  /** @returns the URL that it listens on; port 0 picks a free one */
+  /**
+   * Starts to listen.
+   *
+   * @param host - the host name or address to listen on
+   * @param port - the port to listen on; 0 picks a free port
+   * @returns the URL of the server
+   */
   async listen (host: string, port: number): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject)
@@ -47,16 +57,16 @@
   }
 
   /**
-   * Takes no new connections; resolves when those that are busy have ended. A caller keeps its connection open after
-   * the answer, and the close would wait for it, so what has become idle is closed again and again.
+   * Stops accepting connections, and resolves when the requests in progress have ended. Callers keep their connections open
+   * after a response, which would delay the close, so connections that have become idle are closed at a short interval.
    */
   async close (): Promise<void> {
-    const sweep = setInterval(() => this.server.closeIdleConnections(), IDLE_CLOSE_INTERVAL_MILLISECONDS)
+    const idleCloser = setInterval(() => this.server.closeIdleConnections(), IDLE_CLOSE_INTERVAL_MILLISECONDS)
     await new Promise<void>((resolve) => this.server.close(() => resolve()))
-    clearInterval(sweep)
+    clearInterval(idleCloser)
   }
 
-  /** Ends all connections now. */
+  /** Stops accepting connections and closes all open connections immediately. */
   destroy (): void {
     this.server.close()
     this.server.closeAllConnections()
--- a/packages/entry/src/callers/service-calls.ts
+++ b/packages/entry/src/callers/service-calls.ts
@@ -1,4 +1,4 @@
-/** Plain services under `/services/<name>/…`. */
+/** Serves calls of plain services under `/services/<name>/…`. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -9,17 +9,20 @@
 import type { CallerTeams } from './authentication.js'
 import { readBody } from './body-reader.js'
 import { abortOnDisconnect } from './caller-disconnect.js'
-import { headerReader, refuse } from './completions.js'
+import { headerReader, sendErrorResponse } from './completions.js'
 import type { CompletionsOptions } from './completions.js'
 import { REQUEST_ID_HEADER } from './error-response.js'
 import { parseRequestOptions } from './request-options.js'
 import type { RequestOptions } from './request-options.js'
 
-/** Header that names the team that a call counts for, where a key belongs to several. */
+/** Header that names the team that a call is accounted to. It is required when the caller's key belongs to several teams. */
 const TEAM_HEADER = 'x-limpetwinch-team'
 
-/** Headers that belong to one connection, or that limpetwinch itself reads. */
-const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set(['host', 'connection', 'keep-alive', 'transfer-encoding', 'content-length', 'authorization', 'upgrade', 'te', 'trailer', 'proxy-authorization', 'expect'])
+/** Headers that are forwarded neither to the service nor back, because they concern one connection or limpetwinch itself. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
+  'host', 'connection', 'keep-alive', 'transfer-encoding', 'content-length', 'authorization', 'upgrade', 'te', 'trailer',
+  'proxy-authorization', 'expect'
+])
 
 interface AcceptedCall {
   readonly settings: OperatorSettings
@@ -29,33 +32,33 @@
   readonly options: RequestOptions
 }
 
-/** Serves calls of plain services. */
+/** Handles calls of plain services. */
 export class ServiceCalls {
   private readonly options: CompletionsOptions
   private readonly delivery: ServiceDelivery
 
   /**
-   * @param options - as for completions
-   * @param delivery - passes calls on
+   * @param options - the dependencies, which are the same as those of completion serving
+   * @param delivery - forwards calls to service endpoints
    */
   constructor (options: CompletionsOptions, delivery: ServiceDelivery) {
     this.options = options
     this.delivery = delivery
   }
 
-  /** Serves one call; resolves when the answer has ended. */
+  /** Serves one call. Resolves when the response has been written. */
   async serve (message: IncomingMessage, response: ServerResponse): Promise<void> {
     const requestId = newRequestId()
     const accepted = await this.accept(message)
-    if (accepted.isErr()) return refuse(response, accepted.error, requestId)
+    if (accepted.isErr()) return sendErrorResponse(response, accepted.error, requestId)
     const { team, settings } = accepted.value
-    const passage = this.options.teamLimiters.admit(team, settings, 0, 0)
-    if (passage.isErr()) return refuse(response, passage.error, requestId)
-    passage.value.start()
+    const admission = this.options.teamLimiters.admit(team, settings, 0, 0)
+    if (admission.isErr()) return sendErrorResponse(response, admission.error, requestId)
+    admission.value.start()
     const result = await this.claimAndDeliver(accepted.value, requestId, response)
-    passage.value.finish(0)
+    admission.value.finish(0)
     this.options.measures.series(team, accepted.value.options.priorityClass).outcome(result.isOk() ? 'answered' : result.error.outcome)
-    result.match((delivered) => answer(response, delivered, requestId), (error) => refuse(response, error, requestId))
+    result.match((delivered) => sendResponse(response, delivered, requestId), (error) => sendErrorResponse(response, error, requestId))
   }
 
   private async accept (message: IncomingMessage): Promise<Result<AcceptedCall, LimpetwinchError>> {
@@ -70,7 +73,13 @@
       .andThen((idempotent) => parseRequestOptions(headerReader(message), 1000 * settings.policy.longestRequestSeconds, idempotent))
     if (options.isErr()) return err(options.error)
     const body = await readBody(message, this.options.bodyLimits)
-    return body.map((bytes) => ({ settings, team: team.value, service, call: { method, target, headers: forwardedHeadersOf(message), body: bytes }, options: options.value }))
+    return body.map((bytes) => ({
+      settings,
+      team: team.value,
+      service,
+      call: { method, target, headers: forwardedHeadersOf(message), body: bytes },
+      options: options.value
+    }))
   }
 
   private async claimAndDeliver (accepted: AcceptedCall, requestId: RequestId, response: ServerResponse): Promise<Result<DeliveredCall, LimpetwinchError>> {
@@ -85,17 +94,17 @@
   }
 
   private async deliver (accepted: AcceptedCall, requestId: RequestId, response: ServerResponse): Promise<Result<DeliveredCall, LimpetwinchError>> {
-    const gone = abortOnDisconnect(response)
-    const timer = setTimeout(() => gone.abort(), accepted.options.patience)
+    const cancellation = abortOnDisconnect(response)
+    const timer = setTimeout(() => cancellation.abort(), accepted.options.patience)
     const { service, options, settings } = accepted
     const call = { ...accepted.call, headers: { ...accepted.call.headers, [REQUEST_ID_HEADER]: requestId } }
-    const result = await this.delivery.deliver(requestId, service, call, options.idempotent, settings, gone.signal)
+    const result = await this.delivery.deliver(requestId, service, call, options.idempotent, settings, cancellation.signal)
     clearTimeout(timer)
     return result
   }
 }
 
-/** The team that a call counts for: the key's only one, or the one named. */
+/** Selects the team that a call is accounted to: the team named in the header, or the only team of the key. */
 function teamOf (teams: CallerTeams, named: string | undefined): Result<TeamId, LimpetwinchError> {
   const [first] = teams.keys()
   if (named === undefined && first !== undefined && teams.size === 1) return ok(first)
@@ -112,7 +121,7 @@
   return Object.fromEntries(entries)
 }
 
-function answer (response: ServerResponse, delivered: DeliveredCall, requestId: RequestId): void {
+function sendResponse (response: ServerResponse, delivered: DeliveredCall, requestId: RequestId): void {
   if (response.destroyed) return
   const headers = Object.fromEntries(Object.entries(delivered.answer.headers).filter(([name]) => !UNFORWARDED_HEADERS.has(name)))
   response.writeHead(delivered.answer.status, { ...headers, [REQUEST_ID_HEADER]: requestId, 'x-limpetwinch-endpoint': delivered.endpoint })
--- a/packages/entry/src/callers/team-limiters.ts
+++ b/packages/entry/src/callers/team-limiters.ts
@@ -1,4 +1,4 @@
-/** Limits of teams on this instance, kept in step with the settings. */
+/** Enforces the limits of teams on this instance and follows changes of the settings. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -6,30 +6,31 @@
 import { TokenBucketTeamLimiter } from '@limpetwinch/decisions'
 import type { TeamLimits } from '@limpetwinch/decisions'
 
-/** An admitted request, to be finished once. */
+/** Admission of one request by the limits of its team. Only the first call of each function has an effect. */
 export interface TeamAdmission {
-  /** The request has left the queue. */
+  /** Records that the request has left the queue and runs. */
   start: () => void
-  /** The request has ended. */
+  /** Records that the request has ended, and credits its unused tokens to the team. */
   finish: (unusedTokens: number) => void
 }
 
-/** One limiter for each team that has called. */
+/** Keeps one limiter for each team that has sent a request. */
 export class TeamLimiters {
   private readonly limiters = new Map<TeamId, { limiter: TokenBucketTeamLimiter, limits: TeamLimits, instances: number }>()
   private readonly clock: Clock
   private readonly instances: () => number
 
   /**
-   * @param clock - time
-   * @param instances - live instances, between which a team's limits are divided: the balancer spreads its requests
+   * @param clock - the source of the current time
+   * @param instances - returns the number of live instances. Each instance enforces an equal share of a team's limits, because
+   *   the load balancer spreads the requests of a team over all instances
    */
   constructor (clock: Clock, instances: () => number) {
     this.clock = clock
     this.instances = instances
   }
 
-  /** @returns a passage, or `rate-limited` with the time to come back */
+  /** @returns the admission, or the error `rate-limited` with the time to retry after */
   admit (team: TeamId, settings: OperatorSettings, promptTokens: number, maximumTokens: number): Result<TeamAdmission, LimpetwinchError> {
     const limiter = this.limiterOf(team, settings)
     const decision = limiter.admit(promptTokens, maximumTokens, this.clock.now())
--- a/packages/entry/test/callers/bad-input.test.ts
+++ b/packages/entry/test/callers/bad-input.test.ts
@@ -15,16 +15,16 @@
 
 afterAll(async () => { await running.stop() })
 
-const whole = expectedAnswer({ adapter: 'history/essays@v2', prompt: 'Why?', seed: 7 }, 8)
+const completeText = expectedAnswer({ adapter: 'history/essays@v2', prompt: 'Why?', seed: 7 }, 8)
 
-/** Asks for a good answer, to see that nothing else was disturbed. */
+/** Sends a valid request and expects the complete answer, which shows that the bad input disturbed no other request. */
 async function expectGoodAnswer (): Promise<void> {
   const answer = await running.complete()
   expect(answer.status).toBe(200)
-  expect(JSON.parse(answer.text)).toMatchObject({ model: 'history/essays@v2', choices: [{ text: whole }] })
+  expect(JSON.parse(answer.text)).toMatchObject({ model: 'history/essays@v2', choices: [{ text: completeText }] })
 }
 
-/** Writes bytes onto a connection of its own and reads until it is closed. */
+/** Writes a text to a new connection and returns what is read until the connection closes. */
 async function raw (text: string): Promise<string> {
   const { hostname, port } = new URL(running.url)
   return await new Promise((resolve, reject) => {
@@ -46,15 +46,15 @@
     ["another team's adapter", { model: 'geography/essays' }, {}, 403, 'forbidden'],
     ["another team's key", {}, { authorization: `Bearer ${OTHER_KEY}` }, 403, 'forbidden'],
     ['a wrong key', {}, { authorization: 'Bearer wrong' }, 401, 'unauthorized'],
-    ['a model that is not one', { model: '../../etc' }, {}, 400, 'invalid_model_name'],
+    ['an invalid model name', { model: '../../etc' }, {}, 400, 'invalid_model_name'],
     ['too many tokens', { max_tokens: 1e300 }, {}, 400, 'invalid_request'],
-    ['a token count that is not whole', { max_tokens: 1.5 }, {}, 400, 'invalid_request'],
+    ['a token count that is not an integer', { max_tokens: 1.5 }, {}, 400, 'invalid_request'],
     ['a negative seed', { seed: -1 }, {}, 400, 'invalid_request'],
-    ['two answers at once', { n: 2 }, {}, 400, 'invalid_request'],
-    ['a class that the team has not', {}, { 'x-limpetwinch-class': 'royal' }, 400, 'invalid_request'],
+    ['a request for two completions', { n: 2 }, {}, 400, 'invalid_request'],
+    ['a priority class that the team does not have', {}, { 'x-limpetwinch-class': 'royal' }, 400, 'invalid_request'],
     ['a deadline that is not a number', {}, { 'x-limpetwinch-deadline-ms': 'soon' }, 400, 'invalid_request'],
-    ['a mark that is neither true nor false', {}, { 'x-limpetwinch-idempotent': 'maybe' }, 400, 'invalid_request']
-  ])('refuses %s with an error of its own', async (_what, fields, headers, status, code) => {
+    ['an idempotency header that is neither true nor false', {}, { 'x-limpetwinch-idempotent': 'maybe' }, 400, 'invalid_request']
+  ])('refuses %s with a specific error', async (_what, fields, headers, status, code) => {
     const before = running.runs
     const answer = await running.complete(fields, headers)
     expect(answer.status).toBe(status)
@@ -67,7 +67,7 @@
     ['malformed JSON', '{"model": ', 400, 'malformed_json'],
     ['invalid UTF-8 inside good JSON', Buffer.concat([Buffer.from('{"model":"history/essays","prompt":"'), Buffer.from([0xff, 0xfe]), Buffer.from('"}')]), 400, 'malformed_json'],
     ['an oversize body', `{"prompt": "${'x'.repeat(70_000)}"}`, 413, 'body_too_large'],
-    ['a body that is no object', '17', 400, 'invalid_request']
+    ['a body that is not an object', '17', 400, 'invalid_request']
   ])('refuses %s', async (_what, body, status, code) => {
     const answer = await running.call('/v1/completions', body)
     expect(answer.status).toBe(status)
@@ -75,9 +75,9 @@
     await expectGoodAnswer()
   })
 
-  // The slow caller is told that its body came too slowly, and nothing was run; others are served meanwhile.
-  // It sends the head and half of the body and then nothing. Waiting for the rest would hold its connection for ever.
-  it('gives up on a half-sent body', async () => {
+  // Guards against a connection that is held forever: a caller sends the head and half of the body and then nothing. It
+  // receives a timeout error, nothing is run, and other callers are served meanwhile.
+  it('times out on a body that is only half sent', async () => {
     const half = raw('POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-of-history\r\ncontent-length: 100\r\n\r\n{"model":')
     await expectGoodAnswer()
     const read = await half
@@ -85,7 +85,7 @@
     expect(read).toContain('body_timeout')
   })
 
-  it('refuses an oversize body that does not tell its length', async () => {
+  it('refuses an oversize body without a content length', async () => {
     const head = 'POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-of-history\r\ntransfer-encoding: chunked\r\n\r\n'
     const read = await raw(`${head}11170\r\n${'x'.repeat(0x11170)}\r\n0\r\n\r\n`)
     expect(read).toContain('body_too_large')
@@ -97,8 +97,9 @@
     expect(read).toMatch(/^HTTP\/1\.1 431/)
   })
 
-  // Others see nothing of a caller that goes away midway: its request is cancelled at the engine and its place is free.
-  it('cancels the request of a caller that goes away', async () => {
+  // Guards against a run that goes on after its caller has disconnected in the middle of the answer: the run is cancelled at
+  // the engine, and other requests are served.
+  it('cancels the request of a caller that disconnects', async () => {
     const controller = new AbortController()
     const { request } = await import('undici')
     const response = await request(`${running.url}/v1/completions`, {
@@ -115,7 +116,7 @@
     await expectGoodAnswer()
   })
 
-  it('answers any JSON with an error or an answer, and goes on', async () => {
+  it('answers arbitrary JSON with an error and keeps serving requests', async () => {
     await fc.assert(fc.asyncProperty(fc.json(), async (body) => {
       const answer = await running.call('/v1/chat/completions', body)
       expect([400, 403, 404, 413]).toContain(answer.status)
@@ -124,7 +125,7 @@
     await expectGoodAnswer()
   })
 
-  it('answers any bytes with an error, and goes on', async () => {
+  it('answers arbitrary bytes with an error and keeps serving requests', async () => {
     await fc.assert(fc.asyncProperty(fc.uint8Array({ minLength: 1, maxLength: 200 }), async (bytes) => {
       const answer = await running.call('/v1/completions', Buffer.from(bytes))
       expect(answer.status).toBe(400)
--- a/packages/entry/test/callers/guarantees.failure.test.ts
+++ b/packages/entry/test/callers/guarantees.failure.test.ts
@@ -20,12 +20,12 @@
 
 const COMPLETION = JSON.stringify({ model: 'history/essays', prompt: 'Why?', max_tokens: 8, seed: 7 })
 
-/** Sends a request with a key, which is claimed slowly, and leaves before the claim is answered. */
+/** Sends a request with an idempotency key and disconnects before the store has answered the claim of the key. */
 async function leaveDuringClaim (path: string, body: string): Promise<string> {
-  const gone = new AbortController()
+  const disconnect = new AbortController()
   const headers = { ...NOT_IDEMPOTENT, 'idempotency-key': `left ${path}` }
-  const answer = running.call(path, body, headers, gone.signal).then(() => 'answered', () => 'left')
-  setTimeout(() => gone.abort(), 200)
+  const answer = running.call(path, body, headers, disconnect.signal).then(() => 'answered', () => 'left')
+  setTimeout(() => disconnect.abort(), 200)
   return await answer
 }
 
@@ -34,26 +34,25 @@
   return (await response.body.json() as { requestsInProgress: number }).requestsInProgress
 }
 
-describe('what a caller is told', () => {
-  // The caller has its whole answer, streamed or not. Nothing is left to cancel: an order to the engine for each
-  // answered request would cost as much as the request, and the router would never hear that the engine answers.
-  it('is the end of the request: nothing is cancelled behind it', async () => {
+describe('an instance', () => {
+  // Guards against a cancellation after a complete answer, streamed or not: a cancel call to the engine for each answered
+  // request would cost as much as the request, and the router would never learn that the engine answers.
+  it('cancels nothing after a complete answer', async () => {
     await start()
     for (const stream of [true, false, true]) expect((await running.complete({ stream })).status).toBe(200)
-    const gone = new AbortController()
-    const left = running.complete({ max_tokens: 100_000 }, {}, gone.signal).catch(() => undefined)
+    const disconnect = new AbortController()
+    const left = running.complete({ max_tokens: 100_000 }, {}, disconnect.signal).catch(() => undefined)
     await vi.waitFor(() => expect(running.runs).toBe(4), WAIT)
-    gone.abort()
+    disconnect.abort()
     await left
-    // The run that was left is cancelled, and taken up once to hear that it has ended, since until then it pins its adapter.
+    // The abandoned run is cancelled, and resumed once to learn that it has ended, since until then it pins its adapter.
     await vi.waitFor(() => expect(running.engine.calls.resume).toBeGreaterThan(0), WAIT)
     expect(running.engine.calls).toEqual({ generate: 4, resume: 1, cancel: 1 })
   })
 
-  // The caller of an idempotent request sees its whole answer, each word once.
-  // The engine restarts cold in the middle. The request is run again with the same seed; what the caller has read
-  // already is compared and not sent a second time.
-  it('goes on with an idempotent answer over a cold restart of the engine', async () => {
+  // Guards against text that is missing or sent twice: the engine restarts cold in the middle of an idempotent request. The
+  // request runs again with the same seed, and text that the caller has already received is compared and not sent again.
+  it('continues an idempotent answer after a cold restart of the engine', async () => {
     await start({ engine: { stepMilliseconds: 5 } })
     const answer = running.complete({ max_tokens: 100, stream: true })
     await vi.waitFor(() => expect(running.runs).toBe(1), WAIT)
@@ -65,8 +64,8 @@
     expect(text.endsWith('data: [DONE]\n\n')).toBe(true)
   })
 
-  // The caller of a non-idempotent request is told `unknown`, and the engine ran it once.
-  // The engine restarts in the middle of the run. Running it again could do its work twice.
+  // Guards against work that is done twice: the engine restarts in the middle of a non-idempotent request. The caller
+  // receives the outcome `unknown`, and the engine runs the request only once.
   it('never runs a non-idempotent request again', async () => {
     await start({ engine: { stepMilliseconds: 5 } })
     const answer = running.complete({ max_tokens: 100 }, NOT_IDEMPOTENT)
@@ -78,9 +77,9 @@
     expect(running.runs).toBe(2)
   })
 
-  // The caller is told at once that its deadline cannot be met, that nothing was run, and when to come back.
-  // The engine's slots are busy with others; holding the request until near its deadline would tell it no more.
-  it('says when to come back when the weights cannot be had', async () => {
+  // Guards against a request that waits for weights until its deadline: every load of its adapter fails at the engine. The
+  // caller receives the outcome `not_run` and the time to retry after.
+  it('reports the time to retry after when the weights cannot be loaded', async () => {
     await start({ engine: { faults: { failLoadsOf: ['history/essays@v2'] } } })
     const answer = await running.complete()
     expect(answer.status).toBe(503)
@@ -89,8 +88,9 @@
     expect(running.runs).toBe(0)
   })
 
-  // The caller retries with its key and is told that the first one was answered; the work is done once.
-  it('runs an idempotency key once, and refuses its retry', async () => {
+  // Guards against work that is done twice: a caller retries an answered request with its idempotency key, and the retry is
+  // refused because the key was already used.
+  it('runs the request of an idempotency key once and refuses its retry', async () => {
     await start()
     const headers = { ...NOT_IDEMPOTENT, 'idempotency-key': 'invoice-17' }
     const first = await running.complete({}, headers)
@@ -100,9 +100,9 @@
     expect(running.runs).toBe(1)
   })
 
-  // The caller left while its key was claimed; neither the engine nor the service does its work.
-  // Guards against work for nobody: the word that the caller is gone comes once, and came before anyone listened.
-  it('runs nothing for a caller that left while its key was claimed', async () => {
+  // Guards against work for a caller that disconnected while its key was claimed: the `close` event of the connection is
+  // emitted only once, before the delivery adds its listener.
+  it('runs nothing for a caller that disconnected while its key was claimed', async () => {
     await start()
     running.platform.store.faults.slowness = 500
     const left = await Promise.all([leaveDuringClaim('/v1/completions', COMPLETION), leaveDuringClaim('/services/echo/bill', '{}')])
@@ -112,9 +112,9 @@
     expect(running.service.history.all().filter((event) => event.event === 'run-started')).toEqual([])
   })
 
-  // The caller of a plain service call that may not be repeated is told `unknown`; the service ran it once.
-  // The service does its work and its connection breaks before the answer.
-  it('makes a service call that may not be repeated once', async () => {
+  // Guards against a repeated non-idempotent service call: the service does its work and the connection breaks before the
+  // answer. The caller receives the outcome `unknown`, and the service runs the call once.
+  it('makes a non-idempotent service call only once', async () => {
     await start()
     running.service.setFaults({ failAfter: 1 })
     const answer = await running.call('/services/echo/bill', '{}')
@@ -122,9 +122,9 @@
     expect(running.service.history.all().filter((event) => event.event === 'run-started')).toHaveLength(1)
   })
 
-  // The caller of a service call that may be repeated is answered; the service ran it twice.
-  // Guards against a search that ends with the only endpoint's broken connection although its fault may have passed.
-  it('repeats a service call at its only endpoint when nobody else can take it', async () => {
+  // Guards against a failover that ends after the broken connection of the only endpoint, although its fault may have
+  // passed: an idempotent service call is retried at the same endpoint and answered.
+  it('retries an idempotent service call at its only endpoint', async () => {
     await start()
     running.service.setFaults({ failAfter: 1 })
     const answer = await running.call('/services/echo/bill', '{}', { 'x-limpetwinch-idempotent': 'true' })
@@ -132,8 +132,8 @@
     expect(running.service.history.all().filter((event) => event.event === 'run-started')).toHaveLength(2)
   })
 
-  // The caller over its team's rate is refused at once with the time to come back; nothing was run.
-  it('refuses early what is over the limits of the team', async () => {
+  // Guards against requests above the rate of a team that wait or run: they are refused at once with the time to retry after.
+  it('refuses requests above the limits of the team immediately', async () => {
     await start({ teamLimits: { requestsPerSecond: 1, tokensPerSecond: 100_000, inFlight: 10, queued: 10 } })
     const answers = await Promise.all(Array.from({ length: 8 }, async () => await running.complete()))
     const refused = answers.filter((answer) => answer.status === 429)
@@ -147,9 +147,9 @@
 })
 
 describe('a planned stop', () => {
-  // The callers of requests in progress see their whole answers; the instance is not ready from the first moment on.
-  // It is told to stop while a long answer streams; it goes only when that has ended.
-  it('cuts off no request in progress', async () => {
+  // Guards against a truncated answer: the instance is told to stop while a long answer streams. It reports at once that it
+  // is not ready, and exits only after the answer is complete.
+  it('truncates no answer in progress', async () => {
     await start({ engine: { stepMilliseconds: 40 } })
     const answer = running.complete({ max_tokens: 200, stream: true })
     await vi.waitFor(() => expect(running.runs).toBe(1), WAIT)
@@ -164,9 +164,9 @@
 })
 
 describe('a leaving endpoint', () => {
-  // Callers are told `not_run` and when to come back as soon as the list shows the only engine as leaving; the engine
-  // begins no request any more, and the one in progress ends whole.
-  it('gets no new work, and finishes what it has', async () => {
+  // Guards against new work for the only engine after the instance list shows it as leaving: new requests receive the outcome
+  // `not_run` and the time to retry after, and the request in progress completes.
+  it('gets no new work and completes its requests in progress', async () => {
     await start({ engine: { stepMilliseconds: 10 } })
     const inProgress = running.complete({ max_tokens: 150 })
     await vi.waitFor(() => expect(running.runs).toBe(1), WAIT)
@@ -182,8 +182,8 @@
   })
 })
 
-describe('the key of a team', () => {
-  it('is answered with its own models only', async () => {
+describe('the list of models', () => {
+  it("contains only the models of the key's team", async () => {
     await start()
     const response = await request(`${running.url}/v1/models`, { headers: { authorization: `Bearer ${KEY}` } })
     const { data } = await response.body.json() as { data: { id: string }[] }
