--- a/packages/entry/src/admin/admin-api.ts
+++ b/packages/entry/src/admin/admin-api.ts
@@ -1,4 +1,4 @@
-/** HTTP towards operators: settings, status, explanations, histograms, health. */
+/** HTTP routes for operators: settings, status, request timelines, histograms and health. */
 import { Hono } from 'hono'
 import type { HttpBindings } from '@hono/node-server'
 import type { Context, Next } from 'hono'
@@ -9,17 +9,17 @@
 import { statusOf } from './status.js'
 import type { StatusSources } from './status.js'
 
-/** What the admin API works with. */
+/** Dependencies of the admin API. */
 export interface AdminApiOptions extends StatusSources {
   readonly administratorKeySha256: string
   readonly explain: ExplainLog
   readonly measures: Metrics
-  /** Settings under `/admin/settings`, `/admin/validate` and `/admin/watch`; they check keys themselves. */
+  /** Routes under `/admin/settings`, `/admin/validate` and `/admin/watch`. They authenticate their clients themselves. */
   readonly settingsRoutes: Hono<{ Bindings: HttpBindings }>
 }
 
 /**
- * @param options - what it works with
+ * @param options - the dependencies of the routes
  * @returns the routes for operators
  */
 export function adminApi (options: AdminApiOptions): Hono<{ Bindings: HttpBindings }> {
@@ -38,20 +38,27 @@
 }
 
 function explain (options: AdminApiOptions, context: Context): Response {
-  const story = options.explain.get(context.req.param('request') ?? '')
-  if (story !== undefined) return context.json({ requestId: story.requestId, adapter: story.adapter, steps: story.steps })
-  return context.json({ error: { code: 'unknown_request', message: 'This instance remembers no such request. Ask the instance that took it; only the latest requests are remembered.' } }, 404)
+  const timeline = options.explain.get(context.req.param('request') ?? '')
+  if (timeline !== undefined) return context.json({ requestId: timeline.requestId, adapter: timeline.adapter, steps: timeline.steps })
+  return context.json({
+    error: {
+      code: 'unknown_request',
+      message: 'This instance remembers no such request. Ask the instance that took it; only the latest requests are remembered.'
+    }
+  }, 404)
 }
 
 function checkAdministrator (sha256: string) {
   return async (context: Context, next: Next): Promise<Response | undefined> => {
     const key = /^Bearer (\S+)$/i.exec(context.req.header('authorization') ?? '')?.[1]
-    // Hashes are compared, so that the time of the comparison tells nothing of the key.
+    // The comparison is between hashes, so its duration reveals nothing about the key.
     if (key !== undefined && hashOf(key) === sha256) {
       await next()
       return undefined
     }
     const error = new LimpetwinchError('unauthorized')
-    return context.json({ error: { code: error.code, message: "The key is not the administrators'. Send 'Authorization: Bearer <administrators' key>'." } }, 401)
+    return context.json({
+      error: { code: error.code, message: "The key is not the administrators'. Send 'Authorization: Bearer <administrators' key>'." }
+    }, 401)
   }
 }
--- a/packages/entry/src/admin/change-feed.ts
+++ b/packages/entry/src/admin/change-feed.ts
@@ -1,29 +1,29 @@
-/** Tells watching operators of settings that come into force here. */
+/** Notifies the watch streams of operators about settings that come into force on this instance. */
 import type { SettingsPath } from '@limpetwinch/core'
 import type { SettingsFollower } from '../settings/settings-follower.js'
 
 type Listener = (paths: readonly SettingsPath[]) => void
 
-/** Finds what changed, once for all who watch. */
+/** Determines the changed paths once per change and passes them to all listeners. */
 export class ChangeFeed {
   private readonly follower: SettingsFollower
   private readonly listeners = new Set<Listener>()
   private lastRevisions = new Map<SettingsPath, number>()
 
-  /** @param follower - what is in force */
+  /** @param follower - the source of the settings in force */
   constructor (follower: SettingsFollower) {
     this.follower = follower
     follower.onChange(() => { this.publishChanges() })
   }
 
-  /** @returns how many watch */
+  /** @returns the number of listeners */
   get watchers (): number {
     return this.listeners.size
   }
 
   /**
    * @param listener - called with the paths that changed
-   * @returns ends it
+   * @returns a function that removes the listener
    */
   listen (listener: Listener): () => void {
     if (this.listeners.size === 0) this.lastRevisions = new Map(this.follower.revisions())
--- a/packages/entry/src/admin/settings-access.ts
+++ b/packages/entry/src/admin/settings-access.ts
@@ -1,30 +1,34 @@
-/** Who may reach which settings. */
+/** Authorization for settings: which key may read and change which settings paths. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError, parseSettingsPath, teamOfPath } from '@limpetwinch/core'
 import type { OperatorSettings, SettingsPath, TeamId } from '@limpetwinch/core'
 
-/** Who asks, and what that reaches. */
+/** The authenticated client of a settings request, and the settings paths that it may access. */
 export interface SettingsPrincipal {
-  /** As it stands in the history. */
+  /** Name under which the history records changes by this client. */
   readonly author: string
-  readonly reaches: (path: SettingsPath) => boolean
+  readonly mayAccess: (path: SettingsPath) => boolean
 }
 
 /**
- * Tells who asks.
+ * Authenticates the client of a settings request.
  *
  * @param header - the `Authorization` header
- * @param administratorKeySha256 - hash of the administrators' key
- * @param settings - what is in force, for the keys of teams' owners
- * @returns the reader, `unauthorized`, or `forbidden` for a key that is no owner's
+ * @param administratorKeySha256 - the SHA-256 of the administrators' key, in hex
+ * @param settings - the settings in force, which contain the keys of the teams' owners
+ * @returns the client, the error `unauthorized`, or the error `forbidden` for a key without the role of an owner
  */
-export function principalOf (header: string | undefined, administratorKeySha256: string, settings: OperatorSettings): Result<SettingsPrincipal, LimpetwinchError> {
+export function principalOf (
+  header: string | undefined,
+  administratorKeySha256: string,
+  settings: OperatorSettings
+): Result<SettingsPrincipal, LimpetwinchError> {
   const key = /^Bearer (\S+)$/i.exec(header ?? '')?.[1]
   if (key === undefined) return err(new LimpetwinchError('unauthorized'))
   const hash = createHash('sha256').update(key).digest()
-  if (sameHash(hash, administratorKeySha256)) return ok({ author: 'administrator', reaches: () => true })
+  if (sameHash(hash, administratorKeySha256)) return ok({ author: 'administrator', mayAccess: () => true })
   const holders = holdersOfKey(hash, settings)
   if (holders.length === 0) return err(new LimpetwinchError('unauthorized'))
   const owned = holders.filter((holder) => holder.role === 'owner')
@@ -32,7 +36,7 @@
   const teams = new Set(owned.map((holder) => holder.team))
   return ok({
     author: owned.map((holder) => `${holder.team}/${holder.label}`).join(' '),
-    reaches: (path) => {
+    mayAccess: (path) => {
       const team = teamOfPath(path)
       return team !== undefined && teams.has(team)
     }
@@ -40,14 +44,14 @@
 }
 
 /**
- * Takes the path out of a request's target, before anything has decoded or shortened it.
+ * Extracts the settings path from the raw target of a request, before any decoding or normalization.
  *
- * An encoded slash, a dot segment or a doubled slash would let the check of the key and the store see two different
- * paths; nothing that needs decoding is a path of settings, so that all of it is refused.
+ * An encoded slash, a dot segment or a doubled slash could make the authorization check and the store see two different
+ * paths. No settings path needs decoding, so all such targets are rejected.
  *
- * @param target - the request's target as it came
- * @param prefix - what stands before the path
- * @returns the path, or `unknown-settings-path`
+ * @param target - the target of the request as received
+ * @param prefix - the part of the target before the settings path
+ * @returns the path, or the error `unknown-settings-path`
  */
 export function pathOfTarget (target: string, prefix: string): Result<SettingsPath, LimpetwinchError> {
   const [path = ''] = target.split('?', 1)
@@ -55,15 +59,15 @@
   return parseSettingsPath(path.slice(prefix.length))
 }
 
-interface Holder {
+interface KeyHolder {
   readonly team: TeamId
   readonly label: string
   readonly role: 'caller' | 'owner'
 }
 
-/** Every key is compared, in constant time each: how long it takes tells neither the key nor the team. */
-function holdersOfKey (hash: Buffer, settings: OperatorSettings): Holder[] {
-  const holders: Holder[] = []
+/** Compares the hash with every key, each in constant time, so that the duration reveals neither the key nor its team. */
+function holdersOfKey (hash: Buffer, settings: OperatorSettings): KeyHolder[] {
+  const holders: KeyHolder[] = []
   for (const [team, { keys }] of settings.teams) {
     for (const { sha256, label, role } of keys) {
       if (sameHash(hash, sha256)) holders.push({ team, label, role })
--- a/packages/entry/src/admin/settings-bodies.ts
+++ b/packages/entry/src/admin/settings-bodies.ts
@@ -1,4 +1,4 @@
-/** What operators send: revisions, texts and patches. */
+/** Parses what operators send in settings requests: revisions, texts and patches. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -6,7 +6,7 @@
 import type { PlacedValue, Revision, SettingsPatch, SettingsPath } from '@limpetwinch/core'
 import { parseJson } from '../callers/body-reader.js'
 
-/** The content type of a JSON merge patch. */
+/** Content type of a JSON merge patch. */
 export const MERGE_PATCH_TYPE = 'application/merge-patch+json'
 
 const changeSchema = z.strictObject({
@@ -16,9 +16,9 @@
 const changesSchema = z.union([changeSchema.transform((change) => [change]), z.array(changeSchema).min(1).max(1_000)])
 
 /**
- * @param header - `If-Match`, such as `"3"`
- * @param path - for the error
- * @returns the revision, or `revision-needed`
+ * @param header - the value of the `If-Match` header, such as `"3"`
+ * @param path - the settings path, which the error names
+ * @returns the revision, or the error `revision-needed`
  */
 export function revisionOf (header: string | undefined, path: SettingsPath): Result<Revision, LimpetwinchError> {
   const digits = /^"?(\d{1,15})"?$/.exec(header?.trim() ?? '')?.[1]
@@ -26,7 +26,7 @@
   return ok(Number(digits) as Revision)
 }
 
-/** @returns the text of a body, or `malformed-json` when it is not UTF-8 */
+/** @returns the text of a body, or the error `malformed-json` when it is not UTF-8 */
 export function textOf (body: Buffer): Result<string, LimpetwinchError> {
   try {
     return ok(new TextDecoder('utf-8', { fatal: true, ignoreBOM: false }).decode(body))
@@ -36,9 +36,10 @@
 }
 
 /**
- * @param contentType - says which form the patch has
- * @param body - a JSON merge patch, or `{"place": "/key/key", "value": …}` or a list of such; without value it removes
- * @returns the patch, `malformed-json` or `invalid-patch`
+ * @param contentType - the content type of the request, which distinguishes a merge patch from a list of values
+ * @param body - a JSON merge patch, or one object `{"place": "/key/key", "value": …}`, or a list of such objects; an object
+ *   without `value` removes its key
+ * @returns the patch, or the error `malformed-json` or `invalid-patch`
  */
 export function patchOf (contentType: string | undefined, body: Buffer): Result<SettingsPatch, LimpetwinchError> {
   return parseJson(body).andThen((value): Result<SettingsPatch, LimpetwinchError> => {
--- a/packages/entry/src/admin/settings-responses.ts
+++ b/packages/entry/src/admin/settings-responses.ts
@@ -1,15 +1,15 @@
-/** What operators are told. */
+/** Responses of the settings routes. */
 import type { LimpetwinchError, SettingsDocument, SettingsProblem } from '@limpetwinch/core'
 
 const UNAVAILABLE_RETRY_SECONDS = 2
 
-/** A document without its text, for lists and answers to writes. */
+/** A settings document without its text, for lists and for responses to writes. */
 export interface SettingsSummary {
   readonly path: string
   readonly revision: number
   readonly deleted: boolean
   readonly author: string
-  /** Wall time, milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly acceptedAt: number
 }
 
@@ -19,22 +19,31 @@
   return { path, revision, deleted: text === undefined, author, acceptedAt }
 }
 
-/** @returns a document's text as JSON with comments, its revision as ETag */
+/** @returns a response with the text of a document as JSON with comments, and its revision as ETag */
 export function documentResponse (document: SettingsDocument): Response {
-  return new Response(document.text, { headers: { 'content-type': 'application/jsonc; charset=utf-8', etag: `"${document.revision}"`, 'x-limpetwinch-author': encodeURI(document.author) } })
+  return new Response(document.text, {
+    headers: {
+      'content-type': 'application/jsonc; charset=utf-8',
+      etag: `"${document.revision}"`,
+      'x-limpetwinch-author': encodeURI(document.author)
+    }
+  })
 }
 
-/** @returns the answer to an accepted change */
+/** @returns the response to an accepted change */
 export function acceptedResponse (document: SettingsDocument): Response {
   return Response.json(summaryOf(document), { headers: { etag: `"${document.revision}"` } })
 }
 
-/** @returns plain text */
+/** @returns a response with plain text */
 export function textResponse (text: string): Response {
   return new Response(text, { headers: { 'content-type': 'text/plain; charset=utf-8' } })
 }
 
-/** @returns the answer for an error: its code, its message with the remedy, and what helps to go on */
+/**
+ * @returns the response for an error: its code, its message with the remedy, and the details that the client needs to
+ *   continue
+ */
 export function errorResponse (error: LimpetwinchError): Response {
   const { newest, text, list } = error.details
   const body = {
@@ -42,7 +51,7 @@
     message: error.message,
     outcome: error.outcome,
     ...(list === undefined ? {} : { problems: list as readonly SettingsProblem[] }),
-    // The newer state comes along, so that the operator can put the change on top of it without another call.
+    // A conflict includes the newest revision and text, so that the operator can base the change on it without another call.
     ...(newest === undefined ? {} : { newest, text })
   }
   const headers: Record<string, string> = {}
--- a/packages/entry/src/admin/settings-routes.ts
+++ b/packages/entry/src/admin/settings-routes.ts
@@ -1,4 +1,4 @@
-/** HTTP for operators and teams' owners: settings under paths. */
+/** HTTP routes through which operators and the owners of teams read and change settings. */
 import type { HttpBindings } from '@hono/node-server'
 import { Hono } from 'hono'
 import type { Context } from 'hono'
@@ -19,20 +19,20 @@
 import { readResponse } from './settings-reads.js'
 import { MAXIMUM_WATCHES, watchResponse } from './settings-watch-route.js'
 
-/** What the routes work with. */
+/** Dependencies of the settings routes. */
 export interface SettingsRoutesOptions {
   readonly follower: SettingsFollower
   readonly writer: SettingsWriter
   readonly history: SettingsHistory
   readonly administratorKeySha256: string
-  /** How slowly a body may come; its size is limited by what a value of the store may hold. */
+  /** Time in seconds within which a request body must arrive. Its size is limited by the size of a value in the store. */
   readonly bodySeconds: number
 }
 
 type AdminContext = Context<{ Bindings: HttpBindings }>
 
 interface AuthorizedRequest {
-  readonly reader: SettingsPrincipal
+  readonly principal: SettingsPrincipal
   readonly path: SettingsPath
 }
 
@@ -41,17 +41,17 @@
 const MAXIMUM_BODY_BYTES = 1_000_000
 
 /**
- * @param options - what they work with
+ * @param options - the dependencies of the routes
  * @returns the routes under `/admin/settings`, `/admin/validate` and `/admin/watch`
  */
 export function settingsRoutes (options: SettingsRoutesOptions): Hono<{ Bindings: HttpBindings }> {
   const app = new Hono<{ Bindings: HttpBindings }>()
   const feed = new ChangeFeed(options.follower)
   const limits: BodyLimits = { bytes: MAXIMUM_BODY_BYTES, seconds: options.bodySeconds }
-  app.get(SETTINGS_PREFIX, (context) => answered(list(options, context)))
+  app.get(SETTINGS_PREFIX, (context) => responseOf(list(options, context)))
   app.get(`${SETTINGS_PREFIX}/*`, async (context) => {
-    const asked = authorize(options, context, SETTINGS_PREFIX)
-    return asked.isErr() ? errorResponse(asked.error) : await readResponse(options, asked.value.path, context.req.query())
+    const authorized = authorize(options, context, SETTINGS_PREFIX)
+    return authorized.isErr() ? errorResponse(authorized.error) : await readResponse(options, authorized.value.path, context.req.query())
   })
   app.put(`${SETTINGS_PREFIX}/*`, async (context) => await write(options, context, async () => {
     const text = (await readBody(context.env.incoming, limits)).andThen(textOf)
@@ -64,10 +64,10 @@
   app.delete(`${SETTINGS_PREFIX}/*`, async (context) => await write(options, context, async () => ok(deletionOf(context))))
   app.post(`${VALIDATE_PREFIX}/*`, async (context) => await validate(options, context, limits))
   app.get('/admin/watch', (context) => {
-    const reader = authenticate(options, context)
-    if (reader.isErr()) return errorResponse(reader.error)
-    if (feed.watchers >= MAXIMUM_WATCHES) return errorResponse(new LimpetwinchError('overloaded', { reason: `${MAXIMUM_WATCHES} others watch already` }, { retryAfterSeconds: 10 }))
-    return watchResponse(context, options.follower, feed, reader.value)
+    const principal = authenticate(options, context)
+    if (principal.isErr()) return errorResponse(principal.error)
+    if (feed.watchers >= MAXIMUM_WATCHES) return errorResponse(new LimpetwinchError('overloaded', { reason: `${MAXIMUM_WATCHES} watches are open already` }, { retryAfterSeconds: 10 }))
+    return watchResponse(context, options.follower, feed, principal.value)
   })
   return app
 }
@@ -78,31 +78,35 @@
   return principalOf(context.req.header('authorization'), options.administratorKeySha256, settings)
 }
 
-/** Who asks comes first: without a key nobody learns which paths there are. */
+/** Authenticates the client before it checks the path, so that a client without a key cannot find out which paths exist. */
 function authorize (options: SettingsRoutesOptions, context: AdminContext, prefix: string): Result<AuthorizedRequest, LimpetwinchError> {
-  return authenticate(options, context).andThen((reader) =>
+  return authenticate(options, context).andThen((principal) =>
     pathOfTarget(context.env.incoming.url ?? '', prefix).andThen((path): Result<AuthorizedRequest, LimpetwinchError> => {
-      if (!reader.reaches(path)) return err(new LimpetwinchError('forbidden', { what: path }))
-      return ok({ reader, path })
+      if (!principal.mayAccess(path)) return err(new LimpetwinchError('forbidden', { what: path }))
+      return ok({ principal, path })
     }))
 }
 
 function list (options: SettingsRoutesOptions, context: AdminContext): Result<Response, LimpetwinchError> {
-  return authenticate(options, context).map((reader) => {
-    const paths = options.follower.documents().filter((document) => reader.reaches(document.path)).map(summaryOf)
+  return authenticate(options, context).map((principal) => {
+    const paths = options.follower.documents().filter((document) => principal.mayAccess(document.path)).map(summaryOf)
     return Response.json({ paths: paths.sort((left, right) => left.path < right.path ? -1 : 1) })
   })
 }
 
-async function write (options: SettingsRoutesOptions, context: AdminContext, read: () => Promise<Result<SettingsChange['change'], LimpetwinchError>>): Promise<Response> {
-  const asked = authorize(options, context, SETTINGS_PREFIX)
-  if (asked.isErr()) return errorResponse(asked.error)
-  const { path, reader } = asked.value
+async function write (
+  options: SettingsRoutesOptions,
+  context: AdminContext,
+  read: () => Promise<Result<SettingsChange['change'], LimpetwinchError>>
+): Promise<Response> {
+  const authorized = authorize(options, context, SETTINGS_PREFIX)
+  if (authorized.isErr()) return errorResponse(authorized.error)
+  const { path, principal } = authorized.value
   const ifRevision = revisionOf(context.req.header('if-match'), path)
   if (ifRevision.isErr()) return errorResponse(ifRevision.error)
   const change = await read()
   if (change.isErr()) return errorResponse(change.error)
-  const accepted = await options.writer.accept({ path, ifRevision: ifRevision.value, change: change.value, author: reader.author })
+  const accepted = await options.writer.accept({ path, ifRevision: ifRevision.value, change: change.value, author: principal.author })
   return accepted.match(acceptedResponse, errorResponse)
 }
 
@@ -112,13 +116,13 @@
 }
 
 async function validate (options: SettingsRoutesOptions, context: AdminContext, limits: BodyLimits): Promise<Response> {
-  const asked = authorize(options, context, VALIDATE_PREFIX)
-  if (asked.isErr()) return errorResponse(asked.error)
+  const authorized = authorize(options, context, VALIDATE_PREFIX)
+  if (authorized.isErr()) return errorResponse(authorized.error)
   const text = (await readBody(context.env.incoming, limits)).andThen(textOf)
-  const checked = text.andThen((body) => options.writer.validate(asked.value.path, body))
-  return answered(checked.map(() => Response.json({ path: asked.value.path, valid: true })))
+  const checked = text.andThen((body) => options.writer.validate(authorized.value.path, body))
+  return responseOf(checked.map(() => Response.json({ path: authorized.value.path, valid: true })))
 }
 
-function answered (result: Result<Response, LimpetwinchError>): Response {
+function responseOf (result: Result<Response, LimpetwinchError>): Response {
   return result.match((response) => response, errorResponse)
 }
--- a/packages/entry/src/admin/status.ts
+++ b/packages/entry/src/admin/status.ts
@@ -1,4 +1,4 @@
-/** What an instance knows, for operators. */
+/** Status of an instance, for operators. */
 import { enginesOf } from '@limpetwinch/core'
 import type { OperatorSettings } from '@limpetwinch/core'
 import type { InFlightTable } from '../delivery/in-flight-table.js'
@@ -9,7 +9,7 @@
 import type { OwnedEndpoint, OwnedEndpoints } from '../scheduling/owned-endpoints.js'
 import type { SettingsView } from '../settings/settings-view.js'
 
-/** Where the status comes from. */
+/** Sources of the values in the status. */
 export interface StatusSources {
   readonly network: PeerNetwork
   readonly membership: Membership
@@ -66,7 +66,7 @@
   })
 }
 
-/** What only the owner knows. */
+/** Details of an endpoint that only the owner of the endpoint knows. */
 function ownedDetails (owned: OwnedEndpoint): Record<string, unknown> {
   const { scheduler } = owned
   const teams = new Map<string, number>()
@@ -74,7 +74,12 @@
     teams.set(running.request.team, (teams.get(running.request.team) ?? 0) + 1)
   }
   return {
-    slots: scheduler.slots.all().map((slot) => ({ name: slot.name, state: slot.state, pins: slot.pins.size, waiting: scheduler.waitingFor(slot.adapter).size })),
+    slots: scheduler.slots.all().map((slot) => ({
+      name: slot.name,
+      state: slot.state,
+      pins: slot.pins.size,
+      waiting: scheduler.waitingFor(slot.adapter).size
+    })),
     wanted: scheduler.adaptersAwaitingLoad(),
     runningByTeam: Object.fromEntries(teams),
     batchFill: owned.latestReport?.batchFill
--- a/packages/entry/test/admin/settings-routes.test.ts
+++ b/packages/entry/test/admin/settings-routes.test.ts
@@ -45,7 +45,7 @@
     await deployment.stop()
   })
 
-  /** Sends one request; the answer's body comes as text. */
+  /** Sends one request and returns the response with its body as text. */
   async function send (method: string, target: string, options: { key?: string, body?: string | Buffer, headers?: Record<string, string> } = {}): Promise<{ status: number, text: string, etag: string | null }> {
     const headers = { authorization: `Bearer ${options.key ?? ADMINISTRATOR}`, ...options.headers }
     const response = await fetch(url + target, { method, headers, ...(options.body === undefined ? {} : { body: options.body }) })
@@ -75,8 +75,8 @@
   })
 
   it('keeps comments and layout through a patch', async () => {
-    // A tool patches one value of a document that people wrote. Written back as plain JSON it would lose every comment,
-    // and the next reader would not know why a version is held back.
+    // Guards against a patch that loses comments: a tool changes one value of a document with comments, and a document
+    // written back as plain JSON would lose them all.
     await put('/teams/history', HISTORY, 0)
     const merged = await send('PATCH', '/admin/settings/teams/history', { headers: { 'if-match': '"1"', 'content-type': 'application/merge-patch+json' }, body: '{"adapters":{"poem":{"current":"v2"}}}' })
     expect(merged.status).toBe(200)
@@ -89,7 +89,7 @@
     expect(instance.follower.current()?.teams.get('history' as never)?.adapters['poem']).toEqual({ baseModel: 'base', versions: ['v1', 'v2', 'v3'], current: 'v1' })
   })
 
-  it('names every problem with its place and what to write', async () => {
+  it('reports every problem with its position and a remedy', async () => {
     const text = '{\n  "adaptors": {},\n  "adapters": { "poem": { "baseModel": "base", "versions": ["v1"], "current": "v3" } },\n  "limits": { "inFlight": "ten" },\n  "priorityClasses": { "panel": 9 }\n}'
     const refused = await put('/teams/history', text, 0)
     expect(refused.status).toBe(422)
@@ -127,9 +127,9 @@
     expect(store.calls.writes).toBe(0)
   })
 
-  it('lets an owner reach the own team and nothing else', async () => {
-    // A team's owner holds a key that reaches one subtree. Reading another team's would give its key hashes away, and
-    // writing shares or endpoints would take what belongs to all.
+  it("lets a team's owner access the settings of the own team only", async () => {
+    // Guards against an owner's key that works outside its team: reading another team's settings would reveal its key
+    // hashes, and writing shares or endpoints would affect all teams.
     await put('/teams/history', HISTORY, 0)
     await put('/teams/other', '{}', 0)
     expect((await send('GET', '/admin/settings/teams/history', { key: OWNER })).status).toBe(200)
@@ -147,9 +147,9 @@
     expect(JSON.parse((await send('GET', '/admin/settings/teams/history?history', { key: OWNER })).text).revisions.map((each: { author: string }) => each.author)).toEqual(['history/head', 'administrator'])
   })
 
-  it('finds no way round the path', async () => {
-    // A path that the check of the key and the store read differently would reach another team's subtree. Targets are
-    // sent raw, as a client of one's own would send them.
+  it('rejects paths that try to bypass the authorization check', async () => {
+    // Guards against a path that the authorization check and the store interpret differently, which would give access to
+    // another team's settings. Targets are sent raw, as a malicious client would send them.
     await put('/teams/history', HISTORY, 0)
     await put('/teams/other', '{ "priorityClasses": { "secret-of-other": 1 } }', 0)
     const tricks = [
@@ -167,7 +167,7 @@
     expect(instance.follower.revisions().get('/teams/other' as never)).toBe(1)
   })
 
-  it('shows history, former revisions and differences', async () => {
+  it('returns the history, earlier revisions and diffs', async () => {
     await put('/teams/history', HISTORY, 0)
     for (let revision = 1; revision < 40; revision += 1) await put('/teams/history', HISTORY.replace('May', `week ${revision}`), revision)
     const { revisions } = JSON.parse((await send('GET', '/admin/settings/teams/history?history')).text) as { revisions: { revision: number }[] }
@@ -188,7 +188,7 @@
     `)
   })
 
-  it('refuses a body that is not UTF-8, too large, or no JSON', async () => {
+  it('refuses a body that is not UTF-8, too large, or not JSON', async () => {
     expect((await send('PUT', '/admin/settings/policy', { body: Buffer.from([0x7b, 0xff, 0x7d]), headers: { 'if-match': '"0"' } })).status).toBe(400)
     expect((await put('/policy', `{} // ${'x'.repeat(1_100_000)}`, 0)).status).toBe(413)
     expect((await put('/policy', `{} // ${'\\'.repeat(600_000)}`, 0)).status).toBe(422)
@@ -198,7 +198,7 @@
     expect(store.calls.writes).toBe(0)
   })
 
-  it('streams the state and each change to a watcher, and only what its key reaches', async () => {
+  it('streams the state and each change to a watching client, limited to the paths that its key may access', async () => {
     await put('/teams/history', HISTORY, 0)
     await put('/teams/other', '{}', 0)
     const ending = new AbortController()
@@ -214,7 +214,7 @@
     expect(seen).not.toContain('/teams/other')
   })
 
-  /** Sends a target as it stands, which fetch would tidy up. */
+  /** Sends a request with the target unchanged; fetch would normalize it. */
   async function raw (method: string, target: string, key: string, headers = ''): Promise<{ text: string, body: string }> {
     const { hostname, port } = new URL(url)
     const socket = connect(Number(port), hostname)
