--- a/packages/entry/src/settings/conditional-settings-writer.ts
+++ b/packages/entry/src/settings/conditional-settings-writer.ts
@@ -1,4 +1,4 @@
-/** One conditional write that ends in a clear answer, also when the store's own answer is lost. */
+/** Conditional writes of settings with a definite result, also when the answer of the store is lost. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -10,16 +10,16 @@
 const INITIAL_WAIT_MILLISECONDS = 50
 const MAXIMUM_WRITES = 3
 
-/** Writes documents. */
+/** Writes settings documents, each conditional on the version of its object in the store. */
 export class ConditionalSettingsWriter {
   private readonly store: ObjectStore
   private readonly history: SettingsHistory
   private readonly clock: Clock
 
   /**
-   * @param store - where to
-   * @param history - tells of a write that was replaced before it was read back
-   * @param clock - for waits between reads
+   * @param store - the store to write to
+   * @param history - contains writes that were replaced before they could be read back
+   * @param clock - times the waits between reads
    */
   constructor (store: ObjectStore, history: SettingsHistory, clock: Clock) {
     this.store = store
@@ -28,10 +28,10 @@
   }
 
   /**
-   * @param document - what to write; its write id finds it again
-   * @param ifVersion - the object's version that it replaces
-   * @returns `version-conflict` when another write came first, `store-unavailable` when nothing happened,
-   * `store-answer-lost` when it cannot be told
+   * @param document - the document to write; its write id identifies the write when the object is read back
+   * @param ifVersion - the version of the object that the write replaces
+   * @returns nothing, or the error `version-conflict` when another write came first, `store-unavailable` when nothing was
+   *   written, `store-answer-lost` when it is unknown whether the write took effect
    */
   async write (document: SettingsDocument, ifVersion: number): Promise<Result<void, LimpetwinchError>> {
     for (let attempt = 0; attempt < MAXIMUM_WRITES; attempt += 1) {
@@ -39,29 +39,29 @@
       if (written.isOk()) return ok(undefined)
       if (written.error.kind === 'version-conflict') return await this.resolveConflict(document, written.error, attempt > 0)
       if (written.error.kind !== 'store-answer-lost') return err(attempt === 0 ? written.error : answerLost(document))
-      // The write may have taken effect. Writing again under a new revision would do it twice; calling it refused
-      // would be wrong for the operator. What stands in the store now tells.
+      // The write may have taken effect. Writing again under a new revision would apply the change twice, and reporting a
+      // refusal could be wrong. The present object in the store shows what happened.
       const present = await this.readBack(document)
       if (present.isErr()) return err(present.error)
       if (present.value.version !== ifVersion) {
         const conflict = new LimpetwinchError('version-conflict', { path: document.path, ...present.value })
         return await this.resolveConflict(document, conflict, true)
       }
-      // Not there, but it may still be on its way. The same write on the same version can take effect only once,
-      // whichever copy of it comes first, so that sending it again is safe and settles the matter.
+      // The store does not have the write, but the write may still arrive. The same write on the same version can take effect
+      // only once, whichever copy arrives first, so sending it again is safe and gives a definite result.
     }
     return err(answerLost(document))
   }
 
-  /** Tells a lost race from a write that took effect, was not answered, and may have been replaced since. */
+  /** Distinguishes a lost race from a write that took effect but was not answered, and may have been replaced since. */
   private async resolveConflict (document: SettingsDocument, conflict: LimpetwinchError, sentBefore: boolean): Promise<Result<void, LimpetwinchError>> {
     const present = documentOf(conflict.details['value'])
     if (present?.writeId === document.writeId) return ok(undefined)
     if (!sentBefore || present === undefined || present.revision <= document.revision) return err(conflict)
-    // Whoever replaced it has kept it in the history before.
-    const former = await this.history.at(document.path, document.revision)
-    if (former.isErr()) return err(answerLost(document))
-    return former.value?.writeId === document.writeId ? ok(undefined) : err(conflict)
+    // A writer stores the document that it replaces in the history before it writes.
+    const kept = await this.history.at(document.path, document.revision)
+    if (kept.isErr()) return err(answerLost(document))
+    return kept.value?.writeId === document.writeId ? ok(undefined) : err(conflict)
   }
 
   private async readBack (document: SettingsDocument): Promise<Result<{ version: number, value: unknown }, LimpetwinchError>> {
--- a/packages/entry/src/settings/settings-edit.ts
+++ b/packages/entry/src/settings/settings-edit.ts
@@ -1,29 +1,32 @@
-/** Changes between peers as edits of the state before. */
+/** Encodes settings changes as text edits of the previous document, for transfer between peers. */
 import { textEditBetween, applyTextEdit } from '@limpetwinch/core'
 import type { SettingsDocument, SettingsEdit } from '@limpetwinch/core'
 
-/** A document that came into force, and the one it replaced. */
+/** A document that came into force, and the document that it replaced. */
 export interface AppliedChange {
   readonly document: SettingsDocument
-  readonly former: SettingsDocument | undefined
+  readonly replaced: SettingsDocument | undefined
 }
 
-/** @returns the change as an edit, or undefined where the document itself is shorter */
-export function editOf ({ document, former }: AppliedChange): SettingsEdit | undefined {
-  if (document.text === undefined || former?.text === undefined) return undefined
-  const edit = textEditBetween(former.text, document.text)
+/**
+ * @returns the change as an edit, or undefined when there are no two texts or the edit inserts more than half of the new
+ *   text
+ */
+export function editOf ({ document, replaced }: AppliedChange): SettingsEdit | undefined {
+  if (document.text === undefined || replaced?.text === undefined) return undefined
+  const edit = textEditBetween(replaced.text, document.text)
   if (edit.insert.length * 2 > document.text.length) return undefined
   const { path, revision, writeId, acceptedAt, author } = document
-  return { path, revision, writeId, acceptedAt, author, base: former.writeId, ...edit }
+  return { path, revision, writeId, acceptedAt, author, base: replaced.writeId, ...edit }
 }
 
 /**
- * Makes the document of an edit. On any other text than the one that it was made on, the edit would give a text that
- * nobody ever accepted; such an edit is passed over, and the hashes of the next heartbeats bring the whole document.
+ * Applies an edit to the document that it was made from. Applied to any other text, the edit would produce a text that was
+ * never accepted. Such an edit is ignored: the hashes in the next heartbeats differ, and the complete document is requested.
  *
- * @param edit - from a peer
- * @param base - the newest document here
- * @returns the document, or undefined when the edit was made on another
+ * @param edit - the edit that a peer sent
+ * @param base - the newest document known on this instance
+ * @returns the resulting document, or undefined when the edit was made from another document
  */
 export function documentOfEdit (edit: SettingsEdit, base: SettingsDocument | undefined): SettingsDocument | undefined {
   if (base?.text === undefined || base.writeId !== edit.base) return undefined
--- a/packages/entry/src/settings/settings-exchange.ts
+++ b/packages/entry/src/settings/settings-exchange.ts
@@ -1,4 +1,4 @@
-/** Settings between the instances of a data centre: pushing what is new, and finding and closing gaps. */
+/** Exchanges settings between the instances of a data centre: pushes new documents, and detects and closes gaps. */
 import { isNewer } from '@limpetwinch/core'
 import type { Clock, FrameOf, InstanceId, Logger, SettingsDocument } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
@@ -7,51 +7,60 @@
 import type { AppliedChange } from './settings-edit.js'
 import type { SettingsState } from './settings-state.js'
 
-/** What the exchange needs of its instance. */
+/** Dependencies of the settings exchange. */
 export interface SettingsExchangeDependencies {
   readonly network: PeerNetwork
   readonly membership: Membership
   readonly state: SettingsState
   readonly logger: Logger
   readonly clock: Clock
-  /** Whether this instance has a whole state that others may start from. */
+  /** Returns whether this instance has a complete state, which starting peers may use. */
   readonly ready: () => boolean
-  /** Takes documents that a peer sent. */
+  /** Applies documents that a peer sent. */
   readonly applyDocuments: (from: InstanceId, documents: readonly SettingsDocument[]) => void
 }
 
-/** `more`: ask again for the rest; `unready`: the peer has no whole state itself. */
+/**
+ * Kind of a peer's answer to a request for changes. `whole`: the answer is complete; `more`: the rest needs another request;
+ * `unready`: the peer has no complete state itself.
+ */
 type SettingsAnswer = NonNullable<FrameOf<'settings-change'>['answer']>
 
+/** State of the requests to a peer whose settings hash differs. */
 interface Gap {
   readonly since: number
+  /** Interval between requests in milliseconds. It doubles with each request. */
   wait: number
   nextRequestAt: number
 }
 
 const CHECK_INTERVAL_MILLISECONDS = 100
-/** A change on its way makes hashes differ for a moment; only a lasting difference is a gap. */
+/**
+ * Time before the first request to a peer. A change in transfer makes hashes differ for a moment; only a lasting difference
+ * is a gap.
+ */
 const GRACE_PERIOD_MILLISECONDS = 200
 const INITIAL_REQUEST_INTERVAL_MILLISECONDS = 500
 const MAXIMUM_REQUEST_INTERVAL_MILLISECONDS = 30_000
-/** Characters of text in one frame, so that no frame holds a connection up for long. */
+/** Maximum size of the texts in one frame, in characters, so that no frame blocks a connection for long. */
 const MAXIMUM_FRAME_CHARACTERS = 256 * 1024
 
-/** Exchanges settings with the peers. */
+/** Exchanges settings with the peers of the data centre. */
 export class SettingsExchange {
   private readonly dependencies: SettingsExchangeDependencies
   private readonly gaps = new Map<InstanceId, Gap>()
+  /** The last settings hash of each peer whose hash differs. */
   private readonly heard = new Map<InstanceId, string>()
   private readonly answerListeners = new Set<(from: InstanceId, answer: SettingsAnswer) => void>()
 
-  /** @param dependencies - what it works with */
+  /** @param dependencies - the network, the state and the other collaborators */
   constructor (dependencies: SettingsExchangeDependencies) {
     this.dependencies = dependencies
     dependencies.network.onNotice('settings-change', (from, frame) => { this.applyChange(from, frame) })
     dependencies.network.onNotice('settings-revisions', (from, frame) => { this.answer(from, frame) })
   }
 
-  /** @returns connected peers of this data centre */
+  /** @returns the connected peers in the data centre of this instance */
   peers (): InstanceId[] {
     const { network, membership } = this.dependencies
     const { instance, dataCentre } = network.self
@@ -61,21 +70,24 @@
   /**
    * Sends changes to peers.
    *
-   * @param changes - what is new
-   * @param to - the peers; all of the data centre unless given
+   * @param changes - the documents that came into force on this instance
+   * @param to - the receiving peers, by default all connected peers of the data centre
    */
   push (changes: readonly AppliedChange[], to: readonly InstanceId[] = this.peers()): void {
     const edits = changes.flatMap((change) => editOf(change) ?? [])
-    const whole = changes.filter((change) => editOf(change) === undefined).map((change) => change.document)
+    const wholeDocuments = changes.filter((change) => editOf(change) === undefined).map((change) => change.document)
     const frames: FrameOf<'settings-change'>[] = []
     if (edits.length > 0) frames.push({ kind: 'settings-change', documents: [], edits })
-    if (whole.length > 0) frames.push(...inFrames(whole).map((documents) => ({ kind: 'settings-change', documents }) as const))
+    if (wholeDocuments.length > 0) frames.push(...inFrames(wholeDocuments).map((documents) => ({ kind: 'settings-change', documents }) as const))
     for (const frame of frames) {
       for (const peer of to) this.dependencies.network.notify(peer, frame)
     }
   }
 
-  /** Takes up the hash of a peer's heartbeat. */
+  /**
+   * Handles the settings hash in a heartbeat of a peer: a hash that differs from the local one opens a gap, an equal one
+   * closes it.
+   */
   receiveHash (from: InstanceId, hash: string): void {
     if (hash === this.dependencies.state.hash()) {
       this.heard.delete(from)
@@ -87,7 +99,7 @@
     if (!this.gaps.has(from)) this.gaps.set(from, { since: now, wait: INITIAL_REQUEST_INTERVAL_MILLISECONDS, nextRequestAt: now + GRACE_PERIOD_MILLISECONDS })
   }
 
-  /** Asks one peer at a time for what is missing here, for as long as its hash differs. */
+  /** Requests missing changes from one peer at a time, for as long as the hash of the peer differs. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.dependencies.clock.sleep(CHECK_INTERVAL_MILLISECONDS, signal)
@@ -98,15 +110,15 @@
     }
   }
 
-  /** Tells a peer what is known here; it answers with what is newer there. */
+  /** Sends the revisions known on this instance to a peer, which answers with its newer documents. */
   requestChanges (peer: InstanceId): void {
     const revisions = [...this.dependencies.state.all()].map(({ path, revision, writeId, acceptedAt }) => ({ path, revision, writeId, acceptedAt }))
     this.dependencies.network.notify(peer, { kind: 'settings-revisions', revisions })
   }
 
   /**
-   * @param listener - called with each answer to an ask
-   * @returns ends the listening
+   * @param listener - called with each answer to a request for changes
+   * @returns a function that removes the listener
    */
   onAnswer (listener: (from: InstanceId, answer: SettingsAnswer) => void): () => void {
     this.answerListeners.add(listener)
@@ -123,13 +135,14 @@
     }
   }
 
-  /** A peer that stays behind, or reads settings otherwise, is asked more and more rarely. */
+  /** Sends another request and doubles the interval: a peer that stays behind, or never agrees, is asked ever more rarely. */
   private requestAgain (peer: InstanceId, gap: Gap, now: number): void {
     gap.nextRequestAt = now + gap.wait
     gap.wait = Math.min(MAXIMUM_REQUEST_INTERVAL_MILLISECONDS, gap.wait * 2)
     this.requestChanges(peer)
   }
 
+  /** Answers a request for changes with the documents that are newer on this instance. */
   private answer (from: InstanceId, frame: FrameOf<'settings-revisions'>): void {
     if (!this.dependencies.ready()) {
       this.dependencies.network.notify(from, { kind: 'settings-change', documents: [], answer: 'unready' })
@@ -137,8 +150,8 @@
     }
     const known = new Map(frame.revisions.map((each) => [each.path, each]))
     const newer = [...this.dependencies.state.all()].filter((document) => isNewer(document, known.get(document.path)))
-    // One frame for each ask: the connection drops frames beyond a bound, and the end of an answer whose beginning was
-    // dropped would pass for all of it.
+    // The answer to a request is a single frame. The connection drops frames beyond a limit, and if the first of several
+    // frames were dropped, the last frame would be mistaken for the complete answer.
     const [part = [], ...rest] = inFrames(newer)
     this.dependencies.network.notify(from, { kind: 'settings-change', documents: part, answer: rest.length === 0 ? 'whole' : 'more' })
   }
@@ -153,7 +166,7 @@
   }
 }
 
-/** @returns the documents split by size; one empty part when there are none */
+/** @returns the documents, split into frames by the size of their texts; one empty frame when there are no documents */
 function inFrames (documents: readonly SettingsDocument[]): SettingsDocument[][] {
   const frames: SettingsDocument[][] = [[]]
   let characters = 0
--- a/packages/entry/src/settings/settings-follower.ts
+++ b/packages/entry/src/settings/settings-follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the operator settings in force on this instance, and passes on what is new. */
+/** Keeps the operator settings of this instance up to date, and forwards new documents to its peers. */
 import type { Clock, InstanceId, Logger, ObjectStore, OperatorSettings, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import type { Membership } from '../membership/membership.js'
@@ -11,25 +11,25 @@
 import { SettingsWatch, STORE_BACKOFF } from './settings-watch.js'
 import { isWatcher, rankWatchers, isSubstituteWatcher } from './watcher-ranking.js'
 
-/** What the follower needs of its instance. */
+/** Dependencies of the settings follower. */
 export interface SettingsFollowerDependencies {
   readonly store: ObjectStore
   readonly network: PeerNetwork
   readonly membership: Membership
-  /** Whether the platform's list of instances has been read; before, nobody knows which peers there are. */
+  /** Returns whether the platform's list of instances has been read. Before that, the set of peers is unknown. */
   readonly membershipKnown?: () => boolean
   readonly logger: Logger
   readonly clock: Clock
-  /** How long the store may hold one watch call, milliseconds. */
+  /** Maximum time that the store holds one watch call open, in milliseconds. */
   readonly watchMilliseconds?: number
-  /** From 0 to below 1; for jitter. */
+  /** Returns a random number from 0 to below 1, for jitter. */
   readonly random?: () => number
 }
 
 const DEFAULT_WATCH_MILLISECONDS = 5_000
 const INITIAL_LIST_TIMEOUT_MILLISECONDS = 2_000
 
-/** The settings in force; they only go forward. */
+/** Follows the settings in the store and on peers. A newer document is never replaced by an older one. */
 export class SettingsFollower extends SettingsView {
   private readonly dependencies: SettingsFollowerDependencies
   private readonly logger: Logger
@@ -40,7 +40,7 @@
   private readonly listeners: (() => void)[] = []
   private ready = false
 
-  /** @param dependencies - what it works with */
+  /** @param dependencies - the store, the network and the other collaborators */
   constructor (dependencies: SettingsFollowerDependencies) {
     super()
     const { store, network, membership, clock } = dependencies
@@ -81,35 +81,41 @@
     this.listeners.push(listener)
   }
 
-  /** @returns the newest known document of a path, deleted ones included */
+  /** @returns the newest known document of a path, which may be a deletion */
   document (path: SettingsPath): SettingsDocument | undefined {
     return this.state.document(path)
   }
 
-  /** @returns the newest known document of every path, deleted ones included */
+  /** @returns the newest known document of every path, including deletions */
   documents (): readonly SettingsDocument[] {
     return [...this.state.all()]
   }
 
-  /** @returns the hash for heartbeats; equal hashes mean equal settings */
+  /** @returns the hash of the settings for heartbeats; equal hashes mean equal settings */
   settingsHash (): string {
     return this.state.hash()
   }
 
-  /** @returns whether the store answered this part's last call */
+  /**
+   * @returns whether the store is considered reachable from this instance, judged by the calls that read and watch the
+   *   settings
+   */
   storeReachable (): boolean {
     return this.watch.storeReachable()
   }
 
-  /** Takes up the hash of a peer's heartbeat; a lasting difference is mended. */
+  /**
+   * Handles the settings hash in a heartbeat of a peer. After a lasting difference, the missing changes are requested from
+   * the peer.
+   */
   receiveHash (from: InstanceId, hash: string): void {
     this.exchange.receiveHash(from, hash)
   }
 
   /**
-   * Follows the settings until the signal.
+   * Follows the settings until the signal is aborted.
    *
-   * @param signal - ends it
+   * @param signal - stops following the settings
    */
   async run (signal: AbortSignal): Promise<void> {
     await this.start(signal)
@@ -117,13 +123,13 @@
     await Promise.all([this.watch.run(signal), this.exchange.run(signal)])
   }
 
-  /** Puts a document in force that was accepted by the store, and tells the peers. */
+  /** Puts a document in force that the store has accepted, and sends it to the peers. */
   accepted (document: SettingsDocument): void {
     const changed = this.apply([document])
     this.exchange.push(changed)
   }
 
-  /** Takes a document that the store holds. */
+  /** Applies a document that was read from the store. */
   applyStoredDocument (document: SettingsDocument): void {
     this.applyStoreDocuments([document])
   }
@@ -132,11 +138,11 @@
     const backoff = new Backoff(STORE_BACKOFF, this.random)
     const { clock } = this.dependencies
     while (!signal.aborted) {
-      const answers = await Promise.all([
+      const results = await Promise.all([
         this.listForStart(signal),
         receiveInitialState({ ...this.dependencies, exchange: this.exchange }, signal)
       ])
-      if (answers.includes(true)) break
+      if (results.includes(true)) break
       this.logger.warn('Neither the store nor a peer has answered; this instance is not ready.')
       await clock.sleep(backoff.next(), signal)
     }
@@ -146,13 +152,16 @@
     this.notifyListeners()
   }
 
-  /** A store that is only slow must not keep an instance from starting with what its peers know. */
+  /**
+   * Reads the settings from the store within a time limit. A slow store must not keep an instance from starting with its
+   * peers' state.
+   */
   private async listForStart (signal: AbortSignal): Promise<boolean> {
-    const enough = new AbortController()
-    const either = AbortSignal.any([signal, enough.signal])
+    const settled = new AbortController()
+    const either = AbortSignal.any([signal, settled.signal])
     const listed = this.watch.list()
     const answered = await Promise.race([listed, this.dependencies.clock.sleep(INITIAL_LIST_TIMEOUT_MILLISECONDS, either).then(() => false)])
-    enough.abort()
+    settled.abort()
     return answered
   }
 
@@ -161,14 +170,15 @@
     const changed = this.apply(documents)
     const [first] = this.watchers()
     const peers = this.exchange.peers()
-    // Were every watcher to tell everyone, each change would cross every connection twice; the first one tells all.
-    const firstTells = first !== undefined && first !== this.dependencies.network.self.instance && peers.includes(first)
-    this.exchange.push(changed, firstTells ? [first] : peers)
+    // If both watchers sent a change to all peers, it would cross every connection twice. Only the first watcher does so.
+    const firstForwards = first !== undefined && first !== this.dependencies.network.self.instance && peers.includes(first)
+    this.exchange.push(changed, firstForwards ? [first] : peers)
   }
 
   private applyPeerDocuments (from: InstanceId, documents: readonly SettingsDocument[]): void {
     const changed = this.apply(documents)
     const [first, spare] = this.watchers()
+    // The spare watcher sends its changes to the first watcher only, which forwards them to the other peers.
     if (first !== this.dependencies.network.self.instance || from !== spare) return
     this.exchange.push(changed, this.exchange.peers().filter((peer) => peer !== from))
   }
@@ -177,17 +187,24 @@
     return rankWatchers(this.dependencies.network, this.dependencies.membership)
   }
 
-  /** A store restored from a copy is mended by the next accepted change, which counts on from the highest revision. */
+  /**
+   * Warns of a store with an older revision, as after a restore from a backup. The next accepted change brings the store up to
+   * date again, because its revision follows the highest known one.
+   */
   private warnIfStoreIsOlder (document: SettingsDocument): void {
     const known = this.state.document(document.path)
     if (known === undefined || known.revision <= document.revision) return
-    this.logger.warn('The store holds an older revision; the newer one stays in force.', { path: document.path, stored: document.revision, inForce: known.revision })
+    this.logger.warn('The store holds an older revision; the newer one stays in force.', {
+      path: document.path,
+      stored: document.revision,
+      inForce: known.revision
+    })
   }
 
   private apply (documents: readonly SettingsDocument[]): AppliedChange[] {
     const changed = documents.flatMap((document) => {
-      const former = this.state.document(document.path)
-      return this.state.apply(document) ? [{ document, former }] : []
+      const replaced = this.state.document(document.path)
+      return this.state.apply(document) ? [{ document, replaced }] : []
     })
     if (changed.length > 0 && this.ready) this.notifyListeners()
     return changed
--- a/packages/entry/src/settings/settings-history.ts
+++ b/packages/entry/src/settings/settings-history.ts
@@ -1,4 +1,4 @@
-/** Former documents of each path, kept in the store. */
+/** History of the settings: earlier documents of each path, kept in the store. */
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -6,25 +6,26 @@
 import { documentOf } from './stored-settings.js'
 
 const HISTORY_PREFIX = '/history'
-/** So many former documents of a path are kept. The object API deletes nothing, so each place is written again. */
+/** Number of earlier documents kept for each path. The object API has no delete, so each slot is overwritten in turn. */
 export const KEPT_REVISIONS = 32
 const MAXIMUM_ATTEMPTS = 3
 
-/** Reads and keeps former documents: one object for each of a fixed number of places. */
+/** Reads and writes earlier documents. Each path has a fixed number of slots, and each slot is one object of the store. */
 export class SettingsHistory {
   private readonly store: ObjectStore
 
-  /** @param store - where they are kept */
+  /** @param store - the store that keeps the documents */
   constructor (store: ObjectStore) {
     this.store = store
   }
 
   /**
-   * Keeps a document that is about to be replaced. Writing it again changes nothing, so that racing writers, who all
-   * keep the same one, do not hinder each other.
+   * Stores a document that is about to be replaced. This is idempotent, so that racing writers, which all store the same
+   * document, do not make each other fail.
    *
    * @param document - the accepted document
-   * @returns `store-unavailable` or `store-answer-lost` when it could not be kept
+   * @returns nothing, or the error of the store, such as `store-unavailable` or `store-answer-lost`, when the document could not
+   *   be stored
    */
   keep (document: SettingsDocument): ResultAsync<void, LimpetwinchError> {
     return new ResultAsync(this.keepWithRetries(document))
@@ -38,7 +39,7 @@
       .sort((left, right) => right.revision - left.revision))
   }
 
-  /** @returns one kept document, or undefined when it is not kept */
+  /** @returns the document of one revision, or undefined when it is not kept */
   at (path: SettingsPath, revision: Revision): ResultAsync<SettingsDocument | undefined, LimpetwinchError> {
     return this.store.get(slotPathOf(path, revision)).map((object) => {
       const document = documentOf(object?.value)
@@ -47,8 +48,8 @@
   }
 
   private async keepWithRetries (document: SettingsDocument): Promise<Result<void, LimpetwinchError>> {
-    // A place is written once a round, so that its version can be guessed and a read is saved; a wrong guess is
-    // answered with the right version.
+    // A slot is written once in KEPT_REVISIONS revisions, so the version of its object can be calculated and no read is
+    // needed. If the calculated version is wrong, the conflict error contains the actual version.
     let ifVersion = Math.floor((document.revision - 1) / KEPT_REVISIONS)
     let last = new LimpetwinchError('store-unavailable', { reason: 'the history could not be written' })
     for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
--- a/packages/entry/src/settings/settings-start.ts
+++ b/packages/entry/src/settings/settings-start.ts
@@ -1,10 +1,10 @@
-/** The first state of an instance: the newest of the store and its peers. */
+/** Requests the settings from peers while an instance starts, beside the read of the store. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 import type { SettingsExchange } from './settings-exchange.js'
 
-/** What the start needs of its instance. */
+/** Dependencies of the request for the initial state. */
 export interface SettingsStartDependencies {
   readonly exchange: SettingsExchange
   readonly network: PeerNetwork
@@ -13,58 +13,58 @@
   readonly clock: Clock
 }
 
-/** Without a word for so long the start goes on with what the store says. */
+/** Time without an answer of any peer after which the start continues with the state of the store alone. */
 const ANSWER_TIMEOUT_MILLISECONDS = 2_000
 const REQUEST_INTERVAL_MILLISECONDS = 500
 const CHECK_INTERVAL_MILLISECONDS = 50
 const MAXIMUM_CONCURRENT_REQUESTS = 2
 
 /**
- * Waits for the whole state of one peer.
+ * Requests the complete state from peers and waits until one of them has sent it.
  *
- * Without it an instance that starts from a store restored from a copy would put older settings in force, although
- * its peers know better.
+ * Without this, an instance that starts with a store restored from a backup would put older settings in force, although its
+ * peers have newer ones.
  *
- * @param parts - what it works with
- * @param signal - gives up
- * @returns whether a peer answered with a whole state
+ * @param dependencies - the exchange, the membership and the other collaborators
+ * @param signal - stops the wait
+ * @returns whether a peer answered with a complete state
  */
-export async function receiveInitialState (parts: SettingsStartDependencies, signal: AbortSignal): Promise<boolean> {
-  const { exchange, clock } = parts
-  const asked = new Map<InstanceId, number>()
+export async function receiveInitialState (dependencies: SettingsStartDependencies, signal: AbortSignal): Promise<boolean> {
+  const { exchange, clock } = dependencies
+  const requestedAt = new Map<InstanceId, number>()
   const unready = new Set<InstanceId>()
-  const whole = new Set<InstanceId>()
+  const completePeers = new Set<InstanceId>()
   let deadline = clock.now() + ANSWER_TIMEOUT_MILLISECONDS
   const stop = exchange.onAnswer((from, answer) => {
-    if (answer === 'whole') whole.add(from)
+    if (answer === 'whole') completePeers.add(from)
     if (answer === 'unready') unready.add(from)
-    asked.set(from, clock.now())
+    requestedAt.set(from, clock.now())
     deadline = clock.now() + ANSWER_TIMEOUT_MILLISECONDS
   })
-  while (whole.size === 0 && !signal.aborted && clock.now() < deadline) {
-    if (expectedPeers(parts)?.every((peer) => unready.has(peer)) === true) break
-    requestFromNextPeers(exchange, asked, unready, clock.now())
+  while (completePeers.size === 0 && !signal.aborted && clock.now() < deadline) {
+    if (expectedPeers(dependencies)?.every((peer) => unready.has(peer)) === true) break
+    requestFromNextPeers(exchange, requestedAt, unready, clock.now())
     await clock.sleep(CHECK_INTERVAL_MILLISECONDS, signal)
   }
   stop()
-  return whole.size > 0
+  return completePeers.size > 0
 }
 
-/** Two at a time: more would send the whole settings as many times over. */
-function requestFromNextPeers (exchange: SettingsExchange, asked: Map<InstanceId, number>, unready: ReadonlySet<InstanceId>, now: number): void {
-  const waitingFor = [...asked].filter(([peer, at]) => !unready.has(peer) && now - at < REQUEST_INTERVAL_MILLISECONDS)
-  const free = Math.max(0, MAXIMUM_CONCURRENT_REQUESTS - waitingFor.length)
+/** Sends requests to the next peers, with a limit on the open requests: each answer may transfer the complete settings. */
+function requestFromNextPeers (exchange: SettingsExchange, requestedAt: Map<InstanceId, number>, unready: ReadonlySet<InstanceId>, now: number): void {
+  const open = [...requestedAt].filter(([peer, at]) => !unready.has(peer) && now - at < REQUEST_INTERVAL_MILLISECONDS)
+  const free = Math.max(0, MAXIMUM_CONCURRENT_REQUESTS - open.length)
   const next = exchange.peers()
-    .filter((peer) => !unready.has(peer) && now - (asked.get(peer) ?? -Infinity) >= REQUEST_INTERVAL_MILLISECONDS)
-    .sort((left, right) => (asked.get(left) ?? 0) - (asked.get(right) ?? 0))
+    .filter((peer) => !unready.has(peer) && now - (requestedAt.get(peer) ?? -Infinity) >= REQUEST_INTERVAL_MILLISECONDS)
+    .sort((left, right) => (requestedAt.get(left) ?? 0) - (requestedAt.get(right) ?? 0))
     .slice(0, free)
   for (const peer of next) {
-    asked.set(peer, now)
+    requestedAt.set(peer, now)
     exchange.requestChanges(peer)
   }
 }
 
-/** @returns live peers of the data centre, or undefined while nobody knows which there are */
+/** @returns the live peers of the data centre, or undefined while the set of peers is unknown */
 function expectedPeers ({ network, membership, membershipKnown }: SettingsStartDependencies): InstanceId[] | undefined {
   if (membershipKnown?.() === false) return undefined
   const { instance, dataCentre } = network.self
--- a/packages/entry/src/settings/settings-state.ts
+++ b/packages/entry/src/settings/settings-state.ts
@@ -1,11 +1,13 @@
-/** The newest settings known to this instance, kept parsed. */
+/** Newest settings known to this instance, with their parsed form. */
 import { createHash } from 'node:crypto'
 import { endpointsSettingsSchema, isNewer, parseAcceptedSettings, policySettingsSchema, sharesSettingsSchema, teamOfPath } from '@limpetwinch/core'
-import type { EndpointsSettings, Logger, OperatorSettings, PolicySettings, Revision, SettingsDocument, SettingsPath, SharesSettings, TeamId, TeamSettings } from '@limpetwinch/core'
+import type {
+  EndpointsSettings, Logger, OperatorSettings, PolicySettings, Revision, SettingsDocument, SettingsPath, SharesSettings, TeamId, TeamSettings
+} from '@limpetwinch/core'
 
 const HASH_BYTES = 8
 
-/** Holds one document for each path, each only ever replaced by a newer one. */
+/** Holds the newest document of each path. A document is replaced only by a newer one. */
 export class SettingsState {
   private readonly logger: Logger
   private readonly documents = new Map<SettingsPath, SettingsDocument>()
@@ -18,12 +20,12 @@
     policy: policySettingsSchema.parse({})
   }
 
-  /** @param logger - of the part that holds this */
+  /** @param logger - the logger of the settings component */
   constructor (logger: Logger) {
     this.logger = logger
   }
 
-  /** @returns all that is in force, parsed; the same object until something changes */
+  /** @returns the parsed settings in force; the same object until a document changes */
   current (): OperatorSettings {
     return this.settings
   }
@@ -33,29 +35,29 @@
     return this.inForce
   }
 
-  /** @returns the newest document of a path, deleted ones included */
+  /** @returns the newest document of a path, which may be a deletion */
   document (path: SettingsPath): SettingsDocument | undefined {
     return this.documents.get(path)
   }
 
-  /** @returns every newest document */
+  /** @returns the newest document of every path */
   all (): Iterable<SettingsDocument> {
     return this.documents.values()
   }
 
-  /** @returns a hash over path, revision and write id of every newest document, in any order */
+  /** @returns a hash over the path, revision and write id of the newest document of every path, independent of their order */
   hash (): string {
     return this.combinedHash.toString('hex')
   }
 
   /**
-   * Takes a document as it stands, whole.
+   * Replaces the known document of a path by a newer one.
    *
-   * A stale read, a stale watch, a peer with old news and a store restored from a copy all bring an older document;
-   * in force it would undo an accepted change. Order of revisions alone decides, whatever it came from.
+   * A stale read, a stale watch, an outdated peer and a store restored from a backup can all deliver an older document, which
+   * would undo an accepted change. Only the order of revisions decides, not the source of the document.
    *
-   * @param document - from the store, a peer or a write
-   * @returns whether it was newer than what was known
+   * @param document - a document from the store, a peer or a write
+   * @returns whether the document was newer than the known one
    */
   apply (document: SettingsDocument): boolean {
     const known = this.documents.get(document.path)
@@ -70,15 +72,18 @@
   private putInForce (document: SettingsDocument): void {
     const value = document.text === undefined ? undefined : parseAcceptedSettings(document.path, document.text)
     if (value === undefined && document.text !== undefined) {
-      // A newer release may accept what this one cannot read; the former settings are better than none.
-      this.logger.error('A document cannot be read by this release; what was in force stays.', { path: document.path, revision: document.revision })
+      // A newer release may accept a document that this release cannot parse. The previous settings are better than none.
+      this.logger.error('This release cannot parse a settings document; the previous settings stay in force.', {
+        path: document.path,
+        revision: document.revision
+      })
       return
     }
     this.inForce.set(document.path, document.revision)
     this.settings = withDocument(this.settings, document.path, value)
   }
 
-  /** Exclusive or keeps one hash over all paths without a pass over them for each change. */
+  /** Adds a document to the combined hash or removes it. With exclusive or, a change needs no pass over the other paths. */
   private toggleInCombinedHash (document: SettingsDocument): void {
     const identity = `${document.path}\n${document.revision}\n${document.writeId}`
     const digest = createHash('sha256').update(identity).digest()
--- a/packages/entry/src/settings/settings-view.ts
+++ b/packages/entry/src/settings/settings-view.ts
@@ -1,14 +1,14 @@
-/** The operator settings in force on this instance. */
+/** Read access to the operator settings in force on this instance. */
 import type { OperatorSettings, Revision, SettingsPath } from '@limpetwinch/core'
 
-/** A view that only goes forward. */
+/** The settings in force. The revision of a path never goes back. */
 export abstract class SettingsView {
-  /** @returns what is in force, or undefined before the first complete read */
+  /** @returns the settings in force, or undefined before the first complete read */
   abstract current (): OperatorSettings | undefined
 
-  /** @returns the revision in force of each path, deleted ones included */
+  /** @returns the revision in force of each path, including deletions */
   abstract revisions (): ReadonlyMap<SettingsPath, Revision>
 
-  /** Calls the listener after each change. */
+  /** Registers a listener that is called after each change. */
   abstract onChange (listener: () => void): void
 }
--- a/packages/entry/src/settings/settings-watch.ts
+++ b/packages/entry/src/settings/settings-watch.ts
@@ -1,26 +1,29 @@
-/** The settings in the store: reading all of them, and watching for changes where this instance is the watcher. */
+/** Reads all settings from the store, and watches the store for changes while this instance is a watcher. */
 import type { Clock, Logger, ObjectStore, SettingsDocument } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import { documentsOf, SETTINGS_LIST_PREFIX } from './stored-settings.js'
 
-/** What the watch needs of its instance. */
+/** Dependencies of the settings watch. */
 export interface SettingsWatchDependencies {
   readonly store: ObjectStore
   readonly logger: Logger
   readonly clock: Clock
-  /** From 0 to below 1. */
+  /** Returns a random number from 0 to below 1, for jitter. */
   readonly random: () => number
-  /** How long the store may hold one watch call. */
+  /** Maximum time that the store holds one watch call open, in milliseconds. */
   readonly watchMilliseconds: number
-  /** Whether this instance is the watcher of its data centre or the spare. */
+  /** Returns whether this instance is the watcher of its data centre or the spare watcher. */
   readonly isWatcher: () => boolean
-  /** Whether it is to watch although it is neither. */
+  /** Returns whether this instance should watch although it is neither the watcher nor the spare watcher. */
   readonly isSubstituteWatcher: () => boolean
-  /** Takes documents that the store holds. */
+  /** Applies documents that were read from the store. */
   readonly applyDocuments: (documents: readonly SettingsDocument[]) => void
 }
 
-/** Waits between calls while the store does not answer; jittered, or all would come back in the same moment. */
+/**
+ * Backoff between calls while the store does not answer, in milliseconds. It is jittered, so that instances do not all retry
+ * at once.
+ */
 export const STORE_BACKOFF = { first: 100, largest: 5_000 }
 const ROLE_CHECK_INTERVAL_MILLISECONDS = 250
 const SUBSTITUTE_DELAY_MILLISECONDS = 1_000
@@ -37,46 +40,52 @@
   private failedAt: number | undefined
   private substituteSince: number | undefined
 
-  /** @param dependencies - what it works with */
+  /** @param dependencies - the store and the other collaborators */
   constructor (dependencies: SettingsWatchDependencies) {
     this.dependencies = dependencies
     this.backoff = new Backoff(STORE_BACKOFF, dependencies.random)
   }
 
-  /** @returns whether the last call was answered; a failure counts for a while only, as others may be tried again */
+  /**
+   * @returns whether the store is considered reachable. A failed call counts only for a limited time, after which this instance
+   *   may try the store again as a substitute watcher
+   */
   storeReachable (): boolean {
     return this.failedAt === undefined || this.dependencies.clock.now() - this.failedAt > FAILURE_VALID_MILLISECONDS
   }
 
-  /** @returns whether all settings could be read */
+  /** Reads all settings from the store. Returns whether they could be read. */
   async list (): Promise<boolean> {
     const listed = await this.dependencies.store.list(SETTINGS_LIST_PREFIX)
     if (listed.isErr()) return this.failed(listed.error.message)
     this.answered()
     this.cursor = listed.value.cursor
-    // Different moments on each instance, or all would read everything at once.
+    // The interval is random, or all instances would read all settings at the same time.
     this.nextListAt = this.dependencies.clock.now() + LIST_INTERVAL_MILLISECONDS * (0.5 + this.dependencies.random())
     this.dependencies.applyDocuments(documentsOf(listed.value.objects))
     return true
   }
 
-  /** Watches for as long as this instance is to, until the signal. */
+  /** Watches the store while this instance should do so, until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.shouldWatch()) {
         await this.dependencies.clock.sleep(ROLE_CHECK_INTERVAL_MILLISECONDS, signal)
         continue
       }
-      const began = this.dependencies.clock.now()
-      const answered = this.cursor === undefined || began >= this.nextListAt ? await this.list() : await this.step(this.cursor, signal)
-      // A watch that is answered at once, without a wait, would be asked as fast as the network carries it.
-      const early = MINIMUM_CALL_INTERVAL_MILLISECONDS - (this.dependencies.clock.now() - began)
-      const wait = answered ? early : this.backoff.next()
+      const startedAt = this.dependencies.clock.now()
+      const answered = this.cursor === undefined || startedAt >= this.nextListAt ? await this.list() : await this.watchOnce(this.cursor, signal)
+      // Without a minimum interval, watches that are answered immediately would be repeated as fast as the network allows.
+      const remaining = MINIMUM_CALL_INTERVAL_MILLISECONDS - (this.dependencies.clock.now() - startedAt)
+      const wait = answered ? remaining : this.backoff.next()
       if (wait > 0) await this.dependencies.clock.sleep(wait, signal)
     }
   }
 
-  /** Standing in waits a moment: at a start, and while a connection is replaced, nobody is connected for a while. */
+  /**
+   * A substitute watches only after a delay: at a start, and while a connection is replaced, no watcher is connected for a
+   * moment.
+   */
   private shouldWatch (): boolean {
     if (this.dependencies.isWatcher()) return true
     if (!this.dependencies.isSubstituteWatcher()) {
@@ -88,12 +97,12 @@
     return now - this.substituteSince >= SUBSTITUTE_DELAY_MILLISECONDS
   }
 
-  private async step (cursor: number, signal: AbortSignal): Promise<boolean> {
+  private async watchOnce (cursor: number, signal: AbortSignal): Promise<boolean> {
     const step = await this.dependencies.store.watch(SETTINGS_LIST_PREFIX, cursor, this.dependencies.watchMilliseconds, signal)
     if (signal.aborted) return true
     if (step.isErr()) return this.failed(step.error.message)
     this.answered()
-    // A cursor that went back means a store restored from a copy: only a whole read tells what it holds now.
+    // A lower cursor means that the store was restored from a backup, and only a complete read shows what it contains now.
     this.cursor = step.value.cursor < cursor ? undefined : step.value.cursor
     this.dependencies.applyDocuments(documentsOf(step.value.changes))
     return true
@@ -106,7 +115,7 @@
   }
 
   private failed (reason: string): boolean {
-    if (this.failedAt === undefined) this.dependencies.logger.warn('The store does not answer; what is in force stays.', { reason })
+    if (this.failedAt === undefined) this.dependencies.logger.warn('The store does not answer; the current settings stay in force.', { reason })
     this.failedAt = this.dependencies.clock.now()
     return false
   }
--- a/packages/entry/src/settings/settings-writer.ts
+++ b/packages/entry/src/settings/settings-writer.ts
@@ -1,4 +1,4 @@
-/** Accepts changes of settings: checked, conditional on a revision, and written once. */
+/** Accepts settings changes. A change is validated, conditional on a revision, and written only once. */
 import { randomUUID } from 'node:crypto'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -9,7 +9,7 @@
 import { ConditionalSettingsWriter } from './conditional-settings-writer.js'
 import { documentOf, storePathOf } from './stored-settings.js'
 
-/** What the writer needs of its instance. */
+/** Dependencies of the settings writer. */
 export interface SettingsWriterDependencies {
   readonly store: ObjectStore
   readonly follower: SettingsFollower
@@ -18,27 +18,27 @@
   readonly clock: Clock
 }
 
-/** A change that someone asks for. */
+/** A requested settings change. */
 export interface SettingsChange {
   readonly path: SettingsPath
-  /** The revision that the change was made on; 0 when nothing is set. */
+  /** Revision that the change is based on; 0 when the path has no document. */
   readonly ifRevision: Revision
-  /** Makes the new text of the present one; undefined stands for a deleted document on both sides. */
+  /** Returns the new text for the present text. In both, undefined stands for a missing or deleted document. */
   readonly change: (text: string | undefined) => Result<string | undefined, LimpetwinchError>
   readonly author: string
 }
 
-/** A value of the store holds up to a megabyte. */
+/** Maximum size of a value in the store: one megabyte. */
 const MAXIMUM_VALUE_BYTES = 1_000_000
 const MAXIMUM_ATTEMPTS = 4
 
-/** Writes settings to the store and puts them in force here. */
+/** Writes settings to the store and puts them in force on this instance. */
 export class SettingsWriter {
   private readonly dependencies: SettingsWriterDependencies
   private readonly logger: Logger
   private readonly writes: ConditionalSettingsWriter
 
-  /** @param dependencies - what it works with */
+  /** @param dependencies - the store, the follower and the other collaborators */
   constructor (dependencies: SettingsWriterDependencies) {
     this.dependencies = dependencies
     this.logger = dependencies.logger.part('settings')
@@ -46,22 +46,22 @@
   }
 
   /**
-   * Makes a change, or leaves everything as it was.
+   * Makes a change, or leaves the settings unchanged.
    *
    * Errors: `invalid-settings`, `revision-conflict` with `details.newest` and `details.text`, `no-settings`,
-   * `settings-unread`, `store-unavailable` (nothing happened), `store-answer-lost` (it may have been accepted).
+   * `settings-unread`, `store-unavailable` (nothing was changed), `store-answer-lost` (the change may have been accepted).
    *
-   * @param change - what is asked for
-   * @returns the accepted document, which is in force here
+   * @param change - the requested change
+   * @returns the accepted document, which is in force on this instance
    */
   accept (change: SettingsChange): ResultAsync<SettingsDocument, LimpetwinchError> {
     return new ResultAsync(this.acceptWithRetries(change))
   }
 
   /**
-   * Checks a text without writing it.
+   * Validates a text without writing it.
    *
-   * @returns nothing, or `invalid-settings`
+   * @returns nothing, or the error `invalid-settings` or `settings-unread`
    */
   validate (path: SettingsPath, text: string): Result<void, LimpetwinchError> {
     const inForce = this.dependencies.follower.current()
@@ -70,12 +70,13 @@
   }
 
   private async acceptWithRetries (change: SettingsChange): Promise<Result<SettingsDocument, LimpetwinchError>> {
-    let last = new LimpetwinchError('store-unavailable', { reason: 'other writers were faster each time' })
+    let last = new LimpetwinchError('store-unavailable', { reason: 'every attempt conflicted with another write' })
     for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
       const result = await this.acceptOnce(change)
       if (result.isOk()) return ok(this.announce(result.value))
       last = result.error
-      // The store moved on between read and write. When the revision still fits, as after a restore, try again on top.
+      // The object changed between read and write. If the revision still matches, as after a restore, the next attempt
+      // replaces the new object.
       if (last.kind !== 'version-conflict') return err(last)
     }
     return err(last.kind === 'version-conflict' ? this.conflict(change.path) : last)
@@ -98,8 +99,8 @@
     }
     const document: SettingsDocument = {
       path: change.path,
-      // On from the highest known revision, not from the store's: a store restored from a copy holds an older one, and
-      // a number given twice would let instances keep different texts under it.
+      // The revision follows the highest known one and not that of the store. A store restored from a backup holds an older
+      // revision, and if a number were assigned twice, instances could keep different texts under it.
       revision: (newest?.revision ?? 0) + 1 as Revision,
       text: text.value,
       writeId: randomUUID(),
@@ -129,12 +130,12 @@
 
   private announce (document: SettingsDocument): SettingsDocument {
     this.dependencies.follower.accepted(document)
-    this.logger.info('A change was accepted.', { path: document.path, revision: document.revision, author: document.author })
+    this.logger.info('A settings change was accepted.', { path: document.path, revision: document.revision, author: document.author })
     return document
   }
 }
 
-/** A deleted path can be made anew by someone who saw nothing there, or who saw the deletion. */
+/** A change matches the newest revision. On a missing or deleted document, revision 0 matches as well. */
 function matchesRevision (newest: SettingsDocument | undefined, ifRevision: Revision): boolean {
   if (ifRevision === newest?.revision) return true
   return ifRevision === 0 && newest?.text === undefined
--- a/packages/entry/src/settings/watcher-ranking.ts
+++ b/packages/entry/src/settings/watcher-ranking.ts
@@ -1,40 +1,41 @@
-/** Which instances of a data centre watch the store: one and a spare. */
+/** Selects the instances of a data centre that watch the store: the watcher and a spare watcher. */
 import type { InstanceId } from '@limpetwinch/core'
 import type { Member, Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 import { rendezvousRank } from '../placement/rendezvous.js'
 
 const WATCHER_COUNT = 2
-/** The key of the ranking. */
+/** Key of the rendezvous ranking of watchers. */
 export const WATCHER_RANKING_KEY = 'settings-watch'
 
-/** @returns the watcher and its spare, as seen here */
+/** @returns the watcher and the spare watcher, as seen from this instance */
 export function rankWatchers (network: PeerNetwork, membership: Membership): InstanceId[] {
   return highestRanked([network.self.instance, ...livePeers(network, membership).map((member) => member.instance)])
 }
 
 /**
- * @param network - tells which peers are connected
- * @param membership - tells who is alive
- * @returns whether this instance is the watcher or its spare
+ * @param network - knows which peers are connected
+ * @param membership - knows which instances are alive
+ * @returns whether this instance is the watcher or the spare watcher
  */
 export function isWatcher (network: PeerNetwork, membership: Membership): boolean {
   return rankWatchers(network, membership).includes(network.self.instance)
 }
 
 /**
- * @param network - tells which peers are connected
- * @param membership - tells who is alive
- * @param storeReachable - whether the store answers this instance
- * @returns whether this instance, which is not a watcher, would hear of no change if it did not watch as well
+ * @param network - knows which peers are connected
+ * @param membership - knows which instances are alive
+ * @param storeReachable - whether the store is considered reachable from this instance
+ * @returns whether this instance, which is not a watcher, would miss changes if it did not watch as well
  */
 export function isSubstituteWatcher (network: PeerNetwork, membership: Membership, storeReachable: boolean): boolean {
   const { instance } = network.self
   const watchers = rankWatchers(network, membership)
   const connected = network.connected()
   if (!watchers.some((watcher) => connected.includes(watcher))) return true
-  // The watchers may be cut off from the store while others reach it; then the two best of those watch as well. In an
-  // outage for all, each instance leaves this list after its first failure, so that no more than the two go on trying.
+  // The watchers may be cut off from the store while other instances reach it. Then the two highest-ranked of those watch as
+  // well. In an outage for all, an instance is dropped from this list after its first failed call, so that only two watchers
+  // keep trying.
   const reaching = livePeers(network, membership).filter((member) => member.storeReachable).map((member) => member.instance)
   if (!storeReachable || watchers.some((watcher) => reaching.includes(watcher))) return false
   return highestRanked([instance, ...reaching]).includes(instance)
--- a/packages/entry/test/settings/deployment.ts
+++ b/packages/entry/test/settings/deployment.ts
@@ -1,4 +1,4 @@
-/** A few instances in one process, joined by frames that can be cut, for tests of the settings. */
+/** Several instances in one process that exchange frames over simulated connections, for tests of the settings. */
 import { errAsync, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { createLogger, LimpetwinchError, ObjectStore, silentLogger, SystemClock } from '@limpetwinch/core'
@@ -7,12 +7,12 @@
 import { encodeFrame, FrameReader } from '../../src/peers/frame-codec.js'
 import type { CallBody, CallFrame, FrameCounts, Member, MemberState, NoticeFrame, ReplyBody } from '@limpetwinch/entry'
 
-/** How long the tests' store holds a watch that finds nothing. */
+/** Time that the store holds a watch without changes in these tests. */
 export const WATCH_MILLISECONDS = 200
 
 type Handler = (from: InstanceId, frame: NoticeFrame) => void
 
-/** One entry instance's part that has to do with settings. */
+/** The settings components of one entry instance. */
 export interface SettingsInstance {
   readonly instance: InstanceId
   readonly follower: SettingsFollower
@@ -21,10 +21,10 @@
   readonly stop: () => Promise<void>
 }
 
-/** The instances, and the connections between them. */
+/** Instances and the simulated connections between them. */
 export class SettingsDeployment {
   readonly sent: { from: InstanceId, to: InstanceId, frame: NoticeFrame }[] = []
-  /** Chooses frames to lose. */
+  /** Returns whether a frame is lost. */
   drop: (frame: NoticeFrame) => boolean = () => false
   private readonly networks = new Map<InstanceId, TestNetwork>()
   private readonly cuts = new Set<string>()
@@ -32,7 +32,7 @@
   private readonly running: SettingsInstance[] = []
   private heartbeat: NodeJS.Timeout | undefined
 
-  /** Starts an instance; settings are in force when the promise resolves, unless `wait` is false. */
+  /** Starts an instance. Unless `wait` is false, its settings are in force when the promise resolves. */
   async start (name: string, store: ObjectStore, options: { dataCentre?: string, wait?: boolean, clock?: Clock } = {}): Promise<SettingsInstance> {
     const instance = name as InstanceId
     const network = new TestNetwork(this, { instance, dataCentre: (options.dataCentre ?? 'north') as DataCentreId, address: name })
@@ -65,28 +65,28 @@
     return started
   }
 
-  /** Ends everything. */
+  /** Stops all instances. */
   async stop (): Promise<void> {
     clearInterval(this.heartbeat)
     for (const each of [...this.running]) await each.stop()
   }
 
-  /** Cuts frames between two instances, both ways. */
+  /** Cuts the connection between two instances in both directions. */
   cut (left: SettingsInstance, right: SettingsInstance): void {
     this.cuts.add(linkOf(left.instance, right.instance))
   }
 
-  /** Joins all instances again. */
+  /** Restores all connections. */
   join (): void {
     this.cuts.clear()
   }
 
-  /** @returns whether frames pass between two instances */
+  /** @returns whether two instances are connected */
   connects (left: InstanceId, right: InstanceId): boolean {
     return this.networks.has(left) && this.networks.has(right) && !this.cuts.has(linkOf(left, right))
   }
 
-  /** @returns the instances as members */
+  /** @returns the members that every instance sees */
   members (): Member[] {
     return [...this.networks.values()].map(({ self }) => ({
       ...self,
@@ -95,16 +95,16 @@
     }))
   }
 
-  /** @returns bytes sent so far in frames of one kind */
+  /** @returns the number of bytes sent so far in frames of one kind */
   bytesSent (kind: NoticeFrame['kind']): number {
     return this.sent.filter(({ frame }) => frame.kind === kind).reduce((bytes, { frame }) => bytes + encodeFrame(frame)._unsafeUnwrap().length, 0)
   }
 
-  /** Carries a frame over in a later turn. */
+  /** Delivers a frame in a later turn of the event loop. */
   deliver (from: InstanceId, to: InstanceId, frame: NoticeFrame): void {
     if (!this.connects(from, to) || this.drop(frame)) return
     this.sent.push({ from, to, frame })
-    // Through the wire form, which passes over what its schemas do not name.
+    // The frame is encoded and decoded, because the wire format drops fields that its schemas do not contain.
     const received = new FrameReader().read(encodeFrame(frame)._unsafeUnwrap())._unsafeUnwrap()
     setImmediate(() => { for (const each of received) this.networks.get(to)?.receive(from, each.frame as NoticeFrame) })
   }
@@ -179,19 +179,19 @@
   override onChange (): void {}
 }
 
-/** One instance's own way to the store: its calls can be held up, and its answers replaced. */
+/** The access of one instance to the store. Tests can delay its reads, lose its writes and replace the results of its calls. */
 export class InterceptedStore extends ObjectStore {
-  /** Lists and watches made, and watches waiting now. */
+  /** Numbers of list and watch calls so far, and of watches that are waiting now. */
   readonly calls = { lists: 0, watches: 0, waiting: 0 }
-  /** Run before each read of one object. */
+  /** Runs before each read of one object. */
   beforeGet: () => Promise<unknown> = async () => undefined
-  /** What a watch finds, in place of the truth. */
+  /** Replaces the result of a watch. */
   replaceWatchResult: ((step: WatchStep) => WatchStep) | undefined
-  /** What a read of one object finds, in place of the truth. */
+  /** Replaces the result of a read of one object. */
   replaceGetResult: ((object: StoredObject | undefined) => StoredObject | undefined) | undefined
-  /** Writes on their way: each was given up as lost before it reached the store. */
+  /** Writes that were reported as lost and have not reached the store. */
   readonly lostWrites: ConditionalWrite[] = []
-  /** So many of the next writes are given up as lost before they reach the store. */
+  /** Number of the next writes that are reported as lost and do not reach the store. */
   writesToLose = 0
   private readonly inner: ObjectStore
 
@@ -231,31 +231,31 @@
   }
 }
 
-/** Waits for a condition; the test's own timeout ends it. */
+/** Waits for a condition. The timeout of the test ends the wait. */
 export async function until (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => { setTimeout(resolve, 5) })
 }
 
-/** The path that most tests write. */
+/** Settings path that most tests write. */
 export const PATH = '/teams/history' as SettingsPath
 
-/** @returns a team's document with one adapter at a version */
+/** @returns the text of a team's document with one adapter at a version */
 export function teamText (version: string): string {
   return `{ "adapters": { "poem": { "baseModel": "base", "versions": ["v1", "v2", "v3"], "current": "${version}" } } }`
 }
 
-/** Asks for a whole new text. */
+/** Replaces the text of a document. */
 export async function put (writer: SettingsWriter, text: string | undefined, ifRevision: number, path: SettingsPath = PATH): Promise<Awaited<ReturnType<SettingsWriter['accept']>>> {
   return await writer.accept({ path, ifRevision: ifRevision as Revision, change: () => ok(text), author: 'administrator' })
 }
 
-/** @returns the current version of the tests' adapter where an instance stands */
+/** @returns the current version of the adapter in the settings of an instance */
 export function versionAt (instance: SettingsInstance): string | undefined {
   const teams = instance.follower.current()?.teams
   return [...teams?.values() ?? []][0]?.adapters['poem']?.current
 }
 
-/** @returns a document for frames and stored states */
+/** @returns a document of the default path */
 export function document (revision: number, version: string): SettingsDocument {
   return { path: PATH, revision: revision as Revision, text: teamText(version), writeId: `write-${revision}`, acceptedAt: revision, author: 'administrator' }
 }
--- a/packages/entry/test/settings/settings-follower.test.ts
+++ b/packages/entry/test/settings/settings-follower.test.ts
@@ -10,9 +10,9 @@
     deployment = new SettingsDeployment()
   })
 
-  it('never goes back on a stale watch or a stale read', async () => {
-    // Revision 2 is in force. The store's watch, served by a lagging copy, brings revision 1 again, and so does a read
-    // for the next change. Taken as they come, both would send requests to the former version once more.
+  it('never goes back to an older revision on a stale watch or a stale read', async () => {
+    // Guards against stale results of a lagging store replica: while revision 2 is in force, a watch and the read before the
+    // next change return revision 1. If it were applied, requests would reach the previous version again.
     const store = new MemoryObjectStore()
     const stale = new InterceptedStore(store)
     const one = await deployment.start('one', stale)
@@ -34,8 +34,8 @@
     expect(seen).toEqual([])
   })
 
-  it('does not take old news from a peer', async () => {
-    // A peer that was cut off for long comes back and sends what it has, revision 1, while 3 is in force here.
+  it('ignores an older revision from a peer', async () => {
+    // Guards against an outdated peer: a peer that was cut off for long sends revision 1 while revision 3 is in force.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
@@ -48,9 +48,9 @@
     expect(one.follower.current()?.teams.get('history' as never)?.adapters['poem']?.current).toBe('v3')
   })
 
-  it('starts with the newer state of its peers when the store was restored from a copy', async () => {
-    // The store is put back to an hour ago. An instance that is replaced then reads revision 1 from it, while every
-    // other has revision 2 in force: requests through the new one would reach the version that operators replaced.
+  it('starts with the newer state of its peers when the store was restored from a backup', async () => {
+    // Guards against an outdated start: the store is restored from a backup, and a new instance reads revision 1 from it while
+    // all others have revision 2 in force. Requests through the new instance would reach the replaced version.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     await put(one.writer, teamText('v1'), 0)
@@ -66,9 +66,9 @@
     expect(versionAt(one)).toBe('v2')
   })
 
-  it('mends a restored store with the next change, on from the highest revision', async () => {
-    // The store was restored to revision 1 while 2 is in force. The next change must become 3: as a second revision 2 it
-    // would be ignored by every instance that knows the first one.
+  it('updates a restored store with the next change, whose revision follows the highest known one', async () => {
+    // Guards against a revision that is assigned twice: the store was restored to revision 1 while revision 2 is in force. If
+    // the next change became revision 2 as well, every instance that knows the first one would ignore it.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     await put(one.writer, teamText('v1'), 0)
@@ -81,9 +81,9 @@
     expect(store.snapshot().find((object) => object.path.endsWith(PATH))?.value).toMatchObject({ revision: 3, text: teamText('v3') })
   })
 
-  it('starts from its peers alone when the store is out, and is not ready when nobody answers', async () => {
-    // The store is out for an hour and instances are replaced meanwhile. One with peers must serve; one without must
-    // say that it is not ready, for it would answer 'unknown team' to everyone.
+  it('starts from its peers alone during a store outage, and is not ready when neither store nor peer answers', async () => {
+    // Guards against instances that fail to start, or start without settings, during an outage of the store. An instance with
+    // peers must serve; one without peers must not be ready, as it would refuse every request with 'unknown team'.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     await put(one.writer, teamText('v1'), 0)
@@ -98,9 +98,9 @@
     await until(() => versionAt(alone) === 'v1')
   })
 
-  it('takes a state of many frames from its peers whole', async () => {
-    // At size the settings take many frames, and a connection drops what its queue cannot hold. Ready after the last
-    // frame of a run whose first were dropped, an instance would answer 'unknown team' for a part of the teams.
+  it('receives a state of many frames completely before it is ready', async () => {
+    // Guards against an incomplete start: large settings take many frames, and a connection drops frames that its queue cannot
+    // hold. An instance that became ready after the last frame would answer 'unknown team' for the teams of dropped frames.
     const store = new MemoryObjectStore()
     store.faults.outage = true
     const one = await deployment.start('one', store, { wait: false })
@@ -117,9 +117,9 @@
     expect(two.follower.current()?.teams.size).toBe(paths.length)
   })
 
-  it('sends an edit in place of a large document, and never makes one on another text', async () => {
-    // A team's document of 100 KB changes in one version. Sent whole to each peer it would use up the bytes for control;
-    // sent as an edit, it must not be made on a peer that lost the change before: the text would be one that nobody wrote.
+  it('sends an edit in place of a large document, and never applies it to another text', async () => {
+    // Guards against control traffic that grows with the document, and against a corrupt text: one version changes in a document
+    // of 100 KB, and only an edit is sent. A peer that lost the previous change must not apply the edit to its older text.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
@@ -140,9 +140,9 @@
     expect(versionAt(two)).toBe('v1')
   })
 
-  it('closes a gap that the hashes of heartbeats show', async () => {
-    // Two peers lose the frame that carries a change, and neither watches the store. Their next heartbeats differ from
-    // the others'; without an exchange they would serve the former version until a restart.
+  it('closes a gap that the hashes in heartbeats reveal', async () => {
+    // Guards against a lost change: two peers lose the frame with a change while the store is out. The hashes in heartbeats
+    // differ; without an exchange, these peers would serve the previous version until a restart.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
@@ -157,9 +157,9 @@
     expect(store.faults.outage).toBe(true)
   })
 
-  it('gives two texts under one revision the same winner everywhere', async () => {
-    // After a restore two data centres, cut off from each other, each accept a change and count to the same revision.
-    // Joined again, each would keep its own text for good if only larger revisions were taken.
+  it('selects the same one of two texts with the same revision on all instances', async () => {
+    // Guards against texts that differ forever: after a restore, two instances that are cut off from each other accept changes
+    // under the same revision. If only larger revisions were applied, each would keep its own text after they reconnect.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
--- a/packages/entry/test/settings/settings-race.failure.test.ts
+++ b/packages/entry/test/settings/settings-race.failure.test.ts
@@ -14,10 +14,10 @@
     deployment = new SettingsDeployment()
   })
 
-  it.each(SEEDS)('loses no accepted change and takes none back, seed %i', async (seed) => {
-    // Operators change one path through three instances at once, each on the revision that its instance shows, while the
-    // store loses answers, goes out and comes back, and frames between instances are lost. Whatever is answered 'accepted'
-    // must have its own revision, stand on the one before it, and never give way to a lower one on any instance.
+  it.each(SEEDS)('neither loses nor reverts an accepted change, seed %i', async (seed) => {
+    // Guards against lost and reverted changes: operators change one path through three instances at once, each based on the
+    // revision that its instance shows, while the store loses answers and fails at times and frames between instances are lost.
+    // Every accepted change must have its own revision, be based on the one before it, and never be replaced by a lower one.
     const random = generator(seed)
     const store = new MemoryObjectStore()
     const instances = await Promise.all(['one', 'two', 'three'].map(async (name, index) => await deployment.start(name, store, { dataCentre: index === 2 ? 'south' : 'north' })))
@@ -39,7 +39,7 @@
     store.faults.loseAnswers = 0
     deployment.drop = () => false
     accepted.sort((left, right) => left.revision - right.revision)
-    // A write whose answer stayed unknown may have been accepted as well; it leaves a gap and no double.
+    // A write with an unknown result may have been accepted as well. It leaves a gap in the revisions, never a duplicate.
     expect(new Set(accepted.map((document) => document.revision)).size).toBe(accepted.length)
     for (const document of accepted) expect(document.text).toContain(`on ${document.revision - 1}\n`)
     expect(accepted.length).toBeGreaterThan(5)
@@ -53,7 +53,7 @@
   })
 })
 
-/** Notes each time that an instance puts a lower revision in force. */
+/** Records each time that an instance puts a lower revision in force. */
 function watchForSteps (instance: SettingsInstance, backwards: string[]): void {
   let before = 0
   instance.follower.onChange(() => {
@@ -63,7 +63,7 @@
   })
 }
 
-/** A seeded generator, from 0 to below 1. */
+/** @returns a seeded generator of random numbers from 0 to below 1 */
 function generator (seed: number): () => number {
   let state = seed
   return () => {
--- a/packages/entry/test/settings/settings-watch.test.ts
+++ b/packages/entry/test/settings/settings-watch.test.ts
@@ -17,26 +17,26 @@
     deployment = new SettingsDeployment()
   })
 
-  /** Starts six instances, each with a way to the store that counts its own calls. */
-  async function startSix (store: MemoryObjectStore): Promise<{ instances: SettingsInstance[], ways: InterceptedStore[] }> {
-    const ways = NAMES.map(() => new InterceptedStore(store))
-    const instances = await Promise.all(NAMES.map(async (name, index) => await deployment.start(name, ways[index]!)))
-    return { instances, ways }
+  /** Starts six instances, each with its own access to the store that counts its calls. */
+  async function startSix (store: MemoryObjectStore): Promise<{ instances: SettingsInstance[], stores: InterceptedStore[] }> {
+    const stores = NAMES.map(() => new InterceptedStore(store))
+    const instances = await Promise.all(NAMES.map(async (name, index) => await deployment.start(name, stores[index]!)))
+    return { instances, stores }
   }
 
   it('keeps one watcher and a spare for a data centre', async () => {
-    // The platform counts a waiting watch as a call, and its rates do not grow with the fleet. With a watch from each
-    // instance the deployment would be refused at size; two are enough, as the rest hear from them.
-    const { instances, ways } = await startSix(new MemoryObjectStore())
-    await until(() => ways.filter((way) => way.calls.watches >= 4).length >= 2)
-    expect(ways.filter((way) => way.calls.watches > 0)).toHaveLength(2)
+    // Guards against a watch from each instance: the platform counts a waiting watch as a call, and its rate limits do not
+    // grow with the number of instances. Two watchers are enough, as they send changes to the others.
+    const { instances, stores } = await startSix(new MemoryObjectStore())
+    await until(() => stores.filter((intercepted) => intercepted.calls.watches >= 4).length >= 2)
+    expect(stores.filter((intercepted) => intercepted.calls.watches > 0)).toHaveLength(2)
     await put(instances[0]!.writer, teamText('v1'), 0)
     await until(() => instances.every((each) => versionAt(each) === 'v1'))
   })
 
-  it('goes on with the next in rank when both watchers are gone', async () => {
-    // Both watchers are replaced in the same second. Until the others watch, a change accepted in another data centre
-    // would not be seen here at all.
+  it('lets the next instances in rank watch when both watchers have left', async () => {
+    // Guards against a data centre without a watcher: both watchers are replaced at the same time, and a change accepted in
+    // another data centre reaches the remaining instances only if others start to watch.
     const store = new MemoryObjectStore()
     const { instances } = await startSix(store)
     const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
@@ -47,9 +47,9 @@
     await until(() => left.every((each) => versionAt(each) === 'v2'))
   })
 
-  it('watches by itself when it can reach neither watcher', async () => {
-    // One instance is cut off from its peers but not from the store, and a change is accepted meanwhile. It must not
-    // serve the former version for as long as the cut lasts.
+  it('watches on its own when it can reach neither watcher', async () => {
+    // Guards against an instance that serves the previous version while it is cut off from its peers: it still reaches the
+    // store, where a change is accepted meanwhile.
     const { instances } = await startSix(new MemoryObjectStore())
     const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     const last = instances.find((each) => each.instance === rank.at(-1))!
@@ -60,8 +60,8 @@
   })
 
   it('lets others watch when the store answers them and not the watchers', async () => {
-    // The watchers' own way to the store fails while the rest reach it. They stay alive and connected, so that by rank
-    // alone nobody else would watch, and a change from elsewhere would wait for their way to come back.
+    // Guards against watchers that cannot reach the store while other instances can. The watchers stay alive and connected, so
+    // by rank alone no other instance would watch, and changes from elsewhere would be delayed until the watchers recover.
     const store = new MemoryObjectStore()
     const broken = new MemoryObjectStore()
     const rank = rendezvousRank(WATCHER_RANKING_KEY, NAMES)
@@ -73,56 +73,56 @@
     await until(() => instances.every((each) => versionAt(each) === 'v1'))
   })
 
-  it('backs off in an outage and comes back without a herd', async () => {
-    // The store goes out under all instances at once. Each call counts, also a refused one: the two watchers try ever
-    // more rarely, every other instance once at most, and when the store is back two watches are waiting and not twelve.
+  it('backs off in an outage and does not cause a burst of calls afterwards', async () => {
+    // Guards against a burst of calls around an outage of the store for all instances, as refused calls count as well. The two
+    // watchers retry ever more rarely, every other instance calls at most once, and afterwards only the two watchers watch.
     const store = new MemoryObjectStore()
-    const { instances, ways } = await startSix(store)
+    const { instances, stores } = await startSix(store)
     await put(instances[0]!.writer, teamText('v1'), 0)
     await until(() => instances.every((each) => versionAt(each) === 'v1'))
     const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
-    const watchers = ways.filter((_, index) => rank.indexOf(instances[index]!.instance) < 2)
-    const others = ways.filter((way) => !watchers.includes(way))
-    const before = ways.map((way) => way.calls.watches + way.calls.lists)
+    const watchers = stores.filter((_, index) => rank.indexOf(instances[index]!.instance) < 2)
+    const others = stores.filter((intercepted) => !watchers.includes(intercepted))
+    const before = stores.map((intercepted) => intercepted.calls.watches + intercepted.calls.lists)
     store.faults.outage = true
-    await until(() => watchers.every((way) => way.calls.watches >= before[ways.indexOf(way)]! + 5))
-    for (const way of others) expect(way.calls.watches + way.calls.lists).toBeLessThanOrEqual(before[ways.indexOf(way)]! + 1)
+    await until(() => watchers.every((intercepted) => intercepted.calls.watches >= before[stores.indexOf(intercepted)]! + 5))
+    for (const intercepted of others) expect(intercepted.calls.watches + intercepted.calls.lists).toBeLessThanOrEqual(before[stores.indexOf(intercepted)]! + 1)
     expect(instances.every((each) => versionAt(each) === 'v1')).toBe(true)
-    const atReturn = ways.map((way) => way.calls.lists)
+    const atReturn = stores.map((intercepted) => intercepted.calls.lists)
     store.faults.outage = false
-    // Others stand in until the watchers have an answer, and end the call that they have open then.
+    // Other instances watch as substitutes until the watchers have an answer, and then finish their open calls.
     const followers = instances.filter((each) => rank.indexOf(each.instance) < 2).map((each) => each.follower)
-    await until(() => followers.every((each) => each.storeReachable()) && others.every((way) => way.calls.waiting === 0))
-    const watchedByOthers = others.map((way) => way.calls.watches)
+    await until(() => followers.every((each) => each.storeReachable()) && others.every((intercepted) => intercepted.calls.waiting === 0))
+    const watchedByOthers = others.map((intercepted) => intercepted.calls.watches)
     await new Promise((resolve) => { setTimeout(resolve, 4 * WATCH_MILLISECONDS) })
-    expect(others.map((way) => way.calls.watches)).toEqual(watchedByOthers)
-    expect(ways.map((way) => way.calls.lists)).toEqual(atReturn)
+    expect(others.map((intercepted) => intercepted.calls.watches)).toEqual(watchedByOthers)
+    expect(stores.map((intercepted) => intercepted.calls.lists)).toEqual(atReturn)
   })
 
-  it('has two others watch until the watchers try again after an outage', async () => {
-    // The store is back while both watchers still wait out their pauses, which have grown. Two others that have not failed
-    // yet take their place, never more; when the watchers come back each of these two ends the call that it has open.
+  it('lets two other instances watch until the watchers retry after an outage', async () => {
+    // Guards against missing or too many watches after an outage: the store answers again while both watchers still back off.
+    // At most two instances without a failed call watch as substitutes, until the watchers have reconnected.
     const store = new MemoryObjectStore()
-    const { instances, ways } = await startSix(store)
+    const { instances, stores } = await startSix(store)
     const rank = rendezvousRank(WATCHER_RANKING_KEY, instances.map((each) => each.instance))
     const isWatcher = (index: number): boolean => rank.indexOf(instances[index]!.instance) < 2
-    const watchers = ways.filter((_, index) => isWatcher(index))
-    const others = ways.filter((_, index) => !isWatcher(index))
-    const failures = watchers.map((way) => way.calls.watches)
+    const watchers = stores.filter((_, index) => isWatcher(index))
+    const others = stores.filter((_, index) => !isWatcher(index))
+    const failures = watchers.map((intercepted) => intercepted.calls.watches)
     store.faults.outage = true
-    await until(() => watchers.every((way, index) => way.calls.watches >= failures[index]! + 5))
+    await until(() => watchers.every((intercepted, index) => intercepted.calls.watches >= failures[index]! + 5))
     store.faults.outage = false
     let mostWaiting = 0
     await until(() => {
-      mostWaiting = Math.max(mostWaiting, others.filter((way) => way.calls.waiting > 0).length)
-      return watchers.every((way) => way.calls.waiting === 1) && others.every((way) => way.calls.waiting === 0)
+      mostWaiting = Math.max(mostWaiting, others.filter((intercepted) => intercepted.calls.waiting > 0).length)
+      return watchers.every((intercepted) => intercepted.calls.waiting === 1) && others.every((intercepted) => intercepted.calls.waiting === 0)
     })
     expect(mostWaiting).toBeLessThanOrEqual(2)
   })
 
-  it('does not call without end when watches are answered at once', async () => {
-    // A proxy between instance and platform answers every watch at once with nothing. Without a space between calls the
-    // instance would use up the platform's rate by itself, and a core with it.
+  it('keeps a minimum interval between calls when watches are answered immediately', async () => {
+    // Guards against a busy loop: a proxy between instance and platform answers every watch immediately with no changes.
+    // Without a minimum interval, one instance would use up the platform's rate limit and a processor core.
     const slept: number[] = []
     const ending = new AbortController()
     const clock = new class extends SystemClock {
@@ -140,15 +140,15 @@
       if (store.calls.watches === 100) ending.abort()
       return step
     }
-    const parts = { store, clock, logger: silentLogger(), random: () => 0.5, watchMilliseconds: 0, isWatcher: () => true, isSubstituteWatcher: () => false, applyDocuments: () => undefined }
-    await new SettingsWatch(parts).run(ending.signal)
+    const dependencies = { store, clock, logger: silentLogger(), random: () => 0.5, watchMilliseconds: 0, isWatcher: () => true, isSubstituteWatcher: () => false, applyDocuments: () => undefined }
+    await new SettingsWatch(dependencies).run(ending.signal)
     expect(store.calls.watches + store.calls.lists).toBe(slept.length)
     expect(slept.every((milliseconds) => milliseconds > 0)).toBe(true)
   })
 
-  it('keeps what is in force when a document cannot be read here', async () => {
-    // During a rolling replacement a newer release accepts a key that this one does not know. Dropping the team would
-    // refuse all its requests; its former settings are nearer to what was meant.
+  it('keeps the settings in force when this release cannot parse a document', async () => {
+    // Guards against a team that is dropped during a rolling replacement, when a newer release accepts a key that this release
+    // does not know. All requests of the team would be refused; its previous settings are closer to what was intended.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     await put(one.writer, teamText('v1'), 0)
@@ -160,7 +160,7 @@
     expect(versionAt(one)).toBe('v3')
   })
 
-  it('waits longer after each failure, and not the same on each instance', () => {
+  it('increases the delay after each failure, with jitter between instances', () => {
     const low = new Backoff(STORE_BACKOFF, () => 0)
     const high = new Backoff(STORE_BACKOFF, () => 0.999)
     const waits = Array.from({ length: 10 }, () => [low.next(), high.next()] as [number, number])
--- a/packages/entry/test/settings/settings-writer.test.ts
+++ b/packages/entry/test/settings/settings-writer.test.ts
@@ -9,7 +9,7 @@
     deployment = new SettingsDeployment()
   })
 
-  it('puts a change in force here at once and on the peers after it', async () => {
+  it('puts a change in force on its own instance at once and then on the peers', async () => {
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
@@ -20,9 +20,9 @@
   })
 
   it('lets one of two racing operators win and shows the other the newer revision', async () => {
-    // Two operators change revision 1 through two instances at the same moment. Both instances read revision 1 from the
-    // store, and both writes would fit it. One is refused with the winner's text, and what the winner wrote stays: a
-    // write without the store's condition would silently drop the first operator's change.
+    // Guards against a lost update: two operators change revision 1 through two instances at the same time, and both instances
+    // read revision 1 from the store. Without the condition of the store, the second write would silently replace the first.
+    // With it, the second operator receives a conflict with the winner's text.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     const two = await deployment.start('two', store)
@@ -38,8 +38,8 @@
   })
 
   it('reads back a write whose answer was lost, and writes it only once', async () => {
-    // The store carries the write out and its answer is lost. Told 'failed', the operator would repeat the change on an
-    // old revision; a second write would make revision 2 of one change. The write's own id in the store proves it.
+    // Guards against a change that is reported as failed or applied twice: the store performs the write and the answer is lost.
+    // The write id that is read back from the store proves that the write took effect.
     const store = new MemoryObjectStore()
     const one = await deployment.start('one', store)
     store.faults.loseAnswers = 1
@@ -50,10 +50,10 @@
     expect(versionAt(one)).toBe('v1')
   })
 
-  it('settles a write that is still on its way when its answer is given up', async () => {
-    // The connection is lost before the write has reached the store, and a read back shows nothing. Called accepted, the
-    // change would be in force nowhere else; called refused, it would still arrive. The same write again decides: the
-    // late copy names a version that is gone.
+  it('resolves a write that arrives at the store after its answer was considered lost', async () => {
+    // Guards against a write with an undefined result: the connection is lost before the write reaches the store, and reading
+    // back shows nothing. A change reported as accepted might be nowhere in the store, and one reported as refused might still
+    // arrive. Sending the same write again decides: the late copy is conditional on a version that no longer exists.
     const store = new MemoryObjectStore()
     const slow = new InterceptedStore(store)
     const one = await deployment.start('one', slow)
@@ -66,9 +66,9 @@
     expect(store.snapshot().find((object) => object.path.endsWith(`/settings${PATH}`))?.value).toMatchObject({ revision: 2, text: teamText('v2') })
   })
 
-  it('says that it does not know when nothing can be read back', async () => {
-    // The answer is lost and the store goes out in the same moment. The change may have been accepted: neither answer
-    // would be true, and it must not be in force here on a guess.
+  it('reports an unknown outcome when nothing can be read back', async () => {
+    // Guards against a guess: the answer to a write is lost and the store fails at the same time, so the change may or may not
+    // have been accepted. It must not come into force on the instance.
     const store = new MemoryObjectStore()
     const slow = new InterceptedStore(store)
     const one = await deployment.start('one', slow)
@@ -79,9 +79,9 @@
     expect(versionAt(one)).toBe(undefined)
   })
 
-  it('finds a write whose answer was lost also when another has replaced it since', async () => {
-    // The answer to one operator's write is lost, and before it is read back a second operator writes on top. The store
-    // shows only the second write; the history, kept before each replacement, shows that the first was accepted.
+  it('finds a write whose answer was lost even when another write has replaced it', async () => {
+    // Guards against an accepted change that is reported as a conflict: the answer to a write is lost, and a second operator
+    // replaces the document before it is read back. The store shows only the second write; the history contains the first one.
     const store = new MemoryObjectStore()
     const slowReads = new InterceptedStore(store)
     const one = await deployment.start('one', slowReads)
