--- a/packages/entry/test/store.failure.test.ts
+++ b/packages/entry/test/store.failure.test.ts
@@ -38,10 +38,11 @@
 }
 
 describe('the store', () => {
-  // The caller sees nothing. The store is out for long; nobody can take over, all say so in their heartbeats, so
-  // owners go on with everything. An owner that is also cut off from its peers cannot know that: it goes on admitting
-  // and evicts nothing. On return nothing is written, since nothing has changed.
-  it('may be out: owners that hear all others go on, one that is cut off stops evicting', async () => {
+  // Guards against owners that stop, or evict without confirmation, during a long outage of the store. No instance can take
+  // over an endpoint and all report this in their heartbeats, so owners continue with full rights. An owner that is also cut
+  // off from its peers cannot know this: it continues to admit and evicts nothing. After the outage nothing is written, since
+  // nothing has changed. Callers notice nothing.
+  it('may fail: owners in contact with all others continue, and an owner that is cut off stops evictions', async () => {
     const all = await started(['one', 'two', 'three'], 1)
     const owner = all.find((instance) => instance.ownership.owned().length === 1) as TestInstance
     const other = all.find((instance) => instance !== owner) as TestInstance
@@ -62,9 +63,9 @@
     expect((await stored()).sequence).toBe(1)
   })
 
-  // The caller sees nothing. A write takes effect and its answer is lost. The writer reads it back by its id and does
-  // not write again: a second write would give the endpoints new tokens and unload what the first ones loaded.
-  it('may lose the answer to a write that took effect: it is not written twice', async () => {
+  // Guards against a second write after a lost answer: the write took effect, and writing again would give the endpoints new
+  // tokens and unload adapters that were loaded under the first ones. The writer reads its write back by id instead.
+  it('may lose the answer to a write that took effect, which is not written again', async () => {
     cluster = new Cluster()
     const all = await cluster.startAll(['one', 'two'])
     cluster.store.faults.loseAnswers = 1
@@ -75,10 +76,10 @@
     expect(cluster.store.calls.writes).toBe(1)
   })
 
-  // The caller sees its answer go on. An owner writes its hand-over, the answer is lost, and the store is out before
-  // it can be read back. The next owner may have it or not. Until that is known the old owner must not evict, nor may
-  // its heartbeats confirm anyone else by an older number.
-  it('may leave the fate of a hand-over open: the owner evicts nothing until it knows', async () => {
+  // Guards against two owners that evict: an owner writes a hand-over, the answer is lost, and the store fails before the write
+  // can be read back, so the next owner may already own the endpoint. Until the result is known, the old owner must not evict,
+  // and its heartbeats must not confirm other owners with an older sequence number.
+  it('may leave the result of a hand-over unknown, and the owner evicts nothing until it is known', async () => {
     const [one, two] = await started(['one', 'two'], 1) as [TestInstance, TestInstance]
     const [owner, other] = one.ownership.owned().length === 1 ? [one, two] : [two, one]
     const { writes } = cluster.store.calls
@@ -100,9 +101,10 @@
     expect(cluster.store.calls.writes).toBe(writes + 1)
   })
 
-  // The caller sees nothing. The store is restored to a state from before a take-over, in which another owner has a
-  // lower token. The instances remember the newer one and write it back; no token is ever given twice.
-  it('may be restored to an older state: neither owners nor tokens go back', async () => {
+  // Guards against owners or tokens that go back: the store is restored to a state from before a take-over, in which another
+  // instance is the owner with a lower token. The instances remember the newer state and write it back, so no token is
+  // assigned twice.
+  it('may be restored to an older state, and neither owners nor tokens go back', async () => {
     const all = await started(['one', 'two', 'three'], 3)
     const snapshot = cluster.store.snapshot()
     const before = await stored()
@@ -122,9 +124,9 @@
     expect(restored.records).toEqual(after.records)
   })
 
-  // The caller sees nothing. Several instances find the same endpoints without an owner and write at the same time.
-  // One wins; the others read what won and have nothing left to write, so that no endpoint changes hands twice.
-  it('lets one of several racing proposers win', async () => {
+  // Guards against endpoints that change owners twice: several instances see the same endpoints without an owner and write at
+  // the same time. One write wins; the other instances read it and have nothing left to write.
+  it('accepts one of several concurrent proposals of owners', async () => {
     cluster = new Cluster()
     const all = await cluster.startAll(['one', 'two', 'three', 'four'], { rankDelayMilliseconds: 0 })
     cluster.store.faults.slowness = 20
@@ -140,9 +142,9 @@
 })
 
 describe('an owner', () => {
-  // The caller sees its answer go on. An owner is paused for longer than its rights hold and wakes: at its first look
-  // it must already know that it may have been replaced, before any heartbeat or read has told it.
-  it('that was paused evicts nothing until it is confirmed again', async () => {
+  // Guards against evictions after a process pause: an owner is paused for longer than its rights last. When it resumes, it must
+  // know that it may have been replaced, before any heartbeat or read shows it.
+  it('that was paused evicts nothing until its ownership is confirmed again', async () => {
     cluster = new Cluster()
     const clock = new JumpingClock()
     const all = await cluster.startAll(['one', 'two'], { clock })
@@ -155,15 +157,15 @@
     await until(() => rights(owner).mayEvict)
   })
 
-  // The caller waits a few seconds for adapters of the lost owner's endpoints. An instance is cut off from all peers
-  // but not from the store, and is the first to propose. It takes nothing, since the others go on: neither while it has
-  // missed only the first of them, nor when it hears some of them again. An owner that is killed is replaced.
-  it('that is killed is replaced, by none that is cut off itself', async () => {
+  // Guards against a take-over by an instance that is itself cut off: the instance ranked first to propose owners loses the
+  // connections to all peers but not to the store. It takes over nothing while the others continue, neither when it has lost
+  // only the first of them nor when it has reconnected to some. An owner that is killed is replaced within seconds.
+  it('that is killed is replaced, but not by an instance that is itself cut off', async () => {
     const all = await started(['one', 'two', 'three', 'four'], 8)
     const first = rendezvousRank('ownership place', all.map((instance) => instance.id))[0]
     const cut = all.find((instance) => instance.id === first) as TestInstance
     const [killed, ...left] = all.filter((instance) => instance !== cut) as [TestInstance, ...TestInstance[]]
-    for (let time = 0; time < 3; time += 1) {
+    for (let round = 0; round < 3; round += 1) {
       let most = cut.ownership.owned().length
       const before = most
       cut.ownership.onChange(() => { most = Math.max(most, cut.ownership.owned().length) })
