--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -12,14 +12,14 @@
   steps: z.array(z.object({ at: z.number(), what: z.string(), fields: z.record(z.string(), z.unknown()).default({}) }))
 })
 
-/** Shows what was decided for one request, and why. */
+/** Shows the decisions about one request and their reasons. */
 export default class Explain extends AdminCommand {
-  static override description = 'Shows what was decided for one request, and why. Ask the instance that took the request; it remembers the latest ones. With --logs no instance is asked: the lines that instances wrote are read.'
+  static override description = 'Shows the decisions about one request and their reasons. Query the instance that received the request; it remembers the latest ones. With --logs no instance is queried: the log lines of instances are read instead.'
 
-  static override args = { request: Args.string({ required: true, description: 'the request id, as the answer named it' }) }
+  static override args = { request: Args.string({ required: true, description: 'the request id, as stated in the response' }) }
 
   static override flags = {
-    logs: Flags.string({ multiple: true, description: 'a file of log lines, of one instance or of several; may be given again' })
+    logs: Flags.string({ multiple: true, description: 'file with the log lines of one or more instances; may be given several times' })
   }
 
   override async run (): Promise<unknown> {
@@ -27,16 +27,16 @@
     if (flags.logs !== undefined) return this.fromLogs(args.request, flags.logs)
     const answer = await this.valueOrExit(this.client(flags).send({ method: 'GET', target: `/admin/explain/${encodeURIComponent(args.request)}` }))
     if (this.jsonEnabled()) return JSON.parse(answer.text)
-    const story = this.bodyOf(explanationSchema, answer)
-    const start = story.steps[0]?.at ?? 0
-    this.log(`Request ${story.requestId} for ${story.adapter}`)
-    this.log(table(['AT', 'WHAT', 'WHY'], story.steps.map(({ at, what, fields }) => [`+${Math.round(at - start)} ms`, what, fieldsText(fields)])))
+    const explanation = this.bodyOf(explanationSchema, answer)
+    const start = explanation.steps[0]?.at ?? 0
+    this.log(`Request ${explanation.requestId} for ${explanation.adapter}`)
+    this.log(table(['AT', 'WHAT', 'WHY'], explanation.steps.map(({ at, what, fields }) => [`+${Math.round(at - start)} ms`, what, fieldsText(fields)])))
     return undefined
   }
 
   private fromLogs (request: string, files: readonly string[]): unknown {
     const steps = requestTimeline(files.flatMap((file) => this.readLines(file)), request)
-    if (steps.length === 0) this.error(`No line names request ${request}. Give the logs of all instances that it may have reached.`, { exit: EXIT_CODES.notFound })
+    if (steps.length === 0) this.error(`No line names request ${request}. Give the logs of all instances that may have received it.`, { exit: EXIT_CODES.notFound })
     if (this.jsonEnabled()) return { request, steps }
     const start = steps.find((step) => step.own)?.at ?? 0
     const rows = steps.map(({ at, part, what, fields, own }) => [`${own ? '' : '  '}${signed(Math.round(at - start))} ms`, part, what, fieldsText(fields)])
--- a/packages/cli/src/commands/report.ts
+++ b/packages/cli/src/commands/report.ts
@@ -8,9 +8,9 @@
 import { RunReporter } from '../report/run-report.js'
 import { EXIT_CODES } from '../server/admin-command.js'
 
-/** Tells from log lines what became of requests and where their time went. */
+/** Reports from log lines how requests ended and how long their phases took. */
 export default class Report extends Command {
-  static override description = 'Tells what became of requests and where their time went, from the lines that ingress instances wrote: by route, reason and second, with what held loads up. No instance is asked.'
+  static override description = 'Reports how requests ended and how long their phases took, from the log lines of ingress instances: by route, reason and second, with what delayed loads. No instance is queried.'
 
   static override strict = false
 
@@ -19,19 +19,19 @@
   static override enableJsonFlag = true
 
   static override flags = {
-    html: Flags.string({ description: 'also write one page with plots to this file' })
+    html: Flags.string({ description: 'also write an HTML page with plots to this file' })
   }
 
   override async run (): Promise<unknown> {
     const { argv, flags } = await this.parse(Report)
     const files = argv.map(String)
-    if (files.length === 0) this.error('No file is given. Name the files with the log lines of the instances.', { exit: EXIT_CODES.usage })
+    if (files.length === 0) this.error('No file is given. Give the files with the log lines of the instances.', { exit: EXIT_CODES.usage })
     const reporter = new RunReporter()
     for (const file of files) await this.readInto(reporter, file)
     const report = reporter.report()
-    if (report.lines === 0) this.error('No line of an ingress instance was found. Give what the instances wrote to standard output.', { exit: EXIT_CODES.notFound })
+    if (report.lines === 0) this.error('No log line of an ingress instance was found. Give files with the standard output of the instances.', { exit: EXIT_CODES.notFound })
     if (flags.html !== undefined) {
-      // The plots need a library that other commands would load for nothing.
+      // Imported only here: the plots need a library that no other command uses.
       const { reportPage } = await import('../report/report-page.js')
       await writeFile(flags.html, reportPage(report))
     }
@@ -40,7 +40,7 @@
     return undefined
   }
 
-  /** A day's lines fill hundreds of megabytes, so no file is held whole. */
+  /** Reads a file line by line: the log lines of a day fill hundreds of megabytes, too much to hold in memory. */
   private async readInto (reporter: RunReporter, file: string): Promise<void> {
     try {
       for await (const line of createInterface({ input: createReadStream(file), crlfDelay: Infinity })) {
--- a/packages/cli/src/commands/settings/delete.ts
+++ b/packages/cli/src/commands/settings/delete.ts
@@ -2,9 +2,9 @@
 import { pathArgument, revisionFlag, SettingsCommand } from '../../server/settings-command.js'
 import { settingsPath, settingsTarget } from '../../server/settings-targets.js'
 
-/** Deletes what is set under a path. */
+/** Deletes the settings of a path. */
 export default class SettingsDelete extends SettingsCommand {
-  static override description = 'Deletes what is set under a path; former revisions stay in its history.'
+  static override description = 'Deletes the settings of a path; earlier revisions stay in its history.'
 
   static override examples = ['<%= config.bin %> <%= command.id %> /teams/history --revision 4']
 
--- a/packages/cli/src/commands/settings/diff.ts
+++ b/packages/cli/src/commands/settings/diff.ts
@@ -3,16 +3,16 @@
 import { pathArgument, SettingsCommand } from '../../server/settings-command.js'
 import { settingsPath, settingsTarget } from '../../server/settings-targets.js'
 
-/** Shows what changed since a revision. */
+/** Shows the changes between two revisions. */
 export default class SettingsDiff extends SettingsCommand {
-  static override description = 'Shows what changed from one revision to another, or to the newest.'
+  static override description = 'Shows the changes from one revision to another, or to the latest.'
 
   static override examples = ['<%= config.bin %> <%= command.id %> /teams/history 3', '<%= config.bin %> <%= command.id %> /teams/history 3 5']
 
   static override args = {
     path: pathArgument,
-    from: Args.integer({ required: true, min: 1, description: 'the former revision' }),
-    to: Args.integer({ min: 1, description: 'the later revision; the newest unless given' })
+    from: Args.integer({ required: true, min: 1, description: 'the earlier revision' }),
+    to: Args.integer({ min: 1, description: 'the later revision; the latest by default' })
   }
 
   override async run (): Promise<unknown> {
--- a/packages/cli/src/commands/settings/get.ts
+++ b/packages/cli/src/commands/settings/get.ts
@@ -9,13 +9,13 @@
 
 /** Prints the settings of a path, or the list of paths. */
 export default class SettingsGet extends SettingsCommand {
-  static override description = "Prints what is set under a path, with its comments; '/' lists the paths. The revision goes to standard error."
+  static override description = "Prints the settings of a path with their comments; '/' lists the paths. The revision is printed to standard error."
 
   static override examples = ['<%= config.bin %> <%= command.id %> /teams/history > history.jsonc', '<%= config.bin %> <%= command.id %> /']
 
   static override args = { path: pathArgument }
 
-  static override flags = { revision: Flags.integer({ char: 'r', min: 1, description: 'a former revision in place of the newest' }) }
+  static override flags = { revision: Flags.integer({ char: 'r', min: 1, description: 'an earlier revision instead of the latest' }) }
 
   override async run (): Promise<unknown> {
     const { args, flags } = await this.parse(SettingsGet)
--- a/packages/cli/src/commands/settings/history.ts
+++ b/packages/cli/src/commands/settings/history.ts
@@ -8,7 +8,7 @@
 
 /** Lists the revisions of a path. */
 export default class SettingsHistory extends SettingsCommand {
-  static override description = 'Lists the revisions of a path that are kept, newest first.'
+  static override description = 'Lists the stored revisions of a path, latest first.'
 
   static override args = { path: pathArgument }
 
--- a/packages/cli/src/commands/settings/patch.ts
+++ b/packages/cli/src/commands/settings/patch.ts
@@ -8,9 +8,9 @@
 const MERGE_PATCH_TYPE = 'application/merge-patch+json'
 const MAXIMUM_ATTEMPTS = 4
 
-/** Changes parts of a document. */
+/** Changes parts of a document and keeps the rest. */
 export default class SettingsPatch extends SettingsCommand {
-  static override description = 'Changes parts of a document and keeps the rest as it was written, with its comments. Takes a JSON merge patch from FILE, or places from flags. Without --revision the patch goes on top of the newest revision.'
+  static override description = 'Changes parts of a document and keeps the rest as it was written, with its comments. Takes a JSON merge patch from FILE, or single changes from flags. Without --revision the patch is applied to the latest revision.'
 
   static override examples = [
     '<%= config.bin %> <%= command.id %> /teams/history --set-text adapters/poem/current=2',
@@ -24,7 +24,7 @@
     revision: revisionFlag,
     set: Flags.string({ multiple: true, description: 'PLACE=JSON, such as limits/inFlight=200; in a list a number is an index and - its end' }),
     'set-text': Flags.string({ multiple: true, description: 'PLACE=TEXT, such as adapters/poem/current=2' }),
-    unset: Flags.string({ multiple: true, description: 'PLACE to remove' })
+    unset: Flags.string({ multiple: true, description: 'PLACE of a value to remove' })
   }
 
   override async run (): Promise<unknown> {
@@ -36,37 +36,37 @@
       const revision = flags.revision ?? await this.latestRevision(client, target)
       const answer = await client.send({ method: 'PATCH', target, revision, ...patch })
       if (answer.isOk()) return this.accepted(answer.value)
-      const overtaken = answer.error.details['code'] === 'revision_conflict'
-      if (!overtaken || flags.revision !== undefined || attempt === MAXIMUM_ATTEMPTS) return this.exitWithFailedChange(answer.error, args.path, flags.revision, args.path)
+      const isConflict = answer.error.details['code'] === 'revision_conflict'
+      if (!isConflict || flags.revision !== undefined || attempt === MAXIMUM_ATTEMPTS) return this.exitWithFailedChange(answer.error, args.path, flags.revision, args.path)
     }
   }
 
   private async patchOf (file: string | undefined, flags: { set?: string[] | undefined, 'set-text'?: string[] | undefined, unset?: string[] | undefined }): Promise<Pick<AdminCall, 'body' | 'contentType'>> {
     const changes = [
-      ...(flags.set ?? []).map((written) => this.parseAssignment(written, (value) => this.json(value))),
+      ...(flags.set ?? []).map((written) => this.parseAssignment(written, (value) => this.parseJson(value))),
       ...(flags['set-text'] ?? []).map((written) => this.parseAssignment(written, (value) => value)),
       ...(flags.unset ?? []).map((place) => ({ place: jsonPointerOf(place) }))
     ]
-    if ((file === undefined) === (changes.length === 0)) this.error('Name either a file with a merge patch, or places with --set, --set-text and --unset.', { exit: EXIT_CODES.usage })
+    if ((file === undefined) === (changes.length === 0)) this.error('Give either a file with a merge patch, or changes with --set, --set-text and --unset.', { exit: EXIT_CODES.usage })
     if (file !== undefined) return { body: await this.input(file), contentType: MERGE_PATCH_TYPE }
     return { body: JSON.stringify(changes), contentType: 'application/json' }
   }
 
   private parseAssignment (written: string, read: (value: string) => unknown): { place: string, value: unknown } {
     const at = written.indexOf('=')
-    if (at < 1) this.error(`'${written}' names no value. Write PLACE=VALUE, such as limits/inFlight=200.`, { exit: EXIT_CODES.usage })
+    if (at < 1) this.error(`'${written}' has no value. Write PLACE=VALUE, such as limits/inFlight=200.`, { exit: EXIT_CODES.usage })
     return { place: jsonPointerOf(written.slice(0, at)), value: read(written.slice(at + 1)) }
   }
 
-  private json (value: string): unknown {
+  private parseJson (value: string): unknown {
     try {
       return JSON.parse(value)
     } catch {
-      return this.error(`'${value}' is no JSON. Use --set-text for text, or write a number, true, "text", [list] or {object}.`, { exit: EXIT_CODES.usage })
+      return this.error(`'${value}' is not valid JSON. Use --set-text for text, or write a number, true, "text", [list] or {object}.`, { exit: EXIT_CODES.usage })
     }
   }
 }
 
-function jsonPointerOf (written: string): string {
-  return `/${written.replace(/^\/+|\/+$/g, '')}`
+function jsonPointerOf (place: string): string {
+  return `/${place.replace(/^\/+|\/+$/g, '')}`
 }
--- a/packages/cli/src/commands/settings/put.ts
+++ b/packages/cli/src/commands/settings/put.ts
@@ -2,9 +2,9 @@
 import { fileArgument, pathArgument, revisionFlag, SettingsCommand } from '../../server/settings-command.js'
 import { settingsPath, settingsTarget } from '../../server/settings-targets.js'
 
-/** Puts a whole document. */
+/** Stores a complete document under a path. */
 export default class SettingsPut extends SettingsCommand {
-  static override description = 'Puts a whole document under a path. A path that is set needs --revision, so that nobody\'s change is overwritten unseen.'
+  static override description = 'Stores a complete document under a path. For a path that has settings, --revision is required, so that no unseen change is overwritten.'
 
   static override examples = [
     '<%= config.bin %> <%= command.id %> /teams/history history.jsonc',
--- a/packages/cli/src/commands/settings/validate.ts
+++ b/packages/cli/src/commands/settings/validate.ts
@@ -2,9 +2,9 @@
 import { fileArgument, pathArgument, SettingsCommand } from '../../server/settings-command.js'
 import { settingsPath, validateTarget } from '../../server/settings-targets.js'
 
-/** Checks a document without putting it. */
+/** Validates a document without storing it. */
 export default class SettingsValidate extends SettingsCommand {
-  static override description = 'Checks a document for a path, with all that is in force, and changes nothing.'
+  static override description = 'Validates a document for a path together with all settings in force, and changes nothing.'
 
   static override args = { path: pathArgument, file: fileArgument }
 
--- a/packages/cli/src/commands/settings/watch.ts
+++ b/packages/cli/src/commands/settings/watch.ts
@@ -6,18 +6,18 @@
 import { settingsPath } from '../../server/settings-targets.js'
 import { watchSettings } from '../../server/watch-stream.js'
 
-/** Follows settings as they come into force on an instance. */
+/** Watches settings as they come into force on an instance. */
 export default class SettingsWatch extends SettingsCommand {
-  static override description = 'Prints the revision in force of each path under PATH, then each change as it comes into force on the instance. Goes on over lost connections; end it with Ctrl-C.'
+  static override description = 'Prints the revision in force of each path under PATH, then each change as it comes into force on the instance. Reconnects when the connection is lost; stop with Ctrl-C.'
 
   static override enableJsonFlag = false
 
-  static override args = { path: Args.string({ default: '/', description: "such as /teams or /teams/history; '/' watches everything the key reaches" }) }
+  static override args = { path: Args.string({ default: '/', description: "such as /teams or /teams/history; '/' watches all paths that the key may read" }) }
 
   static override flags = {
-    after: Flags.integer({ min: 0, default: 0, description: 'pass over revisions up to this one at the start' }),
-    count: Flags.integer({ min: 1, description: 'end after so many lines' }),
-    json: Flags.boolean({ default: false, description: 'one JSON document a line' })
+    after: Flags.integer({ min: 0, default: 0, description: 'skip revisions up to this one at the start' }),
+    count: Flags.integer({ min: 1, description: 'exit after this number of lines' }),
+    json: Flags.boolean({ default: false, description: 'print one JSON document per line' })
   }
 
   override async run (): Promise<void> {
@@ -28,7 +28,7 @@
     const options = {
       prefix: settingsPath(args.path),
       after: flags.after,
-      onConnectionLost: (error: LimpetwinchError | undefined): void => { this.lost(error) },
+      onConnectionLost: (error: LimpetwinchError | undefined): void => { this.logLostConnection(error) },
       isFinal: (error: LimpetwinchError): boolean => {
         const final = error.kind === 'admin-refused' && error.details['status'] !== 503
         if (final) refusal = error
@@ -45,8 +45,8 @@
     if (refusal !== undefined) this.exitWithError(refusal)
   }
 
-  private lost (error: LimpetwinchError | undefined): void {
-    this.logToStderr(error === undefined ? 'The connection was lost; connecting again.' : error.message)
+  private logLostConnection (error: LimpetwinchError | undefined): void {
+    this.logToStderr(error === undefined ? 'The connection was lost; reconnecting.' : error.message)
   }
 }
 
--- a/packages/cli/src/logs/log-line.ts
+++ b/packages/cli/src/logs/log-line.ts
@@ -1,20 +1,20 @@
-/** The JSON lines that ingress instances write. */
+/** Parses the JSON log lines that ingress instances write. */
 
-/** One line. */
+/** One parsed log line. */
 export interface LogLine {
-  /** Unix milliseconds, by the clock of the instance that wrote it. */
+  /** Unix time in milliseconds, by the clock of the instance that wrote the line. */
   readonly at: number
-  /** The part of the instance that speaks. */
+  /** Label of the component that wrote the line. */
   readonly part: string
   readonly message: string
   readonly fields: Readonly<Record<string, unknown>>
 }
 
 /**
- * Reads one line.
+ * Parses one line.
  *
- * @param line - it may have text before its JSON, such as the name of the process
- * @returns the line; undefined when it is not one of an instance
+ * @param line - may have text before its JSON, such as the name of the process
+ * @returns the log line; undefined when it was not written by an instance
  */
 export function parseLogLine (line: string): LogLine | undefined {
   const start = line.indexOf('{')
@@ -25,7 +25,7 @@
     if (typeof fields.message !== 'string' || Number.isNaN(at)) return undefined
     return { at, part: String(fields.label ?? ''), message: fields.message, fields }
   } catch {
-    // Other programs write to the same place; what is no JSON is not ours.
+    // Other programs may write to the same output; a line that is not JSON was not written by an instance.
     return undefined
   }
 }
--- a/packages/cli/src/logs/request-timeline.ts
+++ b/packages/cli/src/logs/request-timeline.ts
@@ -1,64 +1,65 @@
-/** The story of one request, from the JSON lines that instances wrote. */
+/** Builds the timeline of one request from the JSON log lines of instances. */
 import { parseLogLine } from './log-line.js'
 import type { LogLine } from './log-line.js'
 
-/** One line that bears on a request. */
+/** A log line that concerns a request. */
 export interface TimelineStep {
-  /** Unix milliseconds, by the clock of the instance that wrote it. */
+  /** Unix time in milliseconds, by the clock of the instance that wrote the line. */
   readonly at: number
   readonly part: string
   readonly what: string
   readonly fields: Readonly<Record<string, unknown>>
-  /** Whether the line names the request itself; else it tells of an endpoint or an adapter that the request met. */
+  /** Whether the line names the request itself; otherwise it concerns an endpoint or an adapter that the request used. */
   readonly own: boolean
 }
 
-/** Lines on endpoints and adapters count from so long before the request: what it met was decided then. */
+/** Lines on endpoints and adapters are included from this long before the request, when the state that it met was decided. */
 const LOOKBACK_MILLISECONDS = 3_000
-/** Whether an endpoint crashed is known a moment after its answers broke off. */
+/** A crash of an endpoint is detected up to this long after its responses were truncated. */
 const CRASH_DETECTION_MILLISECONDS = 1_000
-/** What is known of a line without being worth a column. */
+/** Fields that are shown in other columns or are the same in all lines. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set(['timestamp', 'level', 'label', 'message', 'request'])
-/** Lines of other requests say nothing about this one. */
+/** Label of lines about requests; such lines of other requests do not concern this one. */
 const REQUEST_LABEL = 'relay'
 
 /**
- * Picks what bears on a request.
+ * Selects the log lines that concern a request.
  *
- * @param lines - of any number of instances, in any order; a line may have text before its JSON, others are passed over
- * @param request - the id
- * @returns the steps by time; empty when no line names the request
+ * @param lines - lines of any number of instances, in any order; a line may have text before its JSON, lines without JSON are ignored
+ * @param request - id of the request
+ * @returns the steps in the order of time; empty when no line names the request
  */
 export function requestTimeline (lines: Iterable<string>, request: string): TimelineStep[] {
   const parsed = [...lines].flatMap((line) => parseLogLine(line) ?? [])
-  const own = parsed.filter((line) => line.fields.request === request)
-  if (own.length === 0) return []
-  const first = Math.min(...own.map((line) => line.at))
-  const last = Math.max(...own.map((line) => line.at))
-  const endpoints = new Set<unknown>(own.map((line) => line.fields.endpoint).filter((id) => id !== undefined))
-  const adapters = new Set(own.map((line) => nameOf(line.fields.adapter)).filter((name) => name !== undefined))
-  const around = parsed.filter((line) => {
-    if (line.part === REQUEST_LABEL || line.fields.request === request || line.at < first - LOOKBACK_MILLISECONDS) return false
-    if (line.fields.fingerprint !== undefined) return endpoints.has(line.fields.endpoint) && line.at <= last + CRASH_DETECTION_MILLISECONDS
-    if (line.at > last) return false
+  const ownLines = parsed.filter((line) => line.fields.request === request)
+  if (ownLines.length === 0) return []
+  const startAt = Math.min(...ownLines.map((line) => line.at))
+  const endAt = Math.max(...ownLines.map((line) => line.at))
+  const endpoints = new Set<unknown>(ownLines.map((line) => line.fields.endpoint).filter((id) => id !== undefined))
+  const adapters = new Set(ownLines.map((line) => nameOf(line.fields.adapter)).filter((name) => name !== undefined))
+  const contextLines = parsed.filter((line) => {
+    if (line.part === REQUEST_LABEL || line.fields.request === request || line.at < startAt - LOOKBACK_MILLISECONDS) return false
+    if (line.fields.fingerprint !== undefined) return endpoints.has(line.fields.endpoint) && line.at <= endAt + CRASH_DETECTION_MILLISECONDS
+    if (line.at > endAt) return false
     const adapter = nameOf(line.fields.adapter)
     return adapter === undefined ? endpoints.has(line.fields.endpoint) : adapters.has(adapter)
   })
-  const others = [...around, ...crashLines(parsed, own, around)]
-  const steps = [...own.map((line) => step(line, true)), ...[...new Set(others)].map((line) => step(line, false))]
+  const otherLines = [...contextLines, ...crashLines(parsed, ownLines, contextLines)]
+  const steps = [...ownLines.map((line) => step(line, true)), ...[...new Set(otherLines)].map((line) => step(line, false))]
   return steps.sort((one, other) => one.at - other.at)
 }
 
 /**
- * Crashes that the same request was aboard under other ids, whenever that was, and verdicts on it and on what was aboard with it:
- * the one tells why a request is held back, the other which request ended the endpoint of a stream that broke off.
+ * Selects lines from any time on crashes during which the same request was in flight under another id, and on quarantine decisions about
+ * the request and about requests that were in flight with it. The former show why a request is quarantined, the latter which request
+ * crashed the endpoint of a truncated stream.
  */
-function crashLines (lines: readonly LogLine[], own: readonly LogLine[], around: readonly LogLine[]): LogLine[] {
-  const ownFingerprints = fingerprintsOf(own)
-  const allFingerprints = fingerprintsOf([...own, ...around])
+function crashLines (lines: readonly LogLine[], ownLines: readonly LogLine[], contextLines: readonly LogLine[]): LogLine[] {
+  const ownFingerprints = fingerprintsOf(ownLines)
+  const allFingerprints = fingerprintsOf([...ownLines, ...contextLines])
   return lines.filter((line) => {
     const { fingerprint, request } = line.fields
-    if (fingerprint === undefined || own.includes(line)) return false
+    if (fingerprint === undefined || ownLines.includes(line)) return false
     return ownFingerprints.has(fingerprint) || (request === undefined && allFingerprints.has(fingerprint))
   })
 }
@@ -72,7 +73,7 @@
   return { at: line.at, part: line.part, what: line.message, fields, own }
 }
 
-/** Requests name an adapter with its model, orders without it. */
+/** Lines on requests name an adapter with its model, lines on orders without it. */
 function nameOf (adapter: unknown): string | undefined {
   if (typeof adapter !== 'string') return undefined
   return adapter.slice(adapter.lastIndexOf('/') + 1)
--- a/packages/cli/src/report/adapter-tally.ts
+++ b/packages/cli/src/report/adapter-tally.ts
@@ -1,44 +1,45 @@
-/** Adapters that were asked for, and those among them that were asked for again and again and never served. */
+/** Counts requests by adapter and finds adapters that were requested repeatedly and never served. */
 import type { LogLine } from '../logs/log-line.js'
 import { endingOf, reasonOf } from './endings.js'
 
-/** An adapter is asked for again and again from so many requests on, over so long. */
+/** An adapter counts as requested repeatedly from this number of requests on, if they span at least the time below. */
 const MINIMUM_REQUESTS = 4
+/** Minimum time between the first and the last request for an adapter that counts as requested repeatedly. */
 const MINIMUM_SPAN_MILLISECONDS = 8_000
-/** Never served adapters that the report names, the worst first; the others are counted. */
+/** Maximum number of never served adapters that the report names, those with most requests first; the others are only counted. */
 const MAXIMUM_LISTED_ADAPTERS = 100
-/** Engines and ends that are named for each of them, the most frequent first. */
+/** Maximum number of engines and of request ends that are named for each of these adapters, the most frequent first. */
 const MAXIMUM_LISTED_COUNTS = 4
 
-/** How often something came. */
+/** Number of occurrences of a name. */
 export interface Count {
   readonly name: string
   readonly count: number
 }
 
-/** An adapter that was asked for again and again and never served. */
+/** An adapter that was requested repeatedly and never served. */
 export interface UnservedAdapter {
   readonly adapter: string
   readonly requests: number
-  /** Between the first and the last request for it. */
+  /** Time between the first and the last request for the adapter. */
   readonly spanMilliseconds: number
-  /** Engines that were asked to load it, and how often. */
+  /** Engines that were asked to load the adapter, with the number of load requests. */
   readonly engines: readonly Count[]
-  /** What ended its requests. */
+  /** How and why its requests ended, with the number of requests. */
   readonly ends: readonly Count[]
 }
 
-/** The adapters of a run. */
+/** Numbers of the adapters of a run, by whether they were served. */
 export interface AdapterReport {
   readonly asked: number
   readonly served: number
-  /** Asked for again and again. */
+  /** Adapters that were requested repeatedly. */
   readonly askedAgain: number
-  /** Of those, the ones that were never served. */
+  /** Adapters that were requested repeatedly and never served. */
   readonly neverServed: number
-  /** As many of those would never be served if each request had the same chance. */
+  /** Expected number of never served adapters among those requested repeatedly, if every request had the same chance of being served. */
   readonly neverServedByChance: number
-  /** The one with most requests first. */
+  /** Never served adapters, the one with most requests first. */
   readonly worst: readonly UnservedAdapter[]
 }
 
@@ -54,10 +55,10 @@
 /** Counts requests by adapter. */
 export class AdapterTally {
   private readonly adapters = new Map<string, Tally>()
-  /** Adapters of requests that have not ended. */
+  /** Adapters of requests that have not ended, by request id. */
   private readonly open = new Map<string, string>()
 
-  /** Counts a line when it tells of a request for an adapter. */
+  /** Counts a log line if it concerns a request for an adapter. */
   record (line: LogLine): void {
     const { request } = line.fields
     if (typeof request !== 'string') return
@@ -65,32 +66,32 @@
     if (adapter === undefined) return
     const tally = this.tallyOf(adapter, line.at)
     if (!this.open.has(request)) this.recordStart(request, adapter, tally, line.at)
-    if (line.message === 'A load was asked for.' && line.fields.waiting === true) countIn(tally.engines, String(line.fields.endpoint))
+    if (line.message === 'A load was asked for.' && line.fields.waiting === true) increment(tally.engines, String(line.fields.endpoint))
     const ending = endingOf(line)
     if (ending === undefined) return
     this.open.delete(request)
     if (ending === 'answered' && line.fields.status === 200) tally.served += 1
-    else countIn(tally.ends, `${ending}: ${reasonOf(line)}`)
+    else increment(tally.ends, `${ending}: ${reasonOf(line)}`)
   }
 
-  /** @returns what all lines so far come to */
+  /** @returns the report on all lines recorded so far */
   report (): AdapterReport {
     const all = [...this.adapters]
-    const again = all.filter(([, tally]) => isRequestedRepeatedly(tally))
-    const never = again.filter(([, { served }]) => served === 0)
+    const requestedRepeatedly = all.filter(([, tally]) => isRequestedRepeatedly(tally))
+    const neverServed = requestedRepeatedly.filter(([, { served }]) => served === 0)
     const requests = sumOf(all, ({ requests }) => requests)
     const unservedShare = requests === 0 ? 0 : 1 - sumOf(all, ({ served }) => served) / requests
     return {
       asked: all.length,
       served: all.filter(([, { served }]) => served > 0).length,
-      askedAgain: again.length,
-      neverServed: never.length,
-      neverServedByChance: sumOf(again, (tally) => unservedShare ** tally.requests),
-      worst: never.map(([adapter, tally]) => unservedAdapter(adapter, tally)).sort((one, other) => other.requests - one.requests).slice(0, MAXIMUM_LISTED_ADAPTERS)
+      askedAgain: requestedRepeatedly.length,
+      neverServed: neverServed.length,
+      neverServedByChance: sumOf(requestedRepeatedly, (tally) => unservedShare ** tally.requests),
+      worst: neverServed.map(([adapter, tally]) => unservedAdapter(adapter, tally)).sort((one, other) => other.requests - one.requests).slice(0, MAXIMUM_LISTED_ADAPTERS)
     }
   }
 
-  /** The last line of a request names its adapter in some releases only; earlier lines do in all. */
+  /** The last log line of a request names its adapter in some releases only; earlier lines name it in all releases. */
   private adapterOf (request: string, { fields }: LogLine): string | undefined {
     return typeof fields.adapter === 'string' ? fields.adapter : this.open.get(request)
   }
@@ -127,6 +128,6 @@
   return all.reduce((sum, [, tally]) => sum + value(tally), 0)
 }
 
-function countIn (counts: Map<string, number>, name: string): void {
+function increment (counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1)
 }
--- a/packages/cli/src/report/duration-histogram.ts
+++ b/packages/cli/src/report/duration-histogram.ts
@@ -1,12 +1,12 @@
-/** How a time is spread over many requests. */
+/** Summarises durations of many requests by percentiles. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 
-/** Longer than any request lasts. */
+/** Maximum recorded duration; longer than any request lasts. */
 const MAXIMUM_MILLISECONDS = 600_000
 const SIGNIFICANT_DIGITS = 3
 
-/** Milliseconds of which so many in a hundred are no longer. */
+/** Number of durations and their percentiles, in milliseconds. */
 export interface DurationSummary {
   readonly count: number
   readonly median: number
@@ -15,17 +15,17 @@
   readonly longest: number
 }
 
-/** Gathers times. */
+/** Histogram of durations. */
 export class DurationHistogram {
   private readonly histogram: Histogram = build({ highestTrackableValue: MAXIMUM_MILLISECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
 
-  /** Counts a time in milliseconds; what is no number is passed over. */
+  /** Records a duration in milliseconds; a value that is not a finite number is ignored. */
   record (value: unknown): void {
     if (typeof value !== 'number' || !Number.isFinite(value)) return
     this.histogram.recordValue(Math.min(MAXIMUM_MILLISECONDS, Math.max(0, Math.round(value))))
   }
 
-  /** @returns the spread of what was counted */
+  /** @returns number and percentiles of the recorded durations */
   summary (): DurationSummary {
     const { histogram } = this
     return {
--- a/packages/cli/src/report/endings.ts
+++ b/packages/cli/src/report/endings.ts
@@ -1,7 +1,7 @@
-/** How requests ended, as the lines of their instances say. */
+/** Finds out from log lines how and why requests ended. */
 import type { LogLine } from '../logs/log-line.js'
 
-/** How a request ended, as its instance says. */
+/** How a request ended, according to the instance that handled it. */
 export type Ending = 'answered' | 'refused' | 'cut' | 'left'
 
 const ENDINGS: ReadonlyMap<string, Ending> = new Map([
@@ -11,14 +11,14 @@
   ['A caller left before its answer was whole.', 'left']
 ])
 
-/** @returns how a request ended by this line; undefined when the line tells of no end */
+/** @returns how the request of this log line ended; undefined when the line does not report an end */
 export function endingOf ({ message }: LogLine): Ending | undefined {
   return ENDINGS.get(message)
 }
 
-/** @returns why a request ended without a whole answer */
+/** @returns why a request ended without a complete response */
 export function reasonOf ({ fields }: LogLine): string {
   const { reason, error, status } = fields
-  // An error of the endpoint that was passed on has neither a reason nor an error of ours.
+  // The line on an endpoint's error response that was passed on to the caller has neither `reason` nor `error`.
   return String(reason ?? error ?? (status === undefined ? 'the caller left' : `status ${String(status)}`))
 }
--- a/packages/cli/src/report/load-tally.ts
+++ b/packages/cli/src/report/load-tally.ts
@@ -1,50 +1,50 @@
-/** Loads of adapters: how many, what held them up, and which came back soon after they had left. */
+/** Counts adapter loads, what delayed them, and those of adapters that had been unloaded shortly before. */
 import type { LogLine } from '../logs/log-line.js'
 import { DurationHistogram } from './duration-histogram.js'
 import type { DurationSummary } from './duration-histogram.js'
 
 const SECOND_MILLISECONDS = 1_000
-/** An order for the same adapter and engine within this asks whether the load has arrived. */
+/** Within this time another order for the same adapter and engine only checks whether the load has completed. */
 const SAME_LOAD_MILLISECONDS = 2_000
-/** An adapter that is loaded again so soon was evicted too early. */
+/** An adapter that is loaded again within this time was evicted too early. */
 const EARLY_RELOAD_MILLISECONDS = 3_000
-/** An engine that is asked for a load and orders none for so long has nobody to order for it, or no place. */
+/** An engine that received a load request and no order for this long has no load owner or no free slot. */
 const IDLE_MILLISECONDS = 1_000
 
-/** Loads that waited for the same reason. */
+/** Loads that were delayed for the same reason. */
 export interface LoadDelay {
   readonly reason: string
-  /** From the first request for it to the order, milliseconds. */
+  /** Time from the first request for the load to its order, in milliseconds. */
   readonly waited: DurationSummary
 }
 
-/** A time in which an engine was asked for loads and ordered none. */
+/** The longest time in which an engine had load requests and received no order. */
 export interface IdleEngine {
   readonly endpoint: string
   readonly milliseconds: number
 }
 
-/** The loads of a run. */
+/** Numbers and delays of the loads of a run. */
 export interface LoadReport {
   readonly asked: number
   readonly ordered: number
-  /** For each stream that was answered whole. */
+  /** Orders for each stream that was answered completely. */
   readonly orderedForEachStream: number
-  /** Loaded by an engine that had dropped the adapter within three seconds. */
+  /** Loads by an engine that had unloaded the same adapter less than three seconds before. */
   readonly backSoon: number
-  /** What held loads up before they were ordered, the most frequent reason first. */
+  /** What delayed loads before they were ordered, the most frequent reason first. */
   readonly holdUps: readonly LoadDelay[]
-  /** The longest such time of each engine, the longest first. */
+  /** The longest time of each engine with load requests and no order, the longest first. */
   readonly idleEngines: readonly IdleEngine[]
 }
 
-/** Loads in one second. */
+/** Load requests and load orders in one second. */
 export interface LoadsInSecond {
   readonly loadsAsked: number
   readonly loadsOrdered: number
 }
 
-/** From these lines on an engine is asked for nothing. */
+/** Messages after which no load is requested from an engine. */
 const ENGINE_LEFT_MESSAGES: ReadonlySet<string> = new Set(['An endpoint is leaving.', 'An endpoint is gone.'])
 
 interface EngineTally {
@@ -52,7 +52,7 @@
   longestIdle: number
 }
 
-/** Counts loads. */
+/** Counts the loads of a run from its log lines. */
 export class LoadTally {
   private readonly holdUps = new Map<string, DurationHistogram>()
   private readonly orderedAt = new Map<string, number>()
@@ -66,7 +66,7 @@
   private streams = 0
   private lastAt = -Infinity
 
-  /** Counts a line when it tells of a load. */
+  /** Counts a log line if it concerns a load. */
   record (line: LogLine): void {
     this.lastAt = Math.max(this.lastAt, line.at)
     if (line.message === 'A load was asked for.') this.recordLoadRequest(line)
@@ -74,17 +74,22 @@
     else if (ENGINE_LEFT_MESSAGES.has(line.message)) this.recordDeparture(line)
   }
 
-  /** A request was answered whole. */
+  /** Counts a request that was answered completely. */
   answered (isStream: boolean): void {
     if (isStream) this.streams += 1
   }
 
-  /** @returns the loads of one second, counted in Unix seconds */
+  /**
+   * Counts the loads of one second.
+   *
+   * @param unixSecond - Unix time in seconds
+   * @returns the loads requested and ordered in that second
+   */
   inSecond (unixSecond: number): LoadsInSecond {
     return { loadsAsked: this.askedBySecond.get(unixSecond) ?? 0, loadsOrdered: this.orderedBySecond.get(unixSecond) ?? 0 }
   }
 
-  /** @returns what all lines so far come to */
+  /** @returns the report on all lines recorded so far */
   report (): LoadReport {
     return {
       asked: this.asked,
@@ -99,14 +104,14 @@
     }
   }
 
-  /** An engine that is still without loads when the lines end counts as well. */
+  /** Includes the time up to the last log line for an engine that still waits for an order then. */
   private longestIdle ({ askedSince, longestIdle }: EngineTally): number {
     return Math.max(longestIdle, askedSince === undefined ? 0 : this.lastAt - askedSince)
   }
 
   private recordLoadRequest ({ at, fields }: LogLine): void {
     this.asked += 1
-    countIn(this.askedBySecond, at)
+    increment(this.askedBySecond, at)
     const engine = this.engineTally(String(fields.endpoint))
     engine.askedSince ??= at
   }
@@ -120,7 +125,7 @@
     if (at - (this.orderedAt.get(key) ?? -Infinity) < SAME_LOAD_MILLISECONDS) return
     this.orderedAt.set(key, at)
     this.ordered += 1
-    countIn(this.orderedBySecond, at)
+    increment(this.orderedBySecond, at)
     if (at - (this.droppedAt.get(key) ?? -Infinity) < EARLY_RELOAD_MILLISECONDS) this.backSoon += 1
     this.recordDelay(String(fields.heldUpBy ?? 'nothing'), fields.waited)
   }
@@ -136,9 +141,9 @@
   }
 
   private recordDelay (reason: string, waited: unknown): void {
-    const spread = this.holdUps.get(reason) ?? new DurationHistogram()
-    this.holdUps.set(reason, spread)
-    spread.record(waited)
+    const histogram = this.holdUps.get(reason) ?? new DurationHistogram()
+    this.holdUps.set(reason, histogram)
+    histogram.record(waited)
   }
 
   private engineTally (endpoint: string): EngineTally {
@@ -150,7 +155,7 @@
   }
 }
 
-function countIn (bySecond: Map<number, number>, at: number): void {
+function increment (bySecond: Map<number, number>, at: number): void {
   const second = Math.floor(at / SECOND_MILLISECONDS)
   bySecond.set(second, (bySecond.get(second) ?? 0) + 1)
 }
--- a/packages/cli/src/report/report-page.ts
+++ b/packages/cli/src/report/report-page.ts
@@ -1,4 +1,4 @@
-/** A run's report as one page with plots, to be opened in a browser without anything else. */
+/** Renders the report of a run as one self-contained HTML page with plots. */
 import { BarChart, LineChart } from 'echarts/charts'
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components'
 import { init, use } from 'echarts/core'
@@ -18,7 +18,7 @@
   readonly values: readonly number[]
 }
 
-/** @returns the page */
+/** @returns the HTML page of a report */
 export function reportPage (report: RunReport): string {
   const { bySecond } = report
   const endings = (['answered', 'refused', 'cut', 'left'] as const).map((ending): Series => ({
@@ -52,7 +52,7 @@
   return svg
 }
 
-/** Reasons and routes come from outside. */
+/** Escapes HTML; reasons and routes in log lines can contain any text. */
 function escaped (text: string): string {
   return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;')
 }
--- a/packages/cli/src/report/run-report.ts
+++ b/packages/cli/src/report/run-report.ts
@@ -1,4 +1,4 @@
-/** Where the time of requests went and what became of them, from the log lines of any number of instances. */
+/** Computes from the log lines of any number of instances how requests ended and how long their phases took. */
 import type { LogLine } from '../logs/log-line.js'
 import { AdapterTally } from './adapter-tally.js'
 import type { AdapterReport } from './adapter-tally.js'
@@ -11,32 +11,32 @@
 
 const SECOND_MILLISECONDS = 1_000
 
-/** Requests by how they ended. */
+/** Number of requests by how they ended. */
 export type EndingCounts = Readonly<Record<Ending, number>>
 
-/** Requests of one route. */
+/** Outcomes and durations of the requests of one route. */
 export interface RouteReport {
   readonly route: string
   readonly endings: EndingCounts
-  /** Of streams, from the request to the first event, milliseconds. */
+  /** Time of streams from the request to the first event, in milliseconds. */
   readonly firstEvent: DurationSummary
-  /** Waited for an adapter, milliseconds; requests that did not wait are left out. */
+  /** Time that requests waited for an adapter to be loaded, in milliseconds; requests that did not wait are not counted. */
   readonly loadStall: DurationSummary
-  /** Longest time between two events of a stream, milliseconds. */
+  /** Longest time between two events of a stream, in milliseconds. */
   readonly longestGap: DurationSummary
-  /** To the end of the answer, milliseconds. */
+  /** Time from the request to the end of the response, in milliseconds. */
   readonly whole: DurationSummary
 }
 
-/** Requests that ended without a whole answer, for one reason. */
+/** Requests that ended without a complete response for the same reason. */
 export interface LossReport {
   readonly ending: Ending
   readonly reason: string
-  /** How long they had waited, milliseconds. */
+  /** Time from the request to its end, in milliseconds. */
   readonly after: DurationSummary
 }
 
-/** One second of the run. */
+/** Requests that ended and loads in one second of the run. */
 export interface SecondReport {
   /** Seconds since the first line. */
   readonly second: number
@@ -45,12 +45,12 @@
   readonly loadsOrdered: number
 }
 
-/** The whole run. */
+/** Report on a run. */
 export interface RunReport {
   readonly lines: number
   readonly seconds: number
   readonly routes: readonly RouteReport[]
-  /** The most frequent one first. */
+  /** Requests without a complete response by reason, the most frequent reason first. */
   readonly losses: readonly LossReport[]
   readonly adapters: AdapterReport
   readonly loads: LoadReport
@@ -71,7 +71,7 @@
   readonly after: DurationHistogram
 }
 
-/** Takes lines one after the other and tells what they come to. */
+/** Accumulates log lines and computes the report on them. */
 export class RunReporter {
   private readonly routes = new Map<string, RouteTally>()
   private readonly losses = new Map<string, LossTally>()
@@ -82,7 +82,7 @@
   private firstAt = Infinity
   private lastAt = -Infinity
 
-  /** Counts a line; lines of one instance come in their order, those of several in any. */
+  /** Counts a log line. The lines of one instance must be recorded in their order; lines of different instances may be interleaved freely. */
   record (line: LogLine): void {
     this.lines += 1
     this.firstAt = Math.min(this.firstAt, line.at)
@@ -93,7 +93,7 @@
     if (ending !== undefined) this.recordEnding(ending, line)
   }
 
-  /** @returns what all lines so far come to */
+  /** @returns the report on all lines recorded so far */
   report (): RunReport {
     const first = Math.floor(this.firstAt / SECOND_MILLISECONDS)
     const last = Math.floor(this.lastAt / SECOND_MILLISECONDS)
--- a/packages/cli/src/server/admin-client.ts
+++ b/packages/cli/src/server/admin-client.ts
@@ -1,4 +1,4 @@
-/** Calls to an instance's admin API. */
+/** Client of an instance's admin API. */
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { request } from 'undici'
@@ -6,27 +6,27 @@
 import { z } from 'zod'
 import { LimpetwinchError, neverConnected } from '@limpetwinch/core'
 
-/** Which instance, and with which key. */
+/** URL of an instance's admin address, and the key to call it with. */
 export interface AdminServer {
   readonly url: string
   readonly key: string
 }
 
-/** One call. */
+/** One call to the admin API. */
 export interface AdminCall {
   readonly method: 'GET' | 'PUT' | 'PATCH' | 'DELETE' | 'POST'
-  /** Path and query. */
+  /** Path and query string. */
   readonly target: string
   readonly body?: string
   readonly contentType?: string
-  /** The revision that a change was made on. */
+  /** The revision that a change is based on; sent as `if-match`. */
   readonly revision?: number
 }
 
-/** An answer that is no error. */
+/** A successful response. */
 export interface AdminResponse {
   readonly text: string
-  /** The revision in the ETag, if any. */
+  /** The revision in the ETag header, if any. */
   readonly revision: number | undefined
   readonly author: string | undefined
 }
@@ -44,27 +44,31 @@
   })
 })
 
-/** Asks one instance; nothing is repeated by itself. */
+/** Calls the admin API of one instance; it never retries a call by itself. */
 export class AdminClient {
   private readonly server: AdminServer
 
-  /** @param server - which instance */
+  /** @param server - the instance to call, and the key */
   constructor (server: AdminServer) {
     this.server = server
   }
 
   /**
-   * @param call - what to ask
-   * @returns the answer, `admin-unreachable`, `admin-silent`, or `admin-refused` with `details.code`
+   * Sends a call.
+   *
+   * @param call - method, target, body and revision
+   * @returns the response, `admin-unreachable`, `admin-silent`, or `admin-refused` with `details.code`
    */
   send (call: AdminCall): ResultAsync<AdminResponse, LimpetwinchError> {
     return new ResultAsync(this.sendCall(call))
   }
 
   /**
-   * @param target - path and query of a stream
-   * @param signal - ends it
-   * @returns the open answer, or the error
+   * Opens a stream.
+   *
+   * @param target - path and query string of the stream
+   * @param signal - aborts the stream
+   * @returns the response with an open body, or the error
    */
   async openStream (target: string, signal: AbortSignal): Promise<Result<Dispatcher.ResponseData, LimpetwinchError>> {
     try {
@@ -109,7 +113,7 @@
 
 function refused (status: number, text: string): LimpetwinchError {
   const body = errorSchema.safeParse(safeJson(text))
-  if (!body.success) return new LimpetwinchError('admin-refused', { status, code: 'unknown', message: `The server answered ${status} in another form. Check that --server is an instance's admin address.` })
+  if (!body.success) return new LimpetwinchError('admin-refused', { status, code: 'unknown', message: `The response of the server has status ${status} and an unexpected format. Check that --server is an instance's admin address.` })
   const { error } = body.data
   return new LimpetwinchError('admin-refused', { status, ...error }, { outcome: error.outcome })
 }
--- a/packages/cli/src/server/read-input.ts
+++ b/packages/cli/src/server/read-input.ts
@@ -1,15 +1,17 @@
-/** Texts that a command is given: a file, or standard input. */
+/** Reads the input of a command from a file or from standard input. */
 import { readFile } from 'node:fs/promises'
 import { text } from 'node:stream/consumers'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 
-/** Stands for standard input. */
+/** Argument that selects standard input. */
 export const STANDARD_INPUT = '-'
 
 /**
- * @param file - a path, or `-`
- * @returns the text, or why it cannot be read
+ * Reads a file or standard input.
+ *
+ * @param file - a path, or `-` for standard input
+ * @returns the text, or a message that says why it cannot be read
  */
 export async function readInput (file: string): Promise<Result<string, string>> {
   try {
--- a/packages/cli/src/server/settings-targets.ts
+++ b/packages/cli/src/server/settings-targets.ts
@@ -1,18 +1,18 @@
-/** Targets of the admin API for paths of settings. */
+/** Builds request targets of the admin API for settings paths. */
 
-/** @returns the path as the server wants it: one slash in front, none behind */
-export function settingsPath (written: string): string {
-  return `/${written.replace(/^\/+|\/+$/g, '')}`
+/** @returns the path in the server's format: one leading slash, no trailing slash */
+export function settingsPath (path: string): string {
+  return `/${path.replace(/^\/+|\/+$/g, '')}`
 }
 
-/** @returns the target of a path's settings */
+/** @returns the target of the settings of a path, with the query parameters that are defined */
 export function settingsTarget (path: string, query: Readonly<Record<string, string | undefined>> = {}): string {
-  const given = Object.entries(query).filter((entry): entry is [string, string] => entry[1] !== undefined)
-  const search = new URLSearchParams(given).toString()
+  const parameters = Object.entries(query).filter((entry): entry is [string, string] => entry[1] !== undefined)
+  const search = new URLSearchParams(parameters).toString()
   return `/admin/settings${encodedPath(path)}${search === '' ? '' : `?${search}`}`
 }
 
-/** @returns the target that checks a text for a path */
+/** @returns the target that validates a document for a path */
 export function validateTarget (path: string): string {
   return `/admin/validate${encodedPath(path)}`
 }
--- a/packages/cli/src/server/watch-stream.ts
+++ b/packages/cli/src/server/watch-stream.ts
@@ -1,4 +1,4 @@
-/** Changes of settings as an instance sends them, over as many connections as it takes. */
+/** Streams changes of settings from an instance and reconnects when the connection is lost. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { createParser } from 'eventsource-parser'
 import type { Dispatcher } from 'undici'
@@ -9,94 +9,96 @@
 
 const INITIAL_RECONNECT_DELAY_MILLISECONDS = 200
 const MAXIMUM_RECONNECT_DELAY_MILLISECONDS = 5_000
-/** The server writes more often than this; a connection that is silent for longer is dead. */
+/** The server writes more often than this; a connection on which nothing arrives for longer is dead. */
 const IDLE_TIMEOUT_MILLISECONDS = 30_000
 
-/** What a watch is about. */
+/** Options of a watch of settings. */
 export interface WatchOptions {
+  /** Path under which all settings are watched. */
   readonly prefix: string
+  /** Revision up to which the initial state of each path is skipped. */
   readonly after: number
-  /** Told of each lost connection. */
+  /** Called when a connection is lost or cannot be opened; without an error when an open connection was lost. */
   readonly onConnectionLost: (error: LimpetwinchError | undefined) => void
-  /** Whether an error ends the watch. */
+  /** Decides whether an error ends the watch. */
   readonly isFinal: (error: LimpetwinchError) => boolean
 }
 
 /**
- * Yields each path's state and then its changes, each revision once. Every connection starts with the whole state, so
- * that nothing is missed while there was none.
+ * Yields the state of each path and then its changes, each revision once. Every connection starts with the complete state, so
+ * that no change made between two connections is missed.
  *
- * @param client - the instance
+ * @param client - client of the instance
  * @param options - what to watch
- * @param signal - ends it
+ * @param signal - ends the watch
  */
 export async function * watchSettings (client: AdminClient, options: WatchOptions, signal: AbortSignal): AsyncIterable<SettingsSummary> {
   const known = new Map<string, number>()
-  let wait = INITIAL_RECONNECT_DELAY_MILLISECONDS
+  let reconnectDelay = INITIAL_RECONNECT_DELAY_MILLISECONDS
   while (!signal.aborted) {
     let error: LimpetwinchError | undefined
-    const silence = new IdleTimer(signal)
+    const idleTimer = new IdleTimer(signal)
     try {
-      const opened = await client.openStream(`/admin/watch?prefix=${encodeURIComponent(options.prefix)}&after=${options.after}`, silence.signal)
+      const opened = await client.openStream(`/admin/watch?prefix=${encodeURIComponent(options.prefix)}&after=${options.after}`, idleTimer.signal)
       if (opened.isErr()) error = opened.error
-      else wait = INITIAL_RECONNECT_DELAY_MILLISECONDS
-      for await (const summary of opened.isOk() ? summaries(opened.value, silence) : []) {
+      else reconnectDelay = INITIAL_RECONNECT_DELAY_MILLISECONDS
+      for await (const summary of opened.isOk() ? summaries(opened.value, idleTimer) : []) {
         if ((known.get(summary.path) ?? 0) >= summary.revision) continue
         known.set(summary.path, summary.revision)
         yield summary
       }
     } finally {
-      // Also when the reader has had enough: the timer would keep the process for another half minute.
-      silence.stop()
+      // Also needed when the consumer stops reading early: otherwise the timer would keep the process alive for another half minute.
+      idleTimer.stop()
     }
     if (signal.aborted) return
     if (error !== undefined && options.isFinal(error)) return
     options.onConnectionLost(error)
-    await sleep(wait * (0.5 + Math.random() / 2))
-    wait = Math.min(MAXIMUM_RECONNECT_DELAY_MILLISECONDS, wait * 2)
+    await sleep(reconnectDelay * (0.5 + Math.random() / 2))
+    reconnectDelay = Math.min(MAXIMUM_RECONNECT_DELAY_MILLISECONDS, reconnectDelay * 2)
   }
 }
 
-async function * summaries (response: Dispatcher.ResponseData, silence: IdleTimer): AsyncIterable<SettingsSummary> {
-  let waiting: SettingsSummary[] = []
+async function * summaries (response: Dispatcher.ResponseData, idleTimer: IdleTimer): AsyncIterable<SettingsSummary> {
+  let pending: SettingsSummary[] = []
   const parser = createParser({
     onEvent: ({ event, data }) => {
       const summary = summarySchema.safeParse(event === 'change' ? JSON.parse(data) : undefined)
-      if (summary.success) waiting.push(summary.data)
+      if (summary.success) pending.push(summary.data)
     }
   })
   const decoder = new TextDecoder()
   try {
     for await (const chunk of response.body) {
-      silence.heard()
+      idleTimer.restart()
       parser.feed(decoder.decode(chunk as Buffer, { stream: true }))
-      const ready = waiting
-      waiting = []
+      const ready = pending
+      pending = []
       yield * ready
     }
   } catch {
-    // The connection was lost; the caller opens another and is told so.
+    // The connection was lost; the calling loop reports it and opens another one.
   }
 }
 
-/** Ends a connection that says nothing: it may be dead without either end having noticed. */
+/** Aborts a connection on which nothing arrives: it may be dead without either end having noticed. */
 class IdleTimer {
   readonly signal: AbortSignal
-  private readonly ending = new AbortController()
+  private readonly idle = new AbortController()
   private timer: NodeJS.Timeout | undefined
 
   constructor (outer: AbortSignal) {
-    this.signal = AbortSignal.any([outer, this.ending.signal])
-    this.heard()
+    this.signal = AbortSignal.any([outer, this.idle.signal])
+    this.restart()
   }
 
-  heard (): void {
+  restart (): void {
     clearTimeout(this.timer)
-    this.timer = setTimeout(() => { this.ending.abort() }, IDLE_TIMEOUT_MILLISECONDS)
+    this.timer = setTimeout(() => { this.idle.abort() }, IDLE_TIMEOUT_MILLISECONDS)
   }
 
   stop (): void {
     clearTimeout(this.timer)
-    this.ending.abort()
+    this.idle.abort()
   }
 }
--- a/packages/cli/src/show/status-schema.ts
+++ b/packages/cli/src/show/status-schema.ts
@@ -1,4 +1,4 @@
-/** The status as an instance tells it. Fields of a newer release are passed over, missing ones are shown as unknown. */
+/** Schemas of an instance's status. Fields of a newer release are ignored; missing fields are shown as unknown. */
 import { z } from 'zod'
 
 const slotSchema = z.object({ name: z.string().optional(), state: z.string(), pins: z.number(), waiting: z.number().optional() })
@@ -26,7 +26,7 @@
 
 const countSchema = z.object({ sent: z.number(), received: z.number(), bytesSent: z.number(), bytesReceived: z.number() })
 
-/** The answer of `/admin/status`. */
+/** Schema of the response of `/admin/status`. */
 export const statusSchema = z.object({
   instance: z.object({ instance: z.string(), dataCentre: z.string(), address: z.string() }),
   ready: z.boolean(),
@@ -43,7 +43,7 @@
 
 const timesSchema = z.object({ p50: z.number(), p99: z.number() })
 
-/** The answer of `/admin/histograms`. */
+/** Schema of the response of `/admin/histograms`. */
 export const histogramsSchema = z.object({
   series: z.array(z.object({
     team: z.string(),
@@ -53,7 +53,7 @@
   }))
 })
 
-/** An instance's status. */
+/** Status of an instance. */
 export type InstanceStatus = z.infer<typeof statusSchema>
-/** An instance's figures by team and class. */
+/** Outcome counts and duration percentiles of an instance, by team and class. */
 export type TeamHistograms = z.infer<typeof histogramsSchema>['series']
--- a/packages/cli/src/show/status-tables.ts
+++ b/packages/cli/src/show/status-tables.ts
@@ -1,19 +1,19 @@
-/** The status of an instance, and of the deployment as the instance sees it, for people. */
+/** Renders the status of an instance, and of the deployment as the instance sees it, as text tables. */
 import type { InstanceStatus, TeamHistograms } from './status-schema.js'
 import { table } from './table.js'
 
 type Endpoint = InstanceStatus['endpoints'][number]
 
-const SHORT_ID = 8
+const SHORT_ID_LENGTH = 8
 
-/** @returns all tables */
-export function statusText (status: InstanceStatus, figures: TeamHistograms): string {
+/** @returns the status as text, with one table for each of its lists */
+export function statusText (status: InstanceStatus, histograms: TeamHistograms): string {
   const parts = [
     headline(status),
     section('Instances', instanceTable(status)),
     section('Endpoints', endpointTable(status)),
     section('Loaded adapters', adapterTable(status)),
-    section('Teams (requests that this instance took)', teamTable(figures)),
+    section('Teams (requests that this instance took)', teamTable(histograms)),
     section('Frames between instances', frameTable(status))
   ]
   return parts.filter((part) => part !== '').join('\n\n')
@@ -42,8 +42,8 @@
     endpoint.endpoint,
     endpoint.dataCentre,
     endpoint.baseModel,
-    endpoint.leaving || leavingEndpoints.includes(endpoint.endpoint) ? 'leaving' : endpoint.healthy ? 'healthy' : 'not heard',
-    endpoint.owner?.slice(-SHORT_ID) ?? 'none',
+    endpoint.leaving || leavingEndpoints.includes(endpoint.endpoint) ? 'leaving' : endpoint.healthy ? 'healthy' : 'unreachable',
+    endpoint.owner?.slice(-SHORT_ID_LENGTH) ?? 'none',
     endpoint.token?.toString() ?? '-',
     endpoint.queued.toString(),
     endpoint.running.toString(),
@@ -53,14 +53,14 @@
   ]))
 }
 
-/** Only its owner knows whose requests run on an endpoint. */
+/** Only the owner of an endpoint knows which teams' requests run on it. */
 function byTeam ({ owned }: Endpoint): string {
   if (owned === undefined) return '?'
   const teams = Object.entries(owned.runningByTeam).map(([team, running]) => `${team} ${running}`)
   return teams.length === 0 ? '-' : teams.join(', ')
 }
 
-/** Only its owner knows which requests use an adapter; elsewhere that is left open. */
+/** Only the owner of an endpoint knows how many requests use or wait for an adapter; other instances show `?`. */
 function adapterTable ({ endpoints }: InstanceStatus): string {
   const rows = endpoints.flatMap((endpoint) => endpoint.owned === undefined
     ? endpoint.adapters.map((adapter) => [adapter, endpoint.endpoint, 'loaded', '?', '?'])
@@ -74,9 +74,9 @@
     .map((slot) => [slot.name ?? '', endpoint.endpoint, slot.state, slot.pins.toString(), (slot.waiting ?? 0).toString()])
 }
 
-function teamTable (figures: TeamHistograms): string {
+function teamTable (histograms: TeamHistograms): string {
   const time = (series: TeamHistograms[number], measure: string, at: 'p50' | 'p99'): string => series.milliseconds[measure]?.[at].toFixed(1) ?? '-'
-  return table(['TEAM', 'CLASS', 'ANSWERED', 'NOT RUN', 'UNKNOWN', 'LOAD STALL P99', 'QUEUE WAIT P99', 'FIRST TOKEN P50', 'FIRST TOKEN P99'], figures.map((series) => [
+  return table(['TEAM', 'CLASS', 'ANSWERED', 'NOT RUN', 'UNKNOWN', 'LOAD STALL P99', 'QUEUE WAIT P99', 'FIRST TOKEN P50', 'FIRST TOKEN P99'], histograms.map((series) => [
     series.team,
     series.class,
     ...['answered', 'not_run', 'unknown'].map((outcome) => (series.outcomes[outcome] ?? 0).toString()),
--- a/packages/cli/src/show/table.ts
+++ b/packages/cli/src/show/table.ts
@@ -1,9 +1,11 @@
-/** Tables for people. */
+/** Formats text tables. */
 
 /**
+ * Formats a table with columns padded to equal width.
+ *
  * @param header - the names of the columns
- * @param rows - their values
- * @returns lines with columns side by side
+ * @param rows - the values of each row
+ * @returns the lines of the table
  */
 export function table (header: readonly string[], rows: readonly (readonly string[])[]): string {
   const lines = [header, ...rows]
--- a/packages/cli/test/admin-server.ts
+++ b/packages/cli/test/admin-server.ts
@@ -1,4 +1,4 @@
-/** One instance's admin API for tests of the command line: settings for real, status and explanations as fixtures. */
+/** Admin API of one instance for tests of the command line: the settings API is the real one; status and explanations are fixtures. */
 import type { Server } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import { serve } from '@hono/node-server'
@@ -11,22 +11,22 @@
 import { MemoryObjectStore } from '@limpetwinch/stand-ins'
 import { EXPLANATION, HISTOGRAMS, STATUS } from './fixtures.js'
 
-/** The running server. */
+/** A running admin server. */
 export interface TestAdminServer {
   readonly url: string
   readonly store: MemoryObjectStore
   readonly follower: SettingsFollower
-  /** Waits for a watch and cuts its connection. */
+  /** Waits until a watch is open and closes the connections of all watches. */
   readonly cutWatches: () => Promise<void>
   readonly stop: () => Promise<void>
 }
 
-/** Starts it on a free port. */
+/** Starts the admin server on a free port. */
 export async function startAdminServer (administratorKeySha256: string): Promise<TestAdminServer> {
   const store = new MemoryObjectStore()
   const logger = silentLogger()
   const clock = new SystemClock()
-  const follower = new SettingsFollower({ store, network: new LoneNetwork(), membership: new LoneMembership(), logger, clock, watchMilliseconds: 200 })
+  const follower = new SettingsFollower({ store, network: new NetworkWithoutPeers(), membership: new MembershipWithoutPeers(), logger, clock, watchMilliseconds: 200 })
   const history = new SettingsHistory(store)
   const writer = new SettingsWriter({ store, follower, history, logger, clock })
   const app = settingsRoutes({ follower, writer, history, administratorKeySha256, bodySeconds: 5 })
@@ -64,7 +64,7 @@
 
 const SELF = { instance: 'one' as InstanceId, dataCentre: 'north' as DataCentreId, address: '127.0.0.1:1' }
 
-class LoneNetwork extends PeerNetwork {
+class NetworkWithoutPeers extends PeerNetwork {
   override readonly self = SELF
 
   override notify (): void {}
@@ -86,7 +86,7 @@
   }
 }
 
-class LoneMembership extends Membership {
+class MembershipWithoutPeers extends Membership {
   override members (): readonly Member[] {
     return [{ ...SELF, state: 'alive', storeReachable: true }]
   }
--- a/packages/cli/test/command-line.test.ts
+++ b/packages/cli/test/command-line.test.ts
@@ -1,3 +1,5 @@
+// Runs the built command line against an admin server. Guards against lost changes, exit codes and messages that operators rely on, and
+// output that scripts could no longer read.
 import { spawn } from 'node:child_process'
 import { createHash } from 'node:crypto'
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
@@ -30,13 +32,13 @@
     await rm(folder, { recursive: true })
   })
 
-  /** Runs the built command to its end. */
-  async function run (...words: string[]): Promise<{ code: number | null, output: string, errors: string }> {
-    return await runWith({ LIMPETWINCH_SERVER: server.url, LIMPETWINCH_KEY: KEY }, words)
+  /** Runs the built command line until it exits. */
+  async function run (...commandArguments: string[]): Promise<{ code: number | null, output: string, errors: string }> {
+    return await runWith({ LIMPETWINCH_SERVER: server.url, LIMPETWINCH_KEY: KEY }, commandArguments)
   }
 
-  async function runWith (environment: Record<string, string>, words: readonly string[]): Promise<{ code: number | null, output: string, errors: string }> {
-    const child = spawn(process.execPath, [BINARY, ...words], { env: { PATH: process.env['PATH'], COLUMNS: '400', ...environment }, stdio: ['ignore', 'pipe', 'pipe'] })
+  async function runWith (environment: Record<string, string>, commandArguments: readonly string[]): Promise<{ code: number | null, output: string, errors: string }> {
+    const child = spawn(process.execPath, [BINARY, ...commandArguments], { env: { PATH: process.env['PATH'], COLUMNS: '400', ...environment }, stdio: ['ignore', 'pipe', 'pipe'] })
     let output = ''
     let errors = ''
     child.stdout.on('data', (part) => { output += String(part) })
@@ -60,9 +62,9 @@
     expect((await run('settings', 'get', '/')).output).toContain('3 (deleted)')
   })
 
-  it('overwrites nothing that the operator has not seen', async () => {
-    // One operator reads a path, another changes it, and the first puts the edited file. Without a revision the put would
-    // silently undo the second one's change.
+  it('does not overwrite a revision that the operator has not seen', async () => {
+    // One operator reads a path, a second operator changes it, and the first one puts an edited file. If a put without the latest
+    // revision were accepted, it would silently undo the second operator's change.
     const file = join(folder, 'policy.jsonc')
     await writeFile(file, '{ "loadsPerSecond": 3 }')
     await run('settings', 'put', '/policy', file)
@@ -74,7 +76,7 @@
     expect(server.follower.revisions().get('/policy' as never)).toBe(2)
   })
 
-  it('says file, line and column of what is wrong', async () => {
+  it('reports file, line and column of each problem', async () => {
     const file = join(folder, 'wrong.jsonc')
     await writeFile(file, '{\n  "wieghts": {}\n}\n')
     const refused = await run('settings', 'put', '/shares', file)
@@ -82,16 +84,16 @@
     expect(await run('settings', 'validate', '/shares', file)).toMatchObject({ code: 1, errors: expect.stringContaining(`${file}:2:3`) })
   })
 
-  it('ends with a code for each cause', async () => {
+  it('exits with a separate code for each cause', async () => {
     const environment = { LIMPETWINCH_SERVER: server.url, LIMPETWINCH_KEY: KEY }
     expect((await runWith({}, ['settings', 'get', '/shares'])).code).toBe(2)
     expect((await runWith({ ...environment, LIMPETWINCH_KEY: 'wrong' }, ['settings', 'get', '/shares', '--json'])).code).toBe(4)
     expect((await runWith(environment, ['settings', 'get', '/teams/../shares', '--json'])).code).toBe(5)
     expect((await runWith({ ...environment, LIMPETWINCH_SERVER: 'http://127.0.0.1:1' }, ['settings', 'get', '/shares'])).code).toBe(6)
     server.store.faults.outage = true
-    const out = await runWith(environment, ['settings', 'patch', '/shares', '--set', 'weights/history=2'])
+    const duringOutage = await runWith(environment, ['settings', 'patch', '/shares', '--set', 'weights/history=2'])
     server.store.faults.outage = false
-    expect(out.code).toBe(6)
+    expect(duringOutage.code).toBe(6)
   })
 
   it('shows status and explanations as tables and as JSON', async () => {
@@ -101,7 +103,7 @@
     expect(await run('explain', 'request-2')).toMatchObject({ code: 5, errors: expect.stringContaining('remembers no such request') })
   })
 
-  it('watches changes over a lost connection, each once', async () => {
+  it('watches changes across a lost connection and prints each one once', async () => {
     const watching = run('settings', 'watch', '/teams/watched', '--json', '--count', '2')
     const file = join(folder, 'watched.jsonc')
     await writeFile(file, TEAM)
--- a/packages/cli/test/fixtures.ts
+++ b/packages/cli/test/fixtures.ts
@@ -1,4 +1,4 @@
-/** Answers in the form of the admin API. */
+/** Sample responses of the admin API. */
 
 export const STATUS = {
   instance: { instance: '01a2-one', dataCentre: 'north', address: '127.0.0.1:7000' },
--- a/packages/cli/test/logs/request-story.test.ts
+++ b/packages/cli/test/logs/request-timeline.test.ts
@@ -1,3 +1,5 @@
+// An operator looks for the cause of one failed request in the log lines of several instances. Guards against a timeline that omits the
+// lines that show the cause, or buries them under lines on other requests.
 import { describe, expect, it } from 'vitest'
 import { requestTimeline } from '../../src/logs/request-timeline.js'
 
@@ -24,13 +26,13 @@
   line(90, 'relay', 'A request was refused.', { request: 'last', error: 'request_quarantined', fingerprint: 'guilty' })
 ]
 
-describe('the story of a request', () => {
-  it('holds its own lines, and those on the endpoints and adapters that it met shortly before, by time', () => {
+describe('the timeline of a request', () => {
+  it('contains its own lines and recent lines on the endpoints and adapters that it used, in the order of time', () => {
     expect(requestTimeline(LINES, 'r1').map(({ part, what, own, fields }) => ({ part, what, own, fields }))).toMatchSnapshot()
   })
 
-  // Guards against a stream that broke off with nothing to show which other request ended its engine.
-  it('of one that was aboard a crash names what was aboard with it and the verdict, whenever it fell', () => {
+  // Guards against a truncated stream without any line that shows which other request crashed its engine.
+  it('names the requests in flight at a crash of its endpoint and the quarantine decision, even a later one', () => {
     expect(requestTimeline(CRASH_LINES, 'near').map(({ what, own, fields }) => [own, what, fields.fingerprint])).toEqual([
       [false, 'A request was aboard a crashed endpoint.', 'guilty'],
       [true, 'A request was aboard a crashed endpoint.', 'near'],
@@ -38,8 +40,8 @@
     ])
   })
 
-  // Guards against a refusal that an operator cannot trace to the crashes under the request's earlier ids.
-  it('of one that is held back names its earlier arrivals', () => {
+  // Guards against a refusal that an operator cannot trace to crashes during which the request was in flight under earlier ids.
+  it('names the earlier arrivals of a quarantined request', () => {
     expect(requestTimeline(CRASH_LINES, 'last').map(({ what, own, fields }) => [own, what, fields.endpoint])).toEqual([
       [false, 'A request was aboard a crashed endpoint.', 'e3'],
       [false, 'A request crashes endpoints and is held back.', undefined],
--- a/packages/cli/test/report/run-report.test.ts
+++ b/packages/cli/test/report/run-report.test.ts
@@ -1,5 +1,5 @@
-// Operators give the lines of a bad minute: a crowd asks for adapters, some wait for a slot, one comes back right after it was
-// evicted, an engine orders nothing for seconds, and callers are refused or cut off. The report must name each of these.
+// The log lines are those of an overload: many requests need adapters, some wait for a slot, one adapter is loaded again right after its
+// eviction, an engine receives no order for seconds, and requests are refused or truncated. The report must show each of these.
 import { describe, expect, it } from 'vitest'
 import { parseLogLine } from '../../src/logs/log-line.js'
 import { reportPage } from '../../src/report/report-page.js'
@@ -31,15 +31,15 @@
   '{"half a line'
 ]
 
-const asking = (second: number, request: string, adapter: string, endpoint: string): string =>
+const loadRequest = (second: number, request: string, adapter: string, endpoint: string): string =>
   line(second, 'A load was asked for.', { request, endpoint, adapter: `base/${adapter}`, waiting: true })
 
 const refusal = (second: number, request: string): string =>
   line(second, 'A request was refused.', { request, route: 'draft', status: 503, error: 'adapter_not_ready', reason: 'no engine took it', milliseconds: 900 })
 
-/** Each adapter is asked for by four requests, two seconds and more apart. */
-const again = (adapter: string, apart: number): string[] => [0, 1, 2, 3].flatMap((time) => [
-  asking(time * apart, `${adapter}-${time}`, adapter, time === 0 ? 'e2' : 'e1'), asking(time * apart + 0.3, `${adapter}-${time}`, adapter, 'e1'), refusal(time * apart + 0.9, `${adapter}-${time}`)
+/** Four requests for the adapter, `interval` seconds apart; all of them are refused. */
+const repeatedRequests = (adapter: string, interval: number): string[] => [0, 1, 2, 3].flatMap((time) => [
+  loadRequest(time * interval, `${adapter}-${time}`, adapter, time === 0 ? 'e2' : 'e1'), loadRequest(time * interval + 0.3, `${adapter}-${time}`, adapter, 'e1'), refusal(time * interval + 0.9, `${adapter}-${time}`)
 ])
 
 function reportOf (lines: readonly string[]): RunReport {
@@ -52,50 +52,50 @@
 }
 
 describe('the report of a run', () => {
-  it('tells what became of requests, and when', () => {
+  it('counts requests by how and when they ended', () => {
     const { lines, seconds, routes, losses, bySecond } = reportOf(LINES)
     expect({ lines, seconds, routes: routes.map(({ route, endings }) => ({ route, endings })), losses, bySecond }).toMatchSnapshot()
   })
 
-  it('counts a load once, with what held it up, what came back soon and which engine ordered none', () => {
+  it('counts each load once, with the reason for its delay, early reloads and engines without orders', () => {
     expect(reportOf(LINES).loads).toMatchSnapshot()
   })
 
-  it('names an engine that is without loads to the end', () => {
+  it('names an engine that receives no order until the last line', () => {
     expect(reportOf(LINES.slice(0, 12)).loads.idleEngines).toEqual([])
     expect(reportOf([...LINES.slice(0, 12), line(9, 'An endpoint is gone.', { endpoint: 'e2' })]).loads.idleEngines).toEqual([{ endpoint: 'e1', milliseconds: 6_300 }])
   })
 
-  it('counts an engine that has left as without loads until then', () => {
+  it('counts an engine without orders only until it leaves', () => {
     const left = [...LINES.slice(0, 12), line(4.7, 'An endpoint is leaving.', { endpoint: 'e1' }), line(9, 'An endpoint is gone.', { endpoint: 'e1' })]
     expect(reportOf(left).loads.idleEngines).toEqual([{ endpoint: 'e1', milliseconds: 2_000 }])
   })
 
-  // Callers of some adapters are refused at each request while the others are served: by routes and reasons that is a few refusals
-  // more among many, so the report has to name the adapters.
-  it('names adapters that are asked for again and again and never served, with the engines asked and what ended their requests', () => {
-    const served = [asking(1, 'served', 'a7', 'e1'), line(1.4, 'A request was answered.', { request: 'served', adapter: 'base/a7', route: 'draft', status: 200, firstEvent: 300 })]
-    const { adapters } = reportOf([...again('a7', 3), ...served, ...again('a8', 3), ...again('a9', 2)])
+  // All requests for some adapters are refused while other adapters are served. Counted by route and reason, these are just some more
+  // refusals among many, so the report has to name the adapters.
+  it('names adapters that are requested repeatedly and never served, with the engines asked and the ends of their requests', () => {
+    const served = [loadRequest(1, 'served', 'a7', 'e1'), line(1.4, 'A request was answered.', { request: 'served', adapter: 'base/a7', route: 'draft', status: 200, firstEvent: 300 })]
+    const { adapters } = reportOf([...repeatedRequests('a7', 3), ...served, ...repeatedRequests('a8', 3), ...repeatedRequests('a9', 2)])
     expect(adapters).toMatchSnapshot()
   })
 
-  it('counts a request for an adapter by its last line alone, and an error of the engine as not served', () => {
+  it('counts a request that has only its last line, and an error response of the engine as not served', () => {
     const failed = (second: number, request: string): string => line(second, 'A request was answered.', { request, adapter: 'base/a1', route: 'draft', status: 500 })
     const { adapters } = reportOf([failed(0, 'r1'), failed(3, 'r2'), failed(6, 'r3'), failed(9, 'r4')])
     expect(adapters.worst).toMatchObject([{ adapter: 'base/a1', requests: 4, ends: [{ name: 'answered: status 500', count: 4 }] }])
   })
 
-  it('names no more than a bounded number of adapters, the one with most requests first, and counts all', () => {
-    const many = Array.from({ length: 150 }, (_, index) => again(`a${index}`, 3)).flat()
-    const { adapters } = reportOf([...many, asking(9.5, 'one-more', 'a149', 'e1')])
+  it('names a limited number of adapters, the one with most requests first, and counts all', () => {
+    const many = Array.from({ length: 150 }, (_, index) => repeatedRequests(`a${index}`, 3)).flat()
+    const { adapters } = reportOf([...many, loadRequest(9.5, 'one-more', 'a149', 'e1')])
     expect([adapters.neverServed, adapters.worst.length, adapters.worst[0]?.adapter]).toEqual([150, 100, 'base/a149'])
   })
 
-  it('is a text for people', () => {
+  it('is rendered as text', () => {
     expect(reportText(reportOf(LINES))).toMatchSnapshot()
   })
 
-  it('is a page with two plots, in which reasons are text and nothing else', () => {
+  it('is rendered as a page with two plots and escaped reasons', () => {
     const page = reportPage(reportOf(LINES))
     expect([page.match(/<svg/g)?.length, page.includes('no engine took &lt;it&gt;'), page.includes('no engine took <it>')]).toEqual([2, true, false])
   })
