--- a/scripts/bundled/no-diagnostics.cjs
+++ b/scripts/bundled/no-diagnostics.cjs
@@ -1,2 +1,2 @@
-// The logging library's own debugging output, which loads colours and detects terminals: nobody reads it from a service.
+// Replaces the debugging output of the logging library, which loads colours and detects terminals; a service does not need it.
 module.exports = () => () => false
--- a/scripts/bundled/no-pushgateway.cjs
+++ b/scripts/bundled/no-pushgateway.cjs
@@ -1,2 +1,2 @@
-// Metrics are read from this process and never pushed; the class that would push them loads the runtime's TLS.
+// Replaces the class that pushes metrics and loads the runtime's TLS module: metrics are only read from this process, never pushed.
 module.exports = class Pushgateway {}
--- a/scripts/bundled/undici.cjs
+++ b/scripts/bundled/undici.cjs
@@ -1,5 +1,5 @@
-// The parts of undici that the ingress binary uses, with their names. The package's own main file also runs fetch, WebSocket,
-// caches and mocks, and callers would wait for these at each start.
+// Exports the parts of undici that the ingress program uses, under their own names. The package's main file also loads fetch, WebSocket,
+// caches and mocks, which would delay each start.
 const Agent = require('undici/lib/dispatcher/agent')
 const Client = require('undici/lib/dispatcher/client')
 const Dispatcher = require('undici/lib/dispatcher/dispatcher')
@@ -9,9 +9,11 @@
 Object.assign(Dispatcher.prototype, api)
 
 /**
- * @param {string} url - what is asked
- * @param {object} options - those of the package's function of this name, the dispatcher among them
- * @returns {Promise<object>} the answer
+ * Sends a request through the given dispatcher.
+ *
+ * @param {string} url - URL to request
+ * @param {object} options - options of the package's function of the same name; `dispatcher` is required
+ * @returns {Promise<object>} the response
  */
 function request (url, { dispatcher, ...options }) {
   const { origin, pathname, search } = new URL(url)
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,4 +1,4 @@
-// Brings up a deployment of stand-ins: the product's own by default, that of the users' platform with --platform.
+// Starts a deployment of stand-ins: the product's own by default, those of the users' platform with --platform.
 import './prepare-workspace.mjs'
 
 const platform = process.argv.includes('--platform')
--- a/vitest.setup.ts
+++ b/vitest.setup.ts
@@ -1,4 +1,4 @@
-/** A leak of listeners shows only as a warning; here it fails the run. */
+/** Node.js reports a leak of event listeners only as a warning; here it fails the test run. */
 process.on('warning', (warning) => {
   if (warning.name === 'MaxListenersExceededWarning') throw warning
 })
