--- a/packages/ingress/src/adapters/adapter-locations.ts
+++ b/packages/ingress/src/adapters/adapter-locations.ts
@@ -8,7 +8,8 @@
 interface LastNotice {
   /**
    * Process that sent the notice. A restarted host keeps its fencing token, but its new process numbers its notices from the
-   * beginning. Compared by sequence alone, they would be rejected as old, and callers would wait for adapters that are already loaded.
+   * beginning. If only sequence numbers were compared, the notices of the new process would be rejected as old, and callers would
+   * wait for adapters that are already loaded.
    */
   readonly sender: InstanceId
   readonly born: number
@@ -34,7 +35,7 @@
   private readonly recentlyEvicted = new Map<EndpointId, Map<AdapterKey, number>>()
   private readonly lastNotices = new Map<EndpointId, LastNotice>()
   private readonly loadQueues = new Map<EndpointId, ReportedQueue>()
-  /** Highest number of adapters that an engine was seen to hold; it stands for the engine's slots, which bound what the engine caches. */
+  /** Highest number of adapters that an engine was seen to hold: an estimate of its slots, from which the size of its cache is estimated. */
   private readonly mostHeld = new Map<EndpointId, number>()
   private readonly waiting = new Map<AdapterKey, Set<() => void>>()
 
@@ -54,7 +55,7 @@
   }
 
   /**
-   * Applies a notice of an engine's load owner; one of an earlier incarnation, token or sequence number is ignored.
+   * Applies a notice of an engine's load owner; a notice with an earlier incarnation, token or sequence number is ignored.
    *
    * @param sender - process that sent the notice
    * @returns adapters that the engine no longer offers
@@ -129,7 +130,7 @@
   /**
    * Replaces the set of adapters that an engine holds.
    *
-   * @returns adapters that it no longer holds
+   * @returns adapters that the engine no longer holds
    */
   private replace (endpoint: EndpointId, held: readonly HeldAdapter[]): readonly AdapterKey[] {
     const before = this.byEndpoint.get(endpoint) ?? new Map<AdapterKey, number>()
--- a/packages/ingress/src/adapters/endpoint-loader.ts
+++ b/packages/ingress/src/adapters/endpoint-loader.ts
@@ -26,8 +26,12 @@
 const CONFIRM_MILLISECONDS = 40
 /** A load that is not confirmed within this time is taken to be lost. */
 const LOST_LOAD_MILLISECONDS = 3_000
+/** Longest pause of the loader between two checks of its queue and of the engine, when nothing wakes it earlier. */
 const IDLE_CHECK_MILLISECONDS = 500
-/** Delays between report attempts on an engine that does not report. They grow; an engine that restarts gets a new loader. */
+/**
+ * Delays, in milliseconds, between attempts to read the report of an engine that sends none. The delays grow with each attempt. An
+ * engine that restarts gets a new loader, which begins with the first delay again.
+ */
 const REPORT_RETRY_DELAYS = { first: 500, largest: 4_000 }
 /** Interval between the checks whether a whole model has been loaded. */
 const MODEL_CHECK_MILLISECONDS = 200
@@ -68,10 +72,10 @@
   }
 
   /**
-   * Adds a load to the queue, or renews one that is pending.
+   * Adds a load to the queue, or repeats the request for a pending load, which would otherwise expire.
    *
    * @param version - least version to load
-   * @param waitingRequest - the waiting request; undefined for a further copy that no request waits for
+   * @param waitingRequest - the request that waits for the adapter; undefined when none does, as for a further copy or a newer version
    */
   requestLoad (key: AdapterKey, version: number, waitingRequest: WaitingRequestFacts | undefined): void {
     const now = this.dependencies.clock.now()
@@ -120,8 +124,9 @@
   }
 
   /**
-   * Renews pending replacements. A replacement waits for requests that run on the old version, for longer than a pending load
-   * without a waiting request lasts. If it were dropped, the adapter would stay hidden and its slot would be lost for good.
+   * Requests the pending replacements of old versions again. A replacement starts only after the requests on the old version have
+   * ended, and a pending load without a waiting request would expire before that. The adapter would then stay hidden, and its slot
+   * would be lost for good.
    */
   private resumeReplacements (): void {
     for (const key of this.hidden.keys('replacement')) {
@@ -203,14 +208,18 @@
     return false
   }
 
-  /** Removes pending loads of adapters that the engine already holds. An adapter that was hidden for eviction and is requested again stays. */
+  /**
+   * Removes pending loads of adapters that the engine already holds in the requested version. For example, an adapter was
+   * hidden to be evicted and is then requested again: the adapter is offered again and not evicted.
+   */
   private removeFulfilledLoads (now: number): void {
     for (const key of this.queue.keys()) {
       const pendingLoad = this.queue.find(key)
       if (pendingLoad === undefined || !this.reservations.holds(key, pendingLoad.version) || this.reservations.unloading.has(key)) continue
       if (this.hidden.reasonOf(key) === 'replacement') continue
       this.hidden.show(key)
-      // No pending load protects the adapter from here on. Without the time of this request it would be evicted first, in the same step.
+      // The pending load protected the adapter from eviction and is removed here. Without the time of this load request, the adapter
+      // would be the first to be evicted, in the same step.
       this.reservations.markRequested(key, now)
       this.queue.met(key)
       this.publisher.publish()
@@ -218,9 +227,9 @@
   }
 
   /**
-   * Hides held adapters that a newer version is pending for. The engine refuses requests for an adapter while it replaces it,
-   * so peers are notified first. The order also waits until no request runs on the old version: it would block the adapter
-   * until the last of those requests has ended, and a copy on another engine serves new requests sooner.
+   * Hides held adapters that a newer version is pending for. The engine refuses requests for an adapter while it loads the newer
+   * version, so peers are notified first. The load order also waits until no request runs on the old version. Sent earlier, the
+   * order would block the adapter until the last of those requests has ended; a copy on another engine serves new requests sooner.
    */
   private hideOldVersions (now: number): void {
     for (const key of this.queue.keys()) {
@@ -275,7 +284,10 @@
     return false
   }
 
-  /** Repeats the orders of loads that should be complete by now: an engine that holds the adapter answers so at once, while its report lags behind. */
+  /**
+   * Repeats the orders of loads that should be complete by now. An engine that holds the adapter answers `holds` at once, while its
+   * report lags behind.
+   */
   private async confirmArrivals (signal: AbortSignal): Promise<void> {
     const now = this.dependencies.clock.now()
     for (const [key, inFlight] of [...this.reservations.inFlight]) {
--- a/packages/ingress/src/adapters/engine-control.ts
+++ b/packages/ingress/src/adapters/engine-control.ts
@@ -1,4 +1,7 @@
-/** Interface for sending orders to engines and reading their reports. */
+/**
+ * Interface to the engines, implemented for each platform: the types of orders, answers and reports, and one call for each
+ * order or report. `EngineOrders` and `OrderDispatcher` use this interface.
+ */
 import type { FencingToken, EndpointId, LimpetwinchError } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
 import type { HeldAdapter, ModelName } from '../routes/configuration.js'
@@ -19,7 +22,7 @@
   readonly model: ModelName
   /** Undefined for the whole model. */
   readonly adapter: string | undefined
-  /** Undefined for the latest. */
+  /** Version of the adapter; undefined for the latest. */
   readonly version: number | undefined
   /** The engine carries out the order only if it has accepted exactly this many orders. */
   readonly ifSequence: number
--- a/packages/ingress/src/adapters/engine-finder.ts
+++ b/packages/ingress/src/adapters/engine-finder.ts
@@ -6,7 +6,10 @@
 import type { EngineChoice, EngineQuery, EngineRouter, LoadChoice } from '../routing/engine-router.js'
 import type { AdapterLocations } from './adapter-locations.js'
 
-/** Interval between load requests for one search: a load owner drops requests that are not renewed, and another engine may have capacity by now. */
+/**
+ * Interval between the load requests of one search. A load owner drops a load request that is not repeated, and by then another
+ * engine may be the better choice.
+ */
 const LOAD_REQUEST_INTERVAL_MILLISECONDS = 300
 /** How long an engine whose load request was refused is passed over. A refusal means that the load owner has changed; the update arrives within this time. */
 const REFUSAL_VALID_MILLISECONDS = 500
@@ -15,8 +18,8 @@
 
 /**
  * Bounds of the retry delay sent to a refused caller. A request that is retried before the load queue is shorter is refused
- * again, and no slot or load becomes available much sooner than the shortest delay. Callers with a few seconds left would not
- * retry after more than the longest.
+ * again, and no slot is freed and no load completes much sooner than the shortest delay. A caller whose deadline is a few
+ * seconds away would not retry after more than the longest delay.
  */
 const SHORTEST_RETRY_AFTER_MILLISECONDS = 400
 const LONGEST_RETRY_AFTER_MILLISECONDS = 1_500
@@ -110,7 +113,10 @@
     return undefined
   }
 
-  /** Requests a load from the best engine and waits until the adapter arrives or the request is due for renewal. */
+  /**
+   * Asks the load owner of the best engine to load the adapter. Then waits until an engine holds the adapter, or until the load
+   * request must be repeated, so that the load owner does not drop it.
+   */
   private async requestLoadAndWait (search: EngineSearch, queuePosition: QueuePosition): Promise<void> {
     const { clock, router, locations } = this.dependencies
     const { facts, until, onTimeUntil, signal } = search
@@ -130,7 +136,7 @@
     await locations.waitForArrival(adapter.key, Math.max(1, Math.min(LOAD_REQUEST_INTERVAL_MILLISECONDS, until - now)), signal)
   }
 
-  /** @returns engines whose load request was recently refused because the instance that received it no longer owns their loads */
+  /** @returns engines for which a load request was recently refused: the instance that received the request no longer owns the engine's loads */
   private recentlyRefusing (key: string, now: number): Set<EndpointId> {
     const engines = new Set<EndpointId>()
     for (const [engineAndKey, refusedAt] of this.refusals) {
--- a/packages/ingress/src/adapters/engine-orders.ts
+++ b/packages/ingress/src/adapters/engine-orders.ts
@@ -1,11 +1,14 @@
-/** Sends orders to one engine under one fencing token and reads its reports; logs each order and each failed report. */
+/**
+ * Sends single orders to one engine under one fencing token through `EngineControl`, and reads the engine's reports. Logs each order
+ * and each failed report; `OrderDispatcher` acts on the answers.
+ */
 import type { Clock, FencingToken, LimpetwinchError, Logger } from '@limpetwinch/core'
 import type { PendingLoad } from '@limpetwinch/decisions'
 import type { Result } from 'neverthrow'
 import type { Endpoint } from '../routes/configuration.js'
 import type { EngineControl, EngineOrder, EngineReport, OrderAnswer } from './engine-control.js'
 
-/** Dependencies of the orders to engines. */
+/** What is needed to send orders to engines and to log them. */
 export interface OrderDependencies {
   readonly control: EngineControl
   readonly clock: Clock
@@ -14,7 +17,7 @@
   readonly holder: string
 }
 
-/** Orders to one engine, and its reports. */
+/** Sends orders to one engine and reads its reports. */
 export class EngineOrders {
   private readonly endpoint: Endpoint
   private readonly token: FencingToken
@@ -27,9 +30,9 @@
   }
 
   /**
-   * Sends an order. An order without an answer may have been carried out, or may still be. The next order has the same
-   * condition: if the engine accepts it, the unanswered one can no longer take effect; if the engine answers with a conflict,
-   * the caller finds out what became of the unanswered one.
+   * Sends an order. An order without an answer may have been carried out, or may still be. The next order carries the same number
+   * of accepted orders as its condition: if the engine accepts the next order, the unanswered one can no longer take effect; if the
+   * engine answers with a conflict, the caller finds out what became of the unanswered one.
    *
    * @param pendingLoad - load that the order is for; an order without an answer is recorded there as the reason for its delay
    */
--- a/packages/ingress/src/adapters/evictions.ts
+++ b/packages/ingress/src/adapters/evictions.ts
@@ -8,8 +8,8 @@
 import type { HeldAdapterPublisher } from './held-adapter-publisher.js'
 
 /**
- * How long an adapter counts as pinned after it was loaded or requested again. Requests wait for it then, and until peers report
- * that those requests run, no other load may take its slot.
+ * How long an adapter counts as pinned, that is, as used by a request, after it was loaded or requested again. Requests are about to
+ * use the adapter then, and until peers report that those requests run, no other load may take the adapter's slot.
  */
 const REQUESTED_PIN_MILLISECONDS = 250
 
@@ -37,8 +37,8 @@
    * If they were hidden one after the other, the time that each notice needs to reach all peers would limit an engine to about ten
    * loads per second.
    *
-   * @param most - number of loads that may begin soon
-   * @returns whether one was hidden
+   * @param most - number of further loads that the engine accepts now
+   * @returns whether an adapter was hidden
    */
   hideVictim (most: number, now: number): boolean {
     const { reservations, queue, hidden, publisher, loaderDependencies } = this.dependencies
@@ -65,8 +65,8 @@
     const due = hidden.keys('eviction').find((key) => !reservations.unloading.has(key) && now >= (hidden.noticeReceivedAt(key) ?? Infinity))
     if (due === undefined) return false
     if (!reservations.held.has(due) || loaderDependencies.workTracker.running(endpoint.id, due, now) > 0) {
-      // A request was already on its way to the adapter when the notice was sent. The engine would let it end before it unloads
-      // the adapter, and the pending load would be blocked as long; another adapter can be evicted sooner.
+      // A request for the adapter was already on its way when the notice was sent. The engine would unload the adapter only after
+      // this request has ended, and the pending load would be blocked until then; another adapter can be evicted sooner.
       hidden.show(due)
       publisher.publish()
       return true
--- a/packages/ingress/src/adapters/held-adapter-deltas.ts
+++ b/packages/ingress/src/adapters/held-adapter-deltas.ts
@@ -1,9 +1,9 @@
 /**
  * Deltas between two successive notices about the adapters that an engine holds.
  *
- * Each load changes the adapters held, waiting or being loaded about four times, and every change is sent to all peers. Sent in
- * full, with seventeen adapters and the load queue for one new adapter, these notices were most of the bytes between data centres
- * and most of the frames that an instance decodes.
+ * Each load changes the adapters held, waiting or being loaded about four times, and every change is sent to all peers. A full
+ * notice repeats about seventeen adapters and the load queue to announce one new adapter. When all notices were sent in full, they
+ * were most of the bytes between data centres and most of the frames that an instance decodes.
  */
 import type { AdaptersChangedFrame, AdaptersHeldFrame, EndpointId, InstanceId } from '@limpetwinch/core'
 
@@ -50,7 +50,8 @@
   /**
    * Applies a delta to the baseline.
    *
-   * @returns the resulting full notice; undefined when the preceding notice was not received, until the next full one
+   * @returns the resulting full notice; undefined when the notice before the delta was not received: later deltas are then ignored
+   *   until the next full notice
    */
   apply (from: InstanceId, delta: AdaptersChangedFrame): AdaptersHeldFrame | undefined {
     const known = this.last.get(delta.endpoint)
--- a/packages/ingress/src/adapters/held-adapter-notices.ts
+++ b/packages/ingress/src/adapters/held-adapter-notices.ts
@@ -1,4 +1,4 @@
-/** Sends notices about the adapters that an engine holds from its load owner to all instances. */
+/** Builds the notices about the adapters that an engine holds, in full or as deltas, and sends them from its load owner to all instances. */
 import type { AdaptersHeldFrame, Clock, EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import type { Urgency } from '../overlay/notice-outbox.js'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
@@ -10,8 +10,8 @@
 
 /**
  * Every 20th notice is sent in full, the others as deltas. A peer that missed a notice on a broken connection receives all notices
- * in full on its next connection. If two connections crossed, it cannot apply deltas until the next full notice, about a second
- * later on a busy engine.
+ * in full on its next connection. If two connections of the peer crossed, the peer cannot apply deltas until the next full
+ * notice, which follows about a second later for a busy engine.
  */
 const FULL_NOTICE_INTERVAL = 20
 
@@ -26,11 +26,11 @@
   readonly hidden: { readonly has: (key: AdapterKey) => boolean }
   /** Adapters with a pending load. */
   readonly waiting: readonly AdapterKey[]
-  /** Expected wait of one more load in the queue. */
+  /** Expected wait of one more load in the engine's load queue. */
   readonly waitMilliseconds: number
 }
 
-/** Sends notices about held adapters to all peers, and the last ones again to a peer that connects. */
+/** Sends notices about held adapters to all peers, and the last notice about each engine to a peer that connects. */
 export class HeldAdapterNotices {
   private readonly peers: Pick<PeerOverlay, 'broadcast'>
   private readonly locations: AdapterLocations
@@ -51,7 +51,7 @@
   /**
    * Applies a notice to this instance and sends it to all peers.
    *
-   * @param urgency - `urgent` when the notice changes where requests may go
+   * @param urgency - `urgent` when the notice changes where requests may go; otherwise `patient`, which allows a slight delay for batching
    */
   publish ({ endpoint, token, sequence, reservations, hidden, waiting, waitMilliseconds }: HeldAdaptersUpdate, urgency: Urgency): void {
     const held = [...reservations.held].filter(([key]) => !hidden.has(key)).map(([key, slot]): [string, number] => [key, slot.version])
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Lists the last notices for a peer that has just connected and received none. It would otherwise know only the engines' own
-   * statements, which are older.
+   * Lists the last notices for a peer that has just connected and received none. The peer would otherwise know only the engines'
+   * own statements in the store, which are older.
    *
    * @param isOwner - whether this instance is still the load owner of the engine
    * @returns the last notices, in full
--- a/packages/ingress/src/adapters/held-adapter-publisher.ts
+++ b/packages/ingress/src/adapters/held-adapter-publisher.ts
@@ -1,4 +1,7 @@
-/** Publishes what an engine holds: changes that requests depend on at once, all others at a limited rate. */
+/**
+ * Decides when the load owner of an engine publishes which adapters the engine holds: changes that requests depend on at once, all
+ * others at a limited rate. `HeldAdapterNotices` then builds the notice and sends it.
+ */
 import type { Clock } from '@limpetwinch/core'
 import type { Urgency } from '../overlay/notice-outbox.js'
 import type { HeldAdaptersUpdate } from './held-adapter-notices.js'
@@ -6,7 +9,7 @@
 /** Shortest interval between notices about loads in progress and pending loads, since each notice goes to all peers. */
 const UPDATE_INTERVAL_MILLISECONDS = 30
 
-/** Publishes the notices about one engine. */
+/** Times the notices about one engine. */
 export class HeldAdapterPublisher {
   private readonly clock: Clock
   private readonly createUpdate: (now: number) => Omit<HeldAdaptersUpdate, 'sequence'>
@@ -38,7 +41,11 @@
     this.hasChanges = true
   }
 
-  /** Publishes the current state at once. */
+  /**
+   * Publishes the current state at once.
+   *
+   * @param urgency - `patient` for a notice that instances may delay slightly, to send it in a batch with others
+   */
   publish (urgency: Urgency = 'urgent'): void {
     const now = this.clock.now()
     this.publishedCount += 1
--- a/packages/ingress/src/adapters/hidden-adapters.ts
+++ b/packages/ingress/src/adapters/hidden-adapters.ts
@@ -9,14 +9,14 @@
   readonly since: number
 }
 
-/** The hidden adapters of one engine. Several may wait at the same time until all peers have received their notices. */
+/** The hidden adapters of one engine. Several can be hidden at the same time, each until all peers have received the notice about it. */
 export class HiddenAdapters {
   private readonly byKey = new Map<AdapterKey, Hidden>()
   private readonly noticeRoundTripMilliseconds: () => number
 
   /**
    * @param noticeRoundTripMilliseconds - time within which all peers receive the notice that an adapter is hidden; a request that a
-   *   peer sent before has started on the engine by then
+   *   peer sent before it received the notice has started on the engine by then
    */
   constructor (noticeRoundTripMilliseconds: () => number) {
     this.noticeRoundTripMilliseconds = noticeRoundTripMilliseconds
@@ -27,7 +27,7 @@
     return this.byKey.has(key)
   }
 
-  /** Hides an adapter. One that is hidden already waits for a new notice to reach all peers. */
+  /** Hides an adapter. If it is hidden already, the time that a notice needs to reach all peers starts again. */
   hide (key: AdapterKey, reason: HiddenReason, now: number): void {
     this.byKey.set(key, { reason, since: now })
   }
--- a/packages/ingress/src/adapters/in-flight-loads.ts
+++ b/packages/ingress/src/adapters/in-flight-loads.ts
@@ -2,14 +2,14 @@
 import type { EndpointId } from '@limpetwinch/core'
 import type { CompletedLoad } from './weight-store-limiter.js'
 
-/** Upper bound on the duration of a load. A load takes a quarter of a second, and several times as long when many engines load at once. */
+/** A load reported longer ago counts as overdue. A load takes a quarter of a second, and several times as long when many engines load at once. */
 const LONGEST_LOAD_MILLISECONDS = 1_000
 
 interface InFlight {
   readonly firstReportedAt: number
   /** Whether the engine loads the adapter from its own cache; the duration of such a load says nothing about the weight store. */
   readonly cached: boolean
-  /** Highest number of other loads that were in progress at the same time since. */
+  /** Highest number of other loads in progress on all engines at any time since this load was first reported. */
   mostOthersInFlight: number
 }
 
@@ -36,7 +36,7 @@
 
   /**
    * Counts the loads in progress, without those that are overdue. The loads of an engine that has crashed stay listed until the
-   * engine is known to have left. If they were counted until then, the crash of three engines would block all loads of the other
+   * engine is known to have left. If these loads were counted until then, the crash of three engines would block all loads of the other
    * engines for seconds.
    *
    * @returns the number of loads in progress on all engines that have not taken longer than a load can
--- a/packages/ingress/src/adapters/load-ownership.ts
+++ b/packages/ingress/src/adapters/load-ownership.ts
@@ -12,19 +12,23 @@
 import { EndpointLoader } from './endpoint-loader.js'
 import type { LoaderDependencies } from './loader-dependencies.js'
 
+/** Interval between two checks of which engines this instance owns or should claim. */
 const CHECK_MILLISECONDS = 300
 /** Instances discover each other within this time after the first listing. Claims made earlier would all go to the instance that started first. */
 const DISCOVERY_MILLISECONDS = 1_500
-/** Added to the lease: how late the previous load owner may have learned that it lost the ownership. */
+/** How late the previous load owner may learn that it lost the ownership; the new load owner waits this long in addition to the lease. */
 const LEASE_MARGIN_MILLISECONDS = 800
 /**
  * How long a load owner must be unreachable before another instance claims its engines. A host whose instance was stopped or killed
  * usually runs a new one within about two seconds. The new instance continues with the host's engines at once, while any other
- * instance would have to wait a lease before its first order. The grace period delays the claim if the host is lost for good, and
- * saves a lease without loads if it is not.
+ * instance would have to wait a lease before its first order. The grace period delays the claim if the host is lost for good. If
+ * the host returns, the grace period saves a lease during which nothing would be loaded.
  */
 const RESTART_GRACE_MILLISECONDS = 2_500
-/** Delay before an instance takes back engines of its data centre. By then it is connected to all peers and has received their load queues. */
+/**
+ * Delay before an instance takes back engines of its data centre, counted from the time at which it may claim engines. By then it is
+ * connected to all peers and has received their load queues.
+ */
 const TAKE_BACK_AFTER_MILLISECONDS = 2_000
 /**
  * Longest wait for an empty load queue before an engine is taken back. The queue of a busy engine is never empty, and a network
@@ -33,14 +37,14 @@
 const TAKE_BACK_LATEST_MILLISECONDS = 15_000
 /** Bound on the drift and correction of a host's wall clock, subtracted from the age of a claim. */
 const CLOCK_MARGIN_MILLISECONDS = 500
-/** A claim of at least this age was made well over a lease ago, whatever the wall clocks of the two hosts say. */
+/** A claim whose wall clock time is further than this from the present, in either direction, counts as made well over a lease ago. */
 const CERTAINLY_OLD_MILLISECONDS = 30_000
-/** Load owner objects of engines that have left are deleted after this time, since an engine may return under the same id. */
+/** Time after which the load owner object of an engine that has left is deleted; not at once, since an engine may return under the same id. */
 const DELETE_ORPHANED_AFTER_MILLISECONDS = 20_000
 /** If endpoints do not check fencing tokens, an instance without a response from the store for this share of a lease stops sending orders. */
 const STORE_SILENCE_SHARE = 0.5
 
-/** Delays before a loader that failed starts again. */
+/** Delays, in milliseconds, before a loader that failed starts again. */
 const RESTART_DELAYS = { first: 500, largest: 10_000 }
 
 /** Dependencies of the load ownership. */
@@ -52,7 +56,9 @@
   readonly members: MemberList
   readonly directory: EndpointDirectory
   readonly configuration: AcceptedConfiguration
+  /** Time for which a new load owner sends no orders after the previous one learned that it lost the ownership. */
   readonly leaseMilliseconds: number
+  /** Whether endpoints check fencing tokens, and so refuse orders of an earlier load owner. */
   readonly fencedEndpoints: boolean
 }
 
@@ -68,6 +74,7 @@
   private readonly loaderDependencies: Omit<LoaderDependencies, 'mayOrder' | 'onLost' | 'holder'>
   private readonly owners = new Map<EndpointId, LoadOwner>()
   private readonly running = new Map<EndpointId, Running>()
+  /** Monotonic time at which an engine with a load owner object was first found to have left. */
   private readonly endpointMissingSince = new Map<EndpointId, number>()
   /** Monotonic time at which an engine's load owner became unreachable; cleared while the store is unreachable. */
   private readonly ownerAbsentSince = new Map<EndpointId, number>()
@@ -75,7 +82,9 @@
   private readonly claimedAt = new Map<EndpointId, number>()
   /** Engines whose loader failed, with the time at which it may start again. */
   private readonly restartPostponed = new Map<EndpointId, { readonly delays: Backoff, readonly until: number }>()
+  /** Monotonic time before which no order is sent. */
   private pausedUntil = -Infinity
+  /** Monotonic time from which this instance may claim engines; undefined before the first listing of the members. */
   private claimsAllowedFrom: number | undefined
   private stopping = false
 
@@ -126,7 +135,12 @@
     for (const { loader } of this.running.values()) loader.versionAnnounced(key, version)
   }
 
-  /** Sends no order until the given time: after a process pause, another instance may own engines that this one believes it owns. */
+  /**
+   * Sends no order until the given time. After a process pause, another instance may own engines that this instance still takes for
+   * its own.
+   *
+   * @param time - monotonic time, milliseconds
+   */
   pauseUntil (time: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, time)
   }
@@ -175,10 +189,10 @@
   }
 
   /**
-   * An engine may be owned by an instance of another data centre because its own had no instance for a while. This instance then
-   * takes it back: if the engine's data centre were partitioned, no instance that reaches the engine could order loads, and it
-   * would serve only the adapters it holds. A takeover costs a lease without loads, so it waits for an empty load queue, but not
-   * indefinitely.
+   * An engine may be owned by an instance of another data centre because its own data centre had no instance for a while. This
+   * instance, in the engine's data centre, then takes the engine back. Otherwise, if that data centre were partitioned, no instance
+   * that reaches the engine could order loads, and the engine would serve only the adapters it holds. Nothing is loaded for a lease
+   * after a takeover, so the takeover waits for an empty load queue, but not indefinitely.
    *
    * @returns whether this instance should take over the engine now
    */
@@ -201,9 +215,9 @@
   }
 
   /**
-   * Checks that this instance can reach an engine before it claims it. If a data centre is partitioned, both its engines and their
-   * load owner are unreachable from all others. If another instance claimed such an engine, nothing would be loaded: the claimant
-   * cannot reach the engine, the previous owner has lost the ownership, and after the partition the lease must pass first.
+   * Checks that this instance can reach an engine, before claiming the engine. If a data centre is partitioned, both its engines
+   * and their load owner are unreachable from all others. If another instance claimed such an engine, nothing would be loaded: the
+   * claimant cannot reach the engine, the previous owner has lost the ownership, and after the partition the lease must pass first.
    */
   private async canReach (endpoint: Endpoint): Promise<boolean> {
     const report = await this.loaderDependencies.control.report(endpoint.id, endpoint.address)
@@ -216,8 +230,8 @@
   }
 
   /**
-   * Chooses by rendezvous hashing. Instances of the engine's own data centre take precedence: they can still send it orders when
-   * the data centres are partitioned from each other.
+   * Chooses the preferred load owner by rendezvous hashing. Instances of the engine's own data centre take precedence: they can
+   * still send orders to the engine when the data centres are partitioned from each other.
    *
    * @returns name of the member that should own the engine's loads; undefined without a live member
    */
@@ -302,7 +316,8 @@
 
   /**
    * The previous load owner may be partitioned or paused and still have orders in flight. It learns within the margin that it lost
-   * the ownership, and no instance sends an order for a lease after that: two instances never order loads within the same lease.
+   * the ownership, and for a lease after that no instance sends an order. Two instances therefore never order loads within the same
+   * lease.
    *
    * @returns monotonic time before which this instance must not send orders to the engine
    */
@@ -312,11 +327,12 @@
     const separation = leaseMilliseconds + LEASE_MARGIN_MILLISECONDS
     const claimedAt = this.claimedAt.get(owner.endpoint)
     if (claimedAt !== undefined) return claimedAt + separation
-    // An earlier process of this host made the claim, so only its wall clock time is known.
+    // An earlier process of this host made the claim, so only the wall clock time of the claim is known.
     const age = Date.now() - owner.claimedAt
     if (Math.abs(age) > CERTAINLY_OLD_MILLISECONDS) return clock.now()
-    // A wall clock that was set since would make the claim look older than it is. Endpoints that check fencing tokens refuse the
-    // previous owner from the first order of the new one on. With other endpoints, only the full wait separates the two owners.
+    // If the wall clock was set forward after the claim, the claim looks older than it is, and a wait shortened by its age would be
+    // too short. Endpoints that check fencing tokens refuse the previous owner from the first order of the new owner on, so a short
+    // wait does no harm there. With other endpoints only the wait separates the two owners, so the full wait starts now.
     if (!this.dependencies.fencedEndpoints) return clock.now() + separation
     return clock.now() + Math.min(separation, Math.max(0, separation + CLOCK_MARGIN_MILLISECONDS - Math.max(0, age)))
   }
@@ -325,8 +341,8 @@
     const { clock, health, fencedEndpoints, leaseMilliseconds } = this.dependencies
     const now = clock.now()
     if (this.stopping || now < this.pausedUntil || this.owners.get(owner.endpoint)?.token !== owner.token) return false
-    // An endpoint that checks fencing tokens refuses an owner that has lost the ownership without knowing. An endpoint that does
-    // not check them must receive no order from that owner, so the owner stops before any other instance may begin.
+    // An endpoint that checks fencing tokens refuses orders of an owner that has lost the ownership without knowing it. An endpoint
+    // that does not check them must receive no order from that owner, so the owner stops before any other instance may begin.
     return fencedEndpoints || health.millisecondsSinceAnswer(now) < leaseMilliseconds * STORE_SILENCE_SHARE
   }
 
--- a/packages/ingress/src/adapters/loader-dependencies.ts
+++ b/packages/ingress/src/adapters/loader-dependencies.ts
@@ -1,4 +1,4 @@
-/** Dependencies of the loader of an engine. */
+/** What a loader, which orders the loads of one engine, needs from the rest of the instance. */
 import type { EndpointId } from '@limpetwinch/core'
 import type { EvictionPolicy } from '@limpetwinch/decisions'
 import type { AdapterKey, Endpoint, ModelName } from '../routes/configuration.js'
@@ -30,6 +30,6 @@
   readonly noticeRoundTripMilliseconds: () => number
   /** Called when the engine has a newer load owner, or another endpoint listens at its address. */
   readonly onLost: (endpoint: EndpointId, reason: OrderAnswer) => void
-  /** Called when the engine was unreachable. */
+  /** Called when an order did not reach the engine. */
   readonly onUnreachable: (endpoint: EndpointId, reason: string) => void
 }
--- a/packages/ingress/src/adapters/model-need.ts
+++ b/packages/ingress/src/adapters/model-need.ts
@@ -12,7 +12,7 @@
   readonly adaptersInUse: number
 }
 
-/** Share of all slots in use above which requests begin to wait for a slot, since the slots in use are spread unevenly over the engines. */
+/** If at least this fraction of all slots is in use, requests begin to wait for a slot: the slots in use are spread unevenly over the engines. */
 const BUSY_SHARE = 0.4
 
 /**
--- a/packages/ingress/src/adapters/order-dispatcher.ts
+++ b/packages/ingress/src/adapters/order-dispatcher.ts
@@ -1,4 +1,7 @@
-/** Sends orders to one engine, one at a time, and determines the outcome of orders without an answer. */
+/**
+ * Sends orders to one engine through `EngineOrders`, one at a time, and acts on the answers: pauses after a conflict, reads the
+ * engine's report, and determines the outcome of orders without an answer.
+ */
 import type { FencingToken } from '@limpetwinch/core'
 import type { PendingLoad } from '@limpetwinch/decisions'
 import { modelOf } from '../routes/configuration.js'
@@ -13,11 +16,12 @@
 const REPORT_LAG_MILLISECONDS = 250
 /** Pause after a connection to the engine failed. */
 const UNREACHABLE_PAUSE_MILLISECONDS = 300
-/** Pause after a conflict. An engine that is still carrying out an order answers the next one with a conflict; it finishes within a few pauses. */
+/** Pause after a conflict. An engine that is still carrying out an order answers the next order with a conflict; it finishes within a few pauses. */
 const CONFLICT_PAUSE_MILLISECONDS = 25
+/** Number of pauses after successive conflicts. After the next conflict, the engine's report is read. */
 const MAXIMUM_CONFLICT_PAUSES = 2
 
-/** Orders to one engine under one fencing token. */
+/** Sends the orders to one engine under one fencing token. */
 export class OrderDispatcher {
   private readonly endpoint: Endpoint
   private readonly reservations: SlotReservations
@@ -70,7 +74,7 @@
   }
 
   /**
-   * Reads the engine's report, late enough that it includes the last order, and applies it to the slot reservations.
+   * Reads the engine's report and applies it to the slot reservations. Waits first, so that the report includes the last order.
    *
    * @returns whether a report was read
    */
--- a/packages/ingress/src/adapters/slot-reservations.ts
+++ b/packages/ingress/src/adapters/slot-reservations.ts
@@ -2,7 +2,7 @@
 import type { AdapterKey, HeldAdapter, ModelName } from '../routes/configuration.js'
 import type { EngineReport } from './engine-control.js'
 
-/** Evicted adapters that an engine caches per slot: five on the smallest known engines, six on larger ones. */
+/** Evicted adapters that an engine is assumed to cache per slot: the smallest known engines cache five, larger ones six. */
 const CACHED_PER_SLOT = 5
 
 /** @returns the number of evicted adapters that an engine with this many slots is assumed to cache */
@@ -106,7 +106,8 @@
   /**
    * Records that an adapter was unloaded.
    *
-   * @param counted - whether the engine counted the unload order
+   * @param counted - whether this unload order adds one to the engine's number of accepted orders; false if it was counted before,
+   *   when the engine accepted it
    */
   unloaded (key: AdapterKey, counted: boolean): void {
     if (counted) this.sequence += 1
--- a/packages/ingress/src/adapters/store-turn.ts
+++ b/packages/ingress/src/adapters/store-turn.ts
@@ -1,27 +1,29 @@
 /**
- * Decides when one engine may load from the weight store.
+ * Decides when one engine may start a load from the weight store: while the concurrency limit of the store allows it, or when the
+ * engine's turn has come.
  *
- * Each instance learns the store's limit by itself and compares it with the loads in progress of all instances. An instance that
- * receives all messages late measures every load as slow, and its limit stays below the number of loads that the other instances
- * keep in progress. With the limit alone it would order no load for as long as the others go on, while its engines look idle and
- * attract requests that are then refused.
+ * Each instance learns the store's limit by itself and compares the limit with the number of loads that all instances have in
+ * progress. An instance that receives all messages late measures every load as slow, and its learned limit stays below the number of
+ * loads that the other instances keep in progress. With the limit alone, this instance would order no load for as long as the others
+ * go on, while its engines look idle and attract requests that are then refused.
  *
  * Therefore an engine also gets a turn, whatever the limit says, once enough loads have completed on all engines since its last turn.
  */
 import type { WeightStoreLimiter } from './weight-store-limiter.js'
 
 /**
- * Loads completed on all engines between two turns of one engine, per engine. With two, at most half of the loads begin by turn:
- * a congested store recovers, since the limit still applies to the other half.
+ * An engine gets a turn whenever this many loads per engine have completed, counted over all engines: with ten engines, after 20
+ * loads. With two, at most half of the loads begin by turn. A congested store recovers, since the limit still applies to the other
+ * half.
  */
 const LOADS_PER_TURN = 2
-/** Most turns that an engine without loads accumulates. */
+/** Most turns that an engine accumulates while it starts no loads, so that it cannot start many loads beyond the limit afterwards. */
 const MAXIMUM_ACCUMULATED_TURNS = 2
 
 /** Turns of one engine. */
 export class StoreTurn {
   private readonly limiter: WeightStoreLimiter
-  /** Part of the completed loads that is used up by this engine's past turns. */
+  /** Number of completed loads, on all engines, that are used up by this engine's past turns. */
   private accountedLoads: number
 
   /** @param limiter - concurrency limiter of the store whose engines take turns */
--- a/packages/ingress/src/adapters/unanswered-orders.ts
+++ b/packages/ingress/src/adapters/unanswered-orders.ts
@@ -1,6 +1,9 @@
 /**
- * Tracks orders that an engine has not answered. Each order carries the number of orders that the engine had accepted, so at most
- * one of the orders with the same number can have been carried out.
+ * Tracks orders that an engine has not answered.
+ *
+ * Each order carries, as its condition, the number of orders that the engine has accepted as far as the load owner knows. The engine
+ * carries out an order only if this number equals its own count, and then increases the count. Of several orders with the same
+ * number, at most one can therefore have been carried out.
  */
 import type { AdapterKey } from '../routes/configuration.js'
 import type { SlotReservations } from './slot-reservations.js'
@@ -9,6 +12,7 @@
   readonly operation: 'load' | 'unload'
   readonly key: AdapterKey
   readonly version: number
+  /** The condition: number of orders that the engine had accepted, as known to the load owner when this order was sent. */
   readonly ifSequence: number
 }
 
@@ -16,8 +20,8 @@
  * Unanswered orders of one engine whose outcome is unknown.
  *
  * A conflict right after an unanswered order shows that the order was carried out, so the engine's report is not needed. Reading
- * it would block all loads of the engine for a quarter of a second each time, because the report lags by some hundred
- * milliseconds, and up to a third of the answers may be lost.
+ * the report would block all loads of the engine for a quarter of a second each time, because the report lags by some hundred
+ * milliseconds. This would happen often, since up to a third of the answers may be lost.
  */
 export class UnansweredOrders {
   private orders: UnansweredOrder[] = []
@@ -27,20 +31,20 @@
     this.orders = [...this.orders.filter(({ ifSequence }) => ifSequence === order.ifSequence), order]
   }
 
-  /** Removes all orders after the engine accepted a newer one: none of them can take effect any more. */
+  /** Removes all orders after the engine accepted a newer one: its count has grown, so none of the orders can take effect any more. */
   clear (): void {
     this.orders = []
   }
 
-  /** Removes the orders with a lower number than the engine reports: the report shows their outcome. */
+  /** Removes the orders whose number is lower than the count of accepted orders in the engine's report: the report shows their outcome. */
   sequenceReported (sequence: number): void {
     this.orders = this.orders.filter(({ ifSequence }) => ifSequence >= sequence)
   }
 
   /**
    * Two loads for the same slot can both stay unanswered, although only one of them took the slot. If both were assumed to have been
-   * carried out, the other one would be ordered again to confirm it; the engine would load it beyond its slots and crash. Only a
-   * report tells which of them was carried out.
+   * carried out, the load that was not would be ordered again to confirm its completion. The engine would then exceed its slots
+   * and crash. Only a report tells which of the loads was carried out.
    *
    * @returns whether there are more unanswered loads than free slots
    */
@@ -52,8 +56,8 @@
 
   /**
    * Explains a conflict by an unanswered order. One of the unanswered orders was carried out, but it is unknown which one. All are
-   * assumed to have been, so that no slot that a load may have taken is assigned again. The later checks of loads and unloads
-   * determine which of them were.
+   * assumed to have been carried out, so that no slot that a load may have taken is assigned again. The later checks of loads and
+   * unloads determine which order it was.
    *
    * @returns whether an unanswered order explains the conflict
    */
--- a/packages/ingress/src/adapters/weight-store-limiter.ts
+++ b/packages/ingress/src/adapters/weight-store-limiter.ts
@@ -2,9 +2,9 @@
  * Limits the number of concurrent adapter loads from the weight store to all engines.
  *
  * Workload it is designed for: a burst of requests for rare adapters, far more of them than the store delivers. Up to some number
- * of concurrent loads, each takes the same time; beyond it, all take proportionally longer. With fewer loads in flight the store
- * idles while requests wait; with more, the loads that end the longest waits are slowed down by those behind them. Neither the
- * number nor the time is configured, so both are learned, from all loads of all instances.
+ * of concurrent loads, each takes the same time; beyond this number, all take proportionally longer. With fewer loads in flight,
+ * the store idles while requests wait. With more, each new load slows down the earlier ones, whose requests have waited longest.
+ * Neither the number nor the time is configured, so both are learned, from all loads of all instances.
  *
  * The duration of a load is the weaker signal: a message about its completion that arrives late makes the load look slow. The
  * number of completed loads is the stronger signal, because late messages still count. The limit therefore never stays below the
@@ -15,48 +15,60 @@
 /**
  * Initial limit per engine: the number of loads that one engine accepts. At full speed, stores deliver between a fraction of a load
  * and several loads per engine. If the limit starts too low, the store idles while a burst of requests waits, and the limit grows by
- * one load at a time. If it starts too high, the first loads of a burst take longer, and they show at once how much capacity there is.
+ * one load at a time. If it starts too high, the first loads of a burst take longer, but their durations show the capacity at once.
  */
 const INITIAL_LIMIT_PER_ENGINE = 4
-/** One engine accepts four concurrent loads; below this limit a single engine could not fill its slots. */
+/** Lowest limit, in concurrent loads. One engine accepts four; below this limit a single engine could not fill its slots. */
 const MINIMUM_LIMIT = 4
+/** Highest limit, in concurrent loads, whatever the completed loads suggest. */
 const MAXIMUM_LIMIT = 1_000
 /** Initial estimate of the duration of a load from an idle store, for an adapter of some tens of megabytes. */
 const INITIAL_LOAD_MILLISECONDS = 250
-/** Least weight of the latest load in the estimated load duration. The first loads weigh more, since the initial estimate is only a guess. */
+/**
+ * The estimated load duration is a moving average. This is the lowest factor by which the latest load moves the estimate; the first
+ * loads move it more, since the initial estimate is only a guess.
+ */
 const SMOOTHING = 0.1
-/** Bounds on the ratio of one load to the estimated duration: an engine may have had the adapter in its cache, or may have hung. */
+/**
+ * Bounds on the ratio of the duration of one load to the estimated duration, applied before the load changes the estimate. A shorter
+ * load may have come from the engine's cache; during a longer one, the engine may have hung.
+ */
 const FASTEST_LOAD_RATIO = 0.8
 const SLOWEST_LOAD_RATIO = 2.5
 /**
- * Ratio to the usual duration above which a load indicates a congested store. Completion is checked every 40 ms, so a load from an
- * idle store can appear up to a sixth too long. A third too long is no coincidence, and tolerating it costs at most a third of the
- * duration of a load.
+ * Ratio of the duration of a load to the usual duration above which the load indicates a congested store. Completion is checked
+ * every 40 ms, so a load from an idle store can appear up to a sixth too long. A third too long is no coincidence, and tolerating
+ * up to a third costs at most a third of the duration of a load.
  */
 const CONGESTED_LOAD_RATIO = 1.35
 /**
- * Loads that a decision to lower the limit is based on. A congested store slows all loads alike. A single late load was delayed
- * elsewhere: its order was carried out late, its engine was paused, or the message about it arrived late. If each of these lowered
- * the limit, the store would idle while callers wait. The limit is therefore lowered only if three in four recent loads were slow.
+ * Highest and lowest number of recent loads that a decision to lower the limit is based on. A congested store slows all loads
+ * alike. A single late load was delayed elsewhere: its order was carried out late, its engine was paused, or the message about it
+ * arrived late. If each such load lowered the limit, the store would idle while callers wait. The limit is therefore lowered only if
+ * three in four recent loads were slow.
  */
 const RECENT_LOADS = 8
 const MINIMUM_RECENT_LOADS = 3
 const LOWER_QUARTILE = 0.25
 /** Time for which a load counts as recent, in multiples of the duration of one load. */
 const RECENT_LOAD_TIMES = 4
-/** Increase, in loads and as a share of the limit, after a load that was not slowed while the limit was reached; at most once per load duration. */
+/**
+ * After a load that was not slowed although the limit was reached, the limit grows by `INCREASE` loads plus `INCREASE_SHARE` of the
+ * limit. It grows at most once per load duration.
+ */
 const INCREASE = 0.25
 const INCREASE_SHARE = 0.05
 /**
- * A slowed load shows the capacity of the store: the loads in flight, divided by the ratio by which it took longer. The limit is set
- * slightly above the capacity, so that the store never idles between the completion of a load and the message about it. One load
- * lowers the limit to no less than half.
+ * A slowed load shows the capacity of the store: the loads in flight, divided by the ratio of its duration to the usual one. The
+ * limit is set slightly above the capacity, by `CAPACITY_MARGIN`, so that the store never idles between the completion of a load and the
+ * message about it. One load lowers the limit to no less than half.
  */
 const CAPACITY_MARGIN = 1.15
 const MINIMUM_REMAINING_SHARE = 0.5
 /**
- * The duration of one load is learned only while the loads in flight are below both this share of the limit and this number per
- * engine. Otherwise, with a limit that is too high, slowed loads would pass for usual ones, and the limit would stay too high.
+ * The duration of one load is learned only while the loads in flight are below both `IDLE_SHARE` of the limit and
+ * `IDLE_PER_ENGINE` loads per engine. Otherwise, with a limit that is too high, slowed loads would pass for usual ones, and the
+ * limit would stay too high.
  */
 const IDLE_SHARE = 0.4
 const IDLE_PER_ENGINE = 0.25
@@ -110,7 +122,7 @@
     return Math.floor(this.exactLimit)
   }
 
-  /** @returns expected duration of a load, in milliseconds, while this many are in progress */
+  /** @returns expected duration of a load, in milliseconds, while this many loads are in progress on all engines */
   expectedMilliseconds (inFlight: number): number {
     return this.loadMilliseconds * Math.max(1, inFlight / this.exactLimit)
   }
@@ -120,7 +132,8 @@
     const { exactLimit: before } = this
     this.completedCount += 1
     this.throughput.record(load.now, RECENT_LOAD_TIMES * this.loadMilliseconds)
-    // At the lowest limit nothing more can be deferred. Without this bound, a store that is slow even for one load would always appear congested.
+    // With no more loads in flight than the lowest limit allows, none can be deferred. If their durations were not learned, a store
+    // that is slow even for one load would always appear congested.
     const idleBound = Math.max(MINIMUM_LIMIT, Math.min(before * IDLE_SHARE, this.engines() * IDLE_PER_ENGINE))
     if (load.mostOthersInFlight < idleBound) this.learnLoadTime(load.milliseconds)
     const lowerQuartile = this.lowerQuartileOfRecent(load)
@@ -138,7 +151,7 @@
       const capacity = (mostOthersInFlight + 1) / slowness * CAPACITY_MARGIN
       return Math.min(limit, Math.max(limit * MINIMUM_REMAINING_SHARE, capacity))
     }
-    // The limit grows only if it deferred a load; otherwise it would grow during any period of low traffic.
+    // The limit grows only if the loads in flight reached the limit; otherwise it would grow during any period of low traffic.
     const deferred = slowness <= CONGESTED_LOAD_RATIO && load.mostOthersInFlight + 1 >= Math.floor(limit)
     return deferred ? limit + INCREASE + INCREASE_SHARE * limit : limit
   }
--- a/packages/ingress/src/members/cluster-objects.ts
+++ b/packages/ingress/src/members/cluster-objects.ts
@@ -1,12 +1,12 @@
 /**
- * The product's own objects in the platform's store: one per instance (member), one per engine (its load owner), and one per
- * quarantined request (the quarantine decision).
+ * Types, store paths and decoding of the objects that the instances of one cluster keep in the platform's store: one per instance
+ * (member), one per engine (its load owner), and one per quarantined request (the quarantine decision).
  */
 import type { DataCentreId, EndpointId, FencingToken, InstanceId, StoredObject } from '@limpetwinch/core'
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import { z } from 'zod'
 
-/** Object kind shared by all of them, so that one watch covers them all. */
+/** Object kind shared by all these objects, so that one watch of the store covers them all. */
 export const CLUSTER_KIND = 'limpetwinch-cluster'
 
 const memberSchema = z.object({ instance: z.string(), address: z.string(), dataCentre: z.string(), cores: z.number().optional() })
@@ -47,7 +47,7 @@
   readonly version: number
 }
 
-/** One decoded object. */
+/** One decoded object: a member, a load owner or a quarantine decision. */
 export type ClusterObject =
   | { readonly kind: 'member', readonly member: Member }
   | { readonly kind: 'holder', readonly holder: LoadOwner }
--- a/packages/ingress/src/members/member-list.ts
+++ b/packages/ingress/src/members/member-list.ts
@@ -1,4 +1,4 @@
-/** Membership: instances register in the store at their start and unregister at their end, and heartbeats between them show who is reachable. */
+/** Membership: instances register in the store at their start and unregister at their end; heartbeats show which instances are reachable. */
 import type { Clock, DataCentreId, DeletingObjectStore, InstanceId, Logger } from '@limpetwinch/core'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import { memberPath } from './cluster-objects.js'
@@ -9,8 +9,9 @@
  * member has already missed three heartbeats by the time its connection is closed.
  */
 export const UNREACHABLE_AFTER_MILLISECONDS = 1_200
-/** A member that has been unreachable for this long has ended without unregistering; its object is deleted. */
+/** A member that has been unreachable for this long has ended without unregistering; its object in the store is deleted. */
 const DELETE_LOST_AFTER_MILLISECONDS = 60_000
+/** Interval between two checks of this instance's registration and of lost members, once this instance is registered. */
 const CHECK_MILLISECONDS = 1_000
 
 /** Description of this instance, as registered for its peers. */
@@ -71,7 +72,8 @@
       this.members.set(member.name, member)
       if (!this.firstSeen.has(member.instance)) this.firstSeen.set(member.instance, now)
     }
-    // A listing older than the registration of this instance does not include it. Without its own record, it would register again.
+    // A listing older than the registration of this instance does not include this instance. Without the record that is added here,
+    // this instance would register again.
     if (this.ownRecord !== undefined && this.ownRecord.version > revision) this.members.set(this.self.name, this.ownRecord)
     this.presence.apply([...this.members.values()])
   }
@@ -81,7 +83,7 @@
     return this.members.get(name)
   }
 
-  /** @returns whether the member with this name is reachable; one that is leaving keeps its load ownership until it has left */
+  /** @returns whether the member with this name is reachable; a member that is leaving keeps its load ownership until it has left */
   isReachable (name: string): boolean {
     if (name === this.self.name) return true
     const member = this.members.get(name)
@@ -101,7 +103,7 @@
     return this.stopping ? others : [...others, this.self]
   }
 
-  /** Registers this instance, registers it again if its object disappears, and deletes the objects of members that are lost. */
+  /** Registers this instance, registers it again if its object in the store disappears, and deletes the objects of lost members. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.listingApplied && !this.stopping) await this.register()
@@ -116,7 +118,7 @@
     this.stopping = true
   }
 
-  /** Removes this instance's object. */
+  /** Unregisters this instance: deletes its member object from the store, unless a newer process of the same host has replaced the object. */
   async unregister (): Promise<void> {
     const own = this.members.get(this.self.name)
     if (own?.instance !== this.self.instance) return
@@ -136,7 +138,7 @@
       this.logger.info('This instance was registered as a member.', { name, revision: ownRecord.value })
       return
     }
-    // After a conflict or a lost response, the watch of the store shows whether the object was written; this loop reads that and retries.
+    // After a conflict or a lost response, the watch of the store shows whether the object was written; the next pass of `run` retries if not.
     this.logger.warn('This instance could not be registered as a member yet.', { name, reason: ownRecord.error.message })
   }
 
--- a/packages/ingress/src/retries/retry-budgets.ts
+++ b/packages/ingress/src/retries/retry-budgets.ts
@@ -4,15 +4,16 @@
 import type { RetryBudgetSettings } from '../runtime/ingress-settings.js'
 
 /**
- * Share of the bound that is used. The bound applies to any time window over all instances. The windows here advance in steps of a
- * tenth, and when instances join or leave, each instance recomputes its part of the slack at a slightly different time.
+ * Fraction of the configured bound on retries that the instances use; the rest is a margin. The bound applies to any time window
+ * over all instances. The windows here advance in steps of a tenth of a window, and when instances join or leave, each instance
+ * recomputes its part of the slack (the retries allowed whatever the number of requests) at a slightly different time.
  */
 const USED_SHARE = 0.8
 
 /**
- * One retry budget per service. The bound applies to all instances together. Each instance uses the share that belongs to its own
- * requests and an equal part of the slack, so that the sum stays within the bound without communication, even when the instances
- * are partitioned.
+ * One retry budget per service. The bound applies to all instances together. Each instance may send retries for a fixed fraction of
+ * its own requests, plus an equal part of the slack. The sum over all instances stays within the bound without communication, even
+ * when the instances are partitioned.
  */
 export class RetryBudgets {
   private readonly settings: RetryBudgetSettings
--- a/packages/ingress/src/routes/configuration.ts
+++ b/packages/ingress/src/routes/configuration.ts
@@ -6,13 +6,16 @@
 /** Name of a base model, as opposed to an adapter. */
 export type ModelName = Branded<string, 'ModelName'>
 
-/** Retry policy of a route: `safe` requests may run several times, `unsafe` ones once, `stream` requests as their route says. */
+/**
+ * Retry policy of a route. A `safe` request may run on endpoints up to `mostAttempts` times, an `unsafe` one only once. A `stream`
+ * request may run up to `mostAttempts` times if its route is `resumable`, otherwise only once.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'stream'
 
 /** One of the services that share a route's requests. */
 export interface RouteTarget {
   readonly service: ServiceName
-  /** Share relative to the other targets of the route. */
+  /** Each service receives requests of the route in proportion to its weight among the targets. */
   readonly weight: number
 }
 
@@ -30,7 +33,7 @@
   readonly objectiveMilliseconds: number
   /** Longest gap between two events of a stream that is still of full use to the caller. */
   readonly gapMilliseconds: number
-  /** 0 is the most urgent. */
+  /** Priority of the route's requests; 0 is the most urgent. */
   readonly priority: number
   /** Most attempts of one request that may run on endpoints. */
   readonly mostAttempts: number
@@ -146,8 +149,8 @@
   readonly slots: number
   readonly leaving: boolean
   /**
-   * Time from this statement until the endpoint ends, whatever it runs, in milliseconds. Stated by an endpoint that is reclaimed
-   * at short notice.
+   * Time from this statement until the endpoint ends, even if requests still run on it, in milliseconds. Stated by an endpoint that
+   * the platform reclaims at short notice.
    */
   readonly leavesInMilliseconds: number | undefined
   /** Base models that the endpoint holds. */
