--- a/packages/ingress/src/quarantine/crash-detector.ts
+++ b/packages/ingress/src/quarantine/crash-detector.ts
@@ -7,33 +7,33 @@
 import type { Endpoint } from '../routes/configuration.js'
 
 /**
- * Delays before the probes of an endpoint. A crashed process closes its sockets one by one, the listening socket among them; the
- * second probe covers processes that end slowly.
+ * Delays before the first and before the second probe of an endpoint. A crashed process closes its sockets one by one, the listening
+ * socket among them. The second probe covers processes that end slowly.
  */
 const PROBE_DELAYS_MILLISECONDS = [40, 160] as const
 /** Connection timeout of a probe; the same as that of any new connection to an endpoint. */
 const CONNECT_MILLISECONDS = 250
 /**
- * How long the result of a crash is kept. Endpoint lists from before the crash still name the endpoint; responses that are
- * truncated within this time belong to the same crash.
+ * How long the finding that an endpoint crashed is kept. Endpoint lists from before the crash still name the endpoint. Responses of the
+ * same incarnation that are truncated within this time belong to the same crash, so the endpoint is not probed again for them.
  */
 const CRASH_MEMORY_MILLISECONDS = 10_000
 const REFUSED = 'ECONNREFUSED'
 
-/** One incarnation of an endpoint, on which a response was truncated. */
+/** One incarnation of an endpoint, that is, one run of its process, on which a response was truncated. */
 export interface EndpointIncarnation {
   readonly endpoint: Endpoint
-  /** Id and start time of the endpoint: an endpoint may be restarted under the same id. */
+  /** Key made of the id and the start time of the endpoint, since an endpoint may be restarted under the same id. */
   readonly life: string
 }
 
-/** Result of opening a new connection to an endpoint. */
+/** Result of opening a new connection to an endpoint; `unknown` after a timeout or any error other than a refused connection. */
 export type ProbeResult = 'accepted' | 'refused' | 'unknown'
 
-/** Opens a connection to check whether a process listens at the address, `host:port`. */
+/** Opens a connection to check whether a process listens at the address, given as `host:port`. */
 export type ConnectionProbe = (address: string) => Promise<ProbeResult>
 
-/** Probes endpoints on which responses were truncated. */
+/** Finds out whether an endpoint on which responses were truncated has crashed, by opening new connections to it. */
 export class CrashDetector {
   private readonly clock: Clock
   private readonly logger: Logger
@@ -42,7 +42,7 @@
 
   /**
    * @param clock - monotonic time
-   * @param logger - receives one line for each result
+   * @param logger - receives one line for each checked endpoint
    * @param probe - opens a connection to an endpoint
    */
   constructor (clock: Clock, logger: Logger, probe: ConnectionProbe = probeAddress) {
--- a/packages/ingress/src/quarantine/fingerprint.ts
+++ b/packages/ingress/src/quarantine/fingerprint.ts
@@ -1,4 +1,4 @@
-/** Computes fingerprints of routed requests: equal for every arrival of the same request. */
+/** Computes fingerprints of routed requests. All arrivals of the same request, on any instance, have the same fingerprint. */
 import { createHash } from 'node:crypto'
 import { joinFingerprint } from '@limpetwinch/decisions'
 import type { FingerprintPrefix, RequestFingerprint } from '@limpetwinch/decisions'
@@ -7,7 +7,10 @@
 /** The parts of a request that its fingerprint covers. Request ids, deadlines and stream positions differ between arrivals and are left out. */
 export type FingerprintInput = Pick<RoutedRequest, 'method' | 'target' | 'facts' | 'body'> & { readonly route: Pick<RoutedRequest['route'], 'host'> }
 
-/** Lengths in base64 characters of six bits each. The digests are cryptographic so that a caller cannot forge the fingerprint of another caller's request. */
+/**
+ * Lengths of the two digests that make up a fingerprint, in base64 characters of six bits each. The digests are cryptographic so that a
+ * caller cannot forge the fingerprint of another caller's request.
+ */
 const PREFIX_CHARACTERS = 16
 const BODY_CHARACTERS = 22
 
--- a/packages/ingress/src/quarantine/isolated-run-claims.ts
+++ b/packages/ingress/src/quarantine/isolated-run-claims.ts
@@ -1,7 +1,8 @@
 /**
- * Claims for isolated runs: a suspected request is run by one instance at a time, on an endpoint where no other suspected request
- * runs. Otherwise copies of the request that arrive at several instances would each crash an endpoint, and when two suspected
- * requests are in flight at one crash, the cause could not be determined.
+ * Claims for isolated runs. In an isolated run, a request that is suspected of crashing endpoints is sent by one instance at a time, to an
+ * endpoint where no other suspected request runs; requests that are not suspected may run there too. Without claims, copies of the request
+ * that arrive at several instances would each crash an endpoint. And when two suspected requests are in flight at one crash, the cause
+ * could not be determined. Only when too few endpoints are left do several suspected requests share one (a shared claim).
  */
 import type { Clock, EndpointId, InstanceId, RequestTrialFrame } from '@limpetwinch/core'
 import type { RequestFingerprint } from '@limpetwinch/decisions'
@@ -10,22 +11,24 @@
 export interface IsolatedRunClaimsDependencies {
   readonly self: InstanceId
   readonly clock: Clock
-  /** Sends a message to all other instances. */
+  /** Sends a claim, its progress or its end to all other instances. */
   readonly broadcast: (frame: RequestTrialFrame) => void
-  /** Sends a message to one instance. */
+  /** Sends an objection to the instance whose claim conflicts with a claim of this instance. */
   readonly notify: (to: InstanceId, frame: RequestTrialFrame) => void
   /** @returns the time within which a message reaches all other instances and their objections arrive here */
   readonly noticeRoundTripMilliseconds: () => number
 }
 
-/** Outcome of a claim: `taken` when another instance runs the request, `occupied` when another suspected request runs on the endpoint. */
+/** Outcome of a claim: `taken` when a copy of the request has a claim already, `occupied` when another suspected request has a claim on the endpoint. */
 export type ClaimOutcome = 'granted' | 'taken' | 'occupied'
 
 interface Claim {
+  /** The instance that sends the request. */
   readonly instance: InstanceId
   readonly endpoint: EndpointId
+  /** Monotonic time at which the claim lapses. */
   readonly until: number
-  /** Whether the time for objections of other instances has passed. */
+  /** Whether the time for objections of other instances has passed, so that the claim yields to no later claim. */
   readonly isEstablished: boolean
 }
 
@@ -39,12 +42,13 @@
   }
 
   /**
-   * Claims the isolated run of a request for this instance. Of two simultaneous claims for one request, the claim of the instance with
-   * the lower id wins; of two for one endpoint, the claim for the request with the lower fingerprint wins.
+   * Claims the right to run a suspected request on an endpoint, apart from other suspected requests, and waits for objections of other
+   * instances. Of two simultaneous claims for one request, the claim of the instance with the lower id wins. Of two simultaneous claims
+   * for one endpoint, the claim for the request with the lower fingerprint wins.
    *
    * @param endpoint - where the request is to run
    * @param milliseconds - time after which the claim lapses
-   * @param isShared - whether other suspected requests may run on the endpoint at the same time
+   * @param isShared - whether other suspected requests may run on the endpoint at the same time, because too few endpoints are left
    */
   async claim (fingerprint: RequestFingerprint, endpoint: EndpointId, milliseconds: number, isShared: boolean): Promise<ClaimOutcome> {
     const { self, clock, broadcast, noticeRoundTripMilliseconds } = this.parts
@@ -54,7 +58,7 @@
     broadcast({ kind: 'request-trial', fingerprint, state: 'claimed', endpoint, milliseconds })
     await clock.sleep(noticeRoundTripMilliseconds())
     if (this.claims.get(fingerprint) !== own) {
-      // On some instances the losing claim may have arrived last and replaced the winning one, so its end is announced.
+      // This claim lost. On some instances it may have arrived last and replaced the winning claim, so its end is announced.
       this.announceEnd(fingerprint)
       return 'taken'
     }
@@ -73,14 +77,14 @@
     this.parts.broadcast(this.frameOf(fingerprint, claim, 'sent'))
   }
 
-  /** Ends an own claim, because the run has ended. */
+  /** Ends an own claim, because its run has ended, and announces the end to all other instances. */
   over (fingerprint: RequestFingerprint): void {
     if (this.current(fingerprint)?.instance !== this.parts.self) return
     this.claims.delete(fingerprint)
     this.announceEnd(fingerprint)
   }
 
-  /** @returns endpoints on which suspected requests other than this one run */
+  /** @returns endpoints that are claimed for suspected requests other than this one, on any instance */
   occupied (except: RequestFingerprint): ReadonlySet<EndpointId> {
     return new Set(this.others(except).map(([, { endpoint }]) => endpoint))
   }
--- a/packages/ingress/src/quarantine/quarantine-exchange.ts
+++ b/packages/ingress/src/quarantine/quarantine-exchange.ts
@@ -1,4 +1,7 @@
-/** Keeps the quarantine state of all instances in step, by one-way messages between the instances and by records in the store. */
+/**
+ * Exchanges quarantine state between instances: crashes, claims for isolated runs and quarantine decisions. One-way messages reach the
+ * running instances at once; records in the store reach instances that start later.
+ */
 import type { Clock, DeletingObjectStore, EndpointCrashFrame, InstanceId, Logger, RequestTrialFrame, RequestVerdictFrame } from '@limpetwinch/core'
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import type { PeerLinks } from '@limpetwinch/entry'
@@ -10,7 +13,7 @@
 import type { QuarantineAnnouncer, RequestQuarantineDependencies } from './request-quarantine.js'
 import { IsolatedRunClaims } from './isolated-run-claims.js'
 
-/** Interval between removals of expired crash records. */
+/** Interval between two searches for expired crash records, which are then removed. */
 const EXPIRE_MILLISECONDS = 10_000
 
 /** Dependencies of the exchange. */
@@ -53,7 +56,7 @@
     this.records.apply(decisions)
   }
 
-  /** Writes quarantine decisions to the store and removes expired records, until the signal is aborted. */
+  /** Writes quarantine decisions to the store, and removes expired decisions and crash records, until the signal is aborted. */
   async run (signal: AbortSignal): Promise<void> {
     await Promise.all([this.records.run(signal), this.expire(signal)])
   }
--- a/packages/ingress/src/quarantine/quarantine-records.ts
+++ b/packages/ingress/src/quarantine/quarantine-records.ts
@@ -1,19 +1,22 @@
-/** Quarantine decisions in the platform's store, so that instances that start later know them, even after all instances were restarted. */
+/** Keeps quarantine decisions in the platform's store. Instances that start later read them there, even after all instances were restarted. */
 import type { Clock, DeletingObjectStore, Logger } from '@limpetwinch/core'
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
 import { quarantineDecisionPath } from '../members/cluster-objects.js'
 import type { StoredQuarantineDecision } from '../members/cluster-objects.js'
 
-/** Interval between checks for decisions that are due to be written. */
+/** Interval between checks for decisions that are due to be written to the store or to be removed there. */
 const CHECK_MILLISECONDS = 250
 /** Delay before a failed write is retried. */
 const RETRY_MILLISECONDS = 1_000
 /**
- * Delay of the write on instances that did not see the deciding crash. All instances may reach the same decision; the instance that
- * saw the crash writes it first, and the other ones find it in the store.
+ * Delay of the write on instances that did not see the deciding crash, which is the crash that led to the decision. All instances may reach
+ * the same decision. The instance that saw the crash writes the decision first, and the other instances find it in the store.
  */
 const NON_DECIDER_DELAY_MILLISECONDS = 3_000
-/** A decision is removed from the store when it expired this long ago and its request has not arrived again. */
+/**
+ * Time after the end of a quarantine at which its decision is removed from the store, if the request has not arrived again. A run of the
+ * request before then either clears the request or, by a crash, extends the quarantine.
+ */
 const RETENTION_MILLISECONDS = 3_600_000
 
 /** Receives changes of the decisions in the store. */
@@ -24,7 +27,7 @@
 
 interface PendingWrite {
   readonly decision: QuarantineDecision
-  /** Monotonic time. */
+  /** Monotonic time from which the decision is to be written. */
   readonly dueAt: number
 }
 
@@ -44,7 +47,7 @@
     this.logger = logger
   }
 
-  /** Applies the decisions that the store lists. A decision that was listed before and is missing now was revoked. */
+  /** Applies the decisions that the store lists. A decision that was listed the last time and is missing now was revoked. */
   apply (decisions: readonly StoredQuarantineDecision[]): void {
     const { clock } = this
     const previous = this.listed
--- a/packages/ingress/src/quarantine/request-quarantine.ts
+++ b/packages/ingress/src/quarantine/request-quarantine.ts
@@ -1,6 +1,8 @@
 /**
- * Stops a request that crashes its endpoints from reaching further endpoints, on all instances, while requests that were only in
- * flight beside it are still served. For requests that no crash implicates, the check is one lookup in a table that is mostly empty.
+ * Stops a request that crashes its endpoints from reaching further endpoints, on all instances. Requests that were only in flight on the
+ * same endpoints are still served. A request that was in flight at a crash is implicated. After several crashes it is suspected, and then
+ * it is sent only in isolated runs, on an endpoint without other suspected requests. For requests that no crash implicates, the check is
+ * one lookup in a table that is mostly empty.
  */
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, EndpointCrashFrame, EndpointId, Logger, RequestVerdictFrame } from '@limpetwinch/core'
@@ -14,18 +16,18 @@
 import { fingerprintOf, fingerprintPrefix } from './fingerprint.js'
 import type { IsolatedRunClaims } from './isolated-run-claims.js'
 
-/** Retry time for a copy of a request whose isolated run is in progress: such a run takes about this long. */
+/** `retry-after` for a copy of a request whose isolated run is in progress, in seconds: such a run takes about this long. */
 const ISOLATED_RUN_RETRY_SECONDS = 1
-/** Suspected requests share endpoints while they occupy more than this share of a service's endpoints: there are too few left for isolated runs. */
+/** Largest share of a service's endpoints that isolated runs may occupy. Above it, too few endpoints are left, so suspected requests share endpoints. */
 const MAXIMUM_OCCUPIED_SHARE = 0.5
 
-/** Time within which all instances have reported the requests that they had in flight at a crash. */
+/** Wait between a crash and the decision on its cause: within this time, all instances have reported the requests that they had in flight at the crash. */
 const REPORT_WINDOW_MILLISECONDS = 300
 
 /** Whether a request may be sent to an endpoint. */
 export type Admission =
   | { readonly kind: 'granted' }
-  /** The request must be sent to another endpoint, because another suspected request runs on this one. */
+  /** The request must be sent to another endpoint, because another suspected request runs on the chosen one. */
   | { readonly kind: 'elsewhere' }
   | { readonly kind: 'refused', readonly error: LimpetwinchError }
 
@@ -33,7 +35,7 @@
 export interface QuarantineAnnouncer {
   /** An endpoint crashed under requests of this instance. */
   readonly crashed: (frame: EndpointCrashFrame) => void
-  /** A request was quarantined. @param isOwn - whether this instance saw the deciding crash */
+  /** A request was quarantined. @param isOwn - whether this instance saw the crash that led to the decision */
   readonly convicted: (decision: QuarantineDecision, isOwn: boolean) => void
   /** A suspected request was answered, so it is suspected no longer. */
   readonly cleared: (fingerprint: RequestFingerprint) => void
@@ -47,31 +49,32 @@
   readonly detector: CrashDetector
   readonly claims: IsolatedRunClaims
   readonly announcer: QuarantineAnnouncer
-  /** @returns the endpoint as it is listed; undefined when it is not listed */
+  /** @returns the endpoint as the current list of endpoints has it; undefined when the list does not name it */
   readonly findEndpoint: (endpoint: EndpointId) => Endpoint | undefined
   readonly endpointCount: (service: string) => number
   /** @returns the latest announced version of an adapter; undefined when none was announced */
   readonly newestVersion: (key: AdapterKey) => number | undefined
 }
 
-/** A crash of which the requests in flight are still being collected. */
+/** A crash for which this instance still collects the requests that it had in flight. */
 interface PendingCrashReport {
   readonly crash: EndpointCrash
   readonly aboard: InFlightRequest[]
+  /** Resolves when the crash was recorded and the decision on its cause was made. */
   readonly recorded: Promise<void>
 }
 
 const GRANTED: Admission = { kind: 'granted' }
 const NONE: ReadonlySet<EndpointId> = new Set()
 
-/** The quarantine of one instance. */
+/** Decides for each request of this instance whether it may be sent to an endpoint, from the crashes that all instances have seen. */
 export class RequestQuarantine {
   private readonly parts: RequestQuarantineDependencies
   private readonly crashTracker: CrashTracker
   private readonly prefixes = new WeakMap<RoutedRequest, FingerprintPrefix>()
   private readonly fingerprints = new WeakMap<RoutedRequest, RequestFingerprint>()
   private readonly isolatedRuns = new Map<RoutedRequest, RequestFingerprint>()
-  /** By request: resolves when it is known whether the endpoints that the request lost have crashed. */
+  /** By request: resolves when it is known whether the endpoints to which the request lost its connections have crashed. */
   private readonly examinations = new WeakMap<RoutedRequest, Promise<void>>()
   /** How many connections to endpoints each request has lost. */
   private readonly connectionLossCounts = new WeakMap<RoutedRequest, number>()
@@ -79,7 +82,7 @@
   /** Incarnations that crashed under requests of this instance and for which no decision was made yet. */
   private readonly undecidedOwnCrashes = new Set<string>()
   private readonly pendingDecisions = new Map<string, Promise<void>>()
-  /** Latest version of the adapter when its request was first refused. */
+  /** By quarantined request: latest version of its adapter when the request first arrived after the quarantine decision. */
   private readonly refusedVersions = new Map<RequestFingerprint, number>()
 
   constructor (parts: RequestQuarantineDependencies) {
@@ -92,7 +95,7 @@
     return { implicated: this.crashTracker.implicatedCount, verdicts: this.crashTracker.quarantineCount }
   }
 
-  /** @returns the error for a quarantined request; undefined for every other request */
+  /** @returns the error with which a quarantined request is refused; undefined for every other request */
   refusal (request: RoutedRequest): LimpetwinchError | undefined {
     const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || this.standing(request, fingerprint) !== 'quarantined') return undefined
@@ -108,7 +111,7 @@
     return fingerprint === undefined || this.standing(request, fingerprint) === 'unsuspected'
   }
 
-  /** @returns endpoints that a suspected request must avoid, because other suspected requests run there or they have just crashed */
+  /** @returns endpoints that a suspected request must avoid: those where other suspected requests run, and those that have crashed */
   endpointsToAvoid (request: RoutedRequest): ReadonlySet<EndpointId> {
     const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || this.standing(request, fingerprint) === 'unsuspected') return NONE
@@ -116,12 +119,13 @@
   }
 
   /**
-   * Decides right before each attempt whether the request may be sent. For a suspected request, claims an isolated run.
+   * Decides right before each attempt whether the request may be sent. For a suspected request, this claims an isolated run first.
    *
    * @param endpoint - where the request is to be sent
    */
   async admit (request: RoutedRequest, endpoint: EndpointId): Promise<Admission> {
-    // After its first lost connection a request is retried at once: finding out whether the endpoint crashed would take too long.
+    // A request that no crash implicates is retried at once after its first lost connection. Finding out whether the endpoint crashed would
+    // take too long. In all other cases the result of the examination is awaited.
     if (this.implicatedFingerprint(request) !== undefined || this.losses(request) > 1) await this.examinations.get(request)
     const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined) return GRANTED
@@ -150,7 +154,10 @@
     this.parts.claims.sent(fingerprint)
   }
 
-  /** Called when the attempt has ended, whatever the outcome: releases the claim on an isolated run once its examination is done. */
+  /**
+   * Called when the attempt has ended, whatever the outcome. Ends the claim on an isolated run once it is known whether the endpoint has
+   * crashed.
+   */
   attemptFinished (request: RoutedRequest): void {
     const fingerprint = this.isolatedRuns.get(request)
     if (fingerprint === undefined) return
@@ -160,7 +167,7 @@
     }))
   }
 
-  /** Called when the endpoint has answered the request, whatever the response: the request does not crash endpoints. */
+  /** Called when the endpoint has answered the request, whatever the response. The answer shows that the request does not crash endpoints. */
   completed (request: RoutedRequest): void {
     const fingerprint = this.implicatedFingerprint(request)
     if (fingerprint === undefined || !this.crashTracker.completed(fingerprint)) return
@@ -169,13 +176,13 @@
     this.parts.announcer.cleared(fingerprint)
   }
 
-  /** Applies a crash that another instance saw, with the requests that it had in flight there. */
+  /** Applies a crash that another instance saw, with the requests that the other instance had in flight there. */
   applyPeerCrash (crash: EndpointCrash, aboard: readonly InFlightRequest[]): void {
     for (const decision of this.crashTracker.record(crash, aboard)) this.logDecision(decision, 'crashes seen elsewhere')
     void this.awaitDecision(crash.life)
   }
 
-  /** Called when another instance has sent a suspected request to an endpoint. */
+  /** Called when another instance has sent a suspected request to an endpoint: the sends of all instances count towards its quarantine. */
   applyPeerSent (fingerprint: RequestFingerprint): void {
     this.crashTracker.sent(fingerprint, this.parts.clock.now())
   }
@@ -187,7 +194,10 @@
     this.logDecision(decision, source)
   }
 
-  /** Ends the quarantine of a request, because another instance saw it answered or the decision was removed from the store, for example by an operator. */
+  /**
+   * Ends the suspicion against a request or its quarantine. The reason is that an endpoint answered the request to another instance, or
+   * that the decision was removed from the store, for example by an operator.
+   */
   release (fingerprint: RequestFingerprint, by: 'peer' | 'store'): void {
     if (this.crashTracker.completed(fingerprint)) this.parts.logger.info('A request is no longer suspected or quarantined.', { fingerprint, by })
     this.refusedVersions.delete(fingerprint)
@@ -222,8 +232,8 @@
   }
 
   /**
-   * @returns endpoints that are still listed with the incarnation that crashed; nothing runs there, so without this exclusion they would be
-   *   the first choice for an isolated run
+   * @returns endpoints that are still listed with the incarnation that crashed. Nothing runs on them, so if they were not excluded, they
+   *   would be the first choice for an isolated run.
    */
   private crashed (): EndpointId[] {
     return this.crashTracker.crashedIncarnations().flatMap((life) => {
@@ -257,7 +267,7 @@
 
   private async examine (request: RoutedRequest, endpoint: Endpoint, milliseconds: number): Promise<void> {
     const { detector, findEndpoint, logger, clock } = this.parts
-    // An endpoint that is leaving or no longer listed is stopping; its end is not a crash.
+    // An endpoint that is marked as leaving, or that is no longer listed, stops on purpose; its end is not a crash.
     if (findEndpoint(endpoint.id)?.leaving !== false) return
     const life = incarnationOf(endpoint)
     if (!await detector.hasCrashed({ endpoint, life })) return
@@ -270,7 +280,10 @@
     await report.recorded
   }
 
-  /** Collects the requests in flight at a crash. Their responses are truncated at the same time, so they are recorded and announced together. */
+  /**
+   * Starts to collect the requests that this instance had in flight at a crash. Their responses are truncated at the same time, so they are
+   * recorded and announced together.
+   */
   private collectReport (crash: EndpointCrash): PendingCrashReport {
     const aboard: InFlightRequest[] = []
     const recorded = new Promise<void>((resolve) => setImmediate(() => {
@@ -291,7 +304,7 @@
     announcer.crashed(crashFrame(crash, aboard, clock.now()))
   }
 
-  /** Looks for the request that caused a crash, once all instances have reported the requests that they had in flight. */
+  /** Waits until all instances have reported the requests that they had in flight at a crash, and then looks for the request that caused it. */
   private async awaitDecision (life: string): Promise<void> {
     const decision = this.pendingDecisions.get(life) ?? this.decide(life)
     this.pendingDecisions.set(life, decision)
@@ -305,7 +318,7 @@
     for (const decision of this.crashTracker.decide(life)) this.announceDecision(decision, isOwn)
   }
 
-  /** @param isOwn - whether this instance saw the deciding crash */
+  /** @param isOwn - whether this instance saw the crash that led to the decision */
   private announceDecision (decision: QuarantineDecision, isOwn: boolean): void {
     this.logDecision(decision, isOwn ? 'crashes seen here' : 'crashes seen elsewhere')
     this.parts.announcer.convicted(decision, isOwn)
@@ -319,8 +332,8 @@
   }
 
   /**
-   * @returns the standing of the request. A newer version of its adapter may have fixed the fault; then the request is run once before
-   *   its first quarantine has expired.
+   * @returns whether the request is unsuspected, suspected or quarantined. A newer version of its adapter may have fixed the fault. So when
+   *   a newer version appears during the first quarantine of the request, the request may run once before that quarantine has expired.
    */
   private standing (request: RoutedRequest, fingerprint: RequestFingerprint): ReturnType<CrashTracker['standing']> {
     const key = request.facts.adapter?.key
--- a/packages/ingress/src/relay/attempt-record.ts
+++ b/packages/ingress/src/relay/attempt-record.ts
@@ -1,7 +1,10 @@
-/** Chooses the error for a request that could not be answered, from whether its attempts prove that it did not run. */
+/**
+ * Summary of all attempts of one request: whether an endpoint may have begun to run the request, and why the last attempt failed. From this
+ * summary follows the error for a request that could not be answered. The error tells the caller whether the request may have run.
+ */
 import { LimpetwinchError } from '@limpetwinch/core'
 
-/** What the attempts of one request have shown so far. */
+/** What the failed attempts of one request have shown so far. */
 export class AttemptRecord {
   private mayHaveRun = false
   private lastReason = 'no endpoint is free'
@@ -27,7 +30,7 @@
 
   /**
    * @param retryAfterSeconds - time after which a retry is likely to succeed
-   * @returns the error to respond with; its outcome is `not_run` only where that is proved
+   * @returns the error to respond with; its outcome is `not_run` only if all attempts proved that the request did not run
    */
   finalError (retryAfterSeconds: number): LimpetwinchError {
     if (this.mayHaveRun) return new LimpetwinchError('endpoint-failed', { endpoint: this.lastEndpoint, reason: this.lastReason })
@@ -35,7 +38,7 @@
     return new LimpetwinchError('endpoint-refused', { endpoint: this.lastEndpoint, reason: this.lastReason }, { retryAfterSeconds })
   }
 
-  /** @returns the error for a request whose deadline has passed */
+  /** @returns the error for a request that has timed out */
   timeoutError (retryAfterSeconds: number): LimpetwinchError {
     if (this.mayHaveRun) return new LimpetwinchError('deadline-passed')
     return new LimpetwinchError('no-endpoint', { reason: `${this.lastReason} within its time` }, { retryAfterSeconds })
--- a/packages/ingress/src/relay/attempt.ts
+++ b/packages/ingress/src/relay/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request on one endpoint. */
+/** One attempt of a request on one endpoint: sends the HTTP request on a connection and checks that the response is complete and belongs to the request. */
 import type { Dispatcher } from 'undici'
 import type { ResponseFacts, RequestCodec } from './request-codec.js'
 import type { EndpointConnection } from './endpoint-connections.js'
@@ -23,7 +23,7 @@
 
 /** Receives a response as it arrives. */
 export interface AttemptSink {
-  /** Called once with the status and headers, after the response was checked to belong to this request. */
+  /** Called once with the status and headers, after a check that the response belongs to this request. */
   head: (head: ResponseHead) => void
   /** Called with each part of the body, in order. */
   data: (chunk: Buffer) => void
@@ -40,7 +40,7 @@
   /** This instance cancelled the attempt after the request was sent. */
   | { readonly kind: 'abandoned', readonly reason: string }
 
-/** Runs one attempt. */
+/** Sends one HTTP request and passes its response to a sink. */
 export class Attempt {
   private readonly connection: EndpointConnection
   private readonly codec: RequestCodec
@@ -65,7 +65,7 @@
     return this.head !== undefined && this.abandonReason === undefined && String(this.head.headers.connection ?? '').toLowerCase() !== 'close'
   }
 
-  /** Whether any byte may have reached the endpoint. */
+  /** Whether any byte of the request may have reached the endpoint. */
   get wasSent (): boolean {
     return this.sent
   }
@@ -117,7 +117,7 @@
     return {
       onRequestStart: (controller) => {
         // undici sends a request again when its connection was closed in a way that undici considers harmless. The endpoint may
-        // have begun to run the first one, and only the callers of this class know whether a retry is allowed.
+        // have begun to run the request already, and only the callers of this class know whether a retry is allowed.
         if (this.sent) return controller.abort(new Error('it would have been sent twice'))
         this.sent = true
         this.controller = controller
@@ -148,8 +148,10 @@
   }
 
   /**
-   * A response whose end was read before its connection closed is complete. A response that ended with its connection is complete only
-   * when its body is delimited by the end of the connection and the endpoint closed the connection on purpose.
+   * A response whose end was read before its connection closed is complete. A response that ended when its connection closed is complete
+   * only if the end of the connection delimits its body and the endpoint closed the connection on purpose.
+   *
+   * @returns how the attempt ended
    */
   private async endOfResponse (): Promise<AttemptEnd> {
     const { ended, bodyEndsWithConnection } = this.connection
--- a/packages/ingress/src/relay/caller-exchange.ts
+++ b/packages/ingress/src/relay/caller-exchange.ts
@@ -6,14 +6,14 @@
 import type { Result } from 'neverthrow'
 import type { ResponseHead } from './attempt.js'
 
-/** Hop-by-hop headers: they concern one connection only and are forwarded in neither direction. */
+/** Hop-by-hop headers, which concern one connection only. Neither those of a request nor those of a response are forwarded. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect', 'content-length', 'http2-settings'
 ])
-/** Default `retry-after` of a refusal, for errors that name no time of their own. */
+/** Default `retry-after` of an error response, in seconds, for errors that name no time of their own. */
 const RETRY_AFTER_SECONDS = 0.5
 
-/** The exchange with one caller. */
+/** One request of a caller and the response to it. */
 export class CallerExchange {
   readonly incoming: IncomingMessage
   private readonly outgoing: ServerResponse
@@ -64,7 +64,7 @@
   /**
    * Selects the caller's headers that are forwarded to an endpoint.
    *
-   * @param isSystemHeader - whether a header, named in lower case, is not forwarded as it came
+   * @param isSystemHeader - returns whether a header, named in lower case, must not be forwarded unchanged
    * @returns header names and values, alternating
    */
   headersForEndpoint (isSystemHeader: (name: string) => boolean): string[] {
@@ -106,13 +106,13 @@
   async drained (): Promise<void> {
     if (this.left.aborted || !this.outgoing.writableNeedDrain) return
     await once(this.outgoing, 'drain', { signal: this.left }).catch(() => {
-      // The caller left; the `left` signal tells the writer.
+      // The caller left. The `left` signal is aborted then, which also ends the attempt that writes here.
     })
   }
 
   /**
-   * Ends the response once all its bytes have left this process. A connection whose response has ended counts as idle, and a stop
-   * closes idle connections, which would discard bytes that the caller has not read yet.
+   * Ends the response once all its bytes have left this process. A connection whose response has ended counts as idle. An instance
+   * that stops closes its idle connections, which would discard bytes that the caller has not read yet.
    */
   end (): void {
     if (this.unflushed === 0) this.outgoing.end()
@@ -145,7 +145,7 @@
     if (this.hasResponseStarted) return this.cut()
     const body = JSON.stringify({ error: { code: error.code, message: error.message, outcome: error.outcome } })
     const retryAfter = error.status === 503 || error.status === 429 ? { 'retry-after': String(error.retryAfterSeconds ?? RETRY_AFTER_SECONDS) } : {}
-    // The unread rest of the request body would be parsed as the next request on a connection that is kept.
+    // If the connection were kept, the unread rest of the request body would be parsed as the next request.
     const unread = this.incoming.complete ? {} : { connection: 'close' }
     this.outgoing.writeHead(error.status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body), ...retryAfter, ...unread })
     this.outgoing.end(body)
--- a/packages/ingress/src/relay/endpoint-connections.ts
+++ b/packages/ingress/src/relay/endpoint-connections.ts
@@ -1,24 +1,27 @@
-/** Connections to one endpoint: each carries one request at a time, and is reused only after a complete response. */
+/** HTTP connections to one endpoint: each connection carries one request at a time, and is reused only after a complete response. */
 import type { Socket } from 'node:net'
 import { buildConnector, Client } from 'undici'
 
-/** Connection timeout. Data centres are a few milliseconds apart, so an endpoint that does not accept in this time is unreachable or has left. */
+/**
+ * Connection timeout. Data centres are a few milliseconds apart, so an endpoint that does not accept a connection within this time is
+ * unreachable or has left.
+ */
 const CONNECT_MILLISECONDS = 250
 /**
  * Time after which an idle connection is closed. Endpoints close idle connections after a time that they do not always announce.
- * When an endpoint closes a connection just as a request is sent, it is unknown whether the request ran, so idle connections are
- * closed well before.
+ * When an endpoint closes a connection just as a request is sent, nobody knows whether the request ran. So this instance closes
+ * idle connections well before endpoints usually do.
  */
 const IDLE_MILLISECONDS = 4_000
 
 const connectSocket = buildConnector({ timeout: CONNECT_MILLISECONDS })
 
-/** One connection. */
+/** One connection to an endpoint, with a record of how its socket ended. */
 export class EndpointConnection {
   readonly client: Client
-  /** How the current socket ended: by an error such as a reset, or in order by the endpoint. */
+  /** How the current socket ended: by an error such as a reset, or in order by the endpoint; `not` while the socket is open. */
   ended: 'not' | 'in-order' | 'by-error' = 'not'
-  /** Whether the current response has neither a length nor chunks, so that the end of the connection marks its end. */
+  /** Whether the current response has neither a length nor chunks, so that the end of the connection marks the end of the response. */
   bodyEndsWithConnection = false
   private orderlyEnd: Promise<boolean> | undefined
 
@@ -56,7 +59,7 @@
     return this.ended === 'in-order' && await this.orderlyEnd === true
   }
 
-  /** Closes the connection at once; the endpoint drops the request that it runs for it. */
+  /** Closes the connection at once; the endpoint then drops the request that it runs for this connection. */
   destroy (): void {
     void this.client.destroy().catch(() => {
       // The rejection repeats the error of the request in flight, which was already passed to the handler of that request.
@@ -66,8 +69,8 @@
 
 /**
  * Checks by a write whether a connection was closed in order. A reset that arrives after the last bytes is read as an orderly end, so
- * a response that was truncated there would look complete. The operating system reports the reset only to a write: writing an empty
- * line, which endpoints ignore, fails on a connection that was reset and succeeds on one that was closed in order.
+ * a response that was truncated by the reset would look complete. The operating system reports the reset only to a write. Writing an
+ * empty line, which endpoints ignore, fails on a connection that was reset and succeeds on one that was closed in order.
  */
 async function provesOrderlyEnd (socket: Socket): Promise<boolean> {
   return await new Promise((resolve) => {
@@ -107,9 +110,9 @@
   }
 
   /**
-   * Returns a connection to the idle ones, or closes it.
+   * Takes a connection back after its request: adds the connection to the idle ones, or closes it.
    *
-   * @param reusable - whether its last response was complete and the endpoint keeps the connection open
+   * @param reusable - whether the last response on the connection was complete and the endpoint keeps the connection open
    * @param now - monotonic time
    */
   release (connection: EndpointConnection, reusable: boolean, now: number): void {
--- a/packages/ingress/src/relay/endpoint-contacts.ts
+++ b/packages/ingress/src/relay/endpoint-contacts.ts
@@ -1,11 +1,12 @@
 /**
- * Records when response bytes were last received from an endpoint: for one attempt, and on any connection. An attempt without
- * contact on an endpoint with recent contact is a paused run; an endpoint without any contact is lost.
+ * Records when response headers or body bytes were last received from an endpoint, which is called a contact: for one attempt, and
+ * on any connection. When an attempt has no contact but its endpoint has recent contact on other connections, the run of the request
+ * is paused. An endpoint without contact on any connection is lost.
  */
 import type { Clock, EndpointId } from '@limpetwinch/core'
 import type { AttemptSink } from './attempt.js'
 
-/** Time of the last contact with each endpoint. */
+/** Monotonic time at which this instance last received response headers or body bytes from each endpoint. */
 export class EndpointContacts {
   private readonly clock: Clock
   private readonly lastContacts = new Map<EndpointId, number>()
@@ -15,12 +16,12 @@
     this.clock = clock
   }
 
-  /** Starts to record the contacts of one attempt on the endpoint. */
+  /** Starts to record when the response of one attempt on the endpoint arrives. @returns the record of the attempt */
   watch (endpoint: EndpointId): AttemptContact {
     return new AttemptContact(this.clock, (now) => { this.lastContacts.set(endpoint, now) }, () => this.lastContacts.get(endpoint))
   }
 
-  /** @returns monotonic time of the last contact with the endpoint; undefined if there was none */
+  /** @returns monotonic time at which the last response bytes arrived from the endpoint; undefined if none ever did */
   lastContactAt (endpoint: EndpointId): number | undefined {
     return this.lastContacts.get(endpoint)
   }
@@ -31,7 +32,7 @@
   }
 }
 
-/** Time of the last contact of one attempt. */
+/** Time at which the last response bytes of one attempt arrived; the time of sending while none have arrived. */
 export class AttemptContact {
   private readonly clock: Clock
   private readonly onContact: (now: number) => void
@@ -45,7 +46,7 @@
     this.lastContactAt = clock.now()
   }
 
-  /** @returns a sink that records each contact and passes everything on to the given sink */
+  /** @returns a sink that records when the response headers and each chunk of the body arrive, and passes them on to the given sink */
   through (sink: AttemptSink): AttemptSink {
     return {
       head: (head) => {
@@ -59,7 +60,10 @@
     }
   }
 
-  /** Log fields, milliseconds: since the attempt was sent or had its last contact, and since the last contact on any connection of the endpoint. */
+  /**
+   * Log fields, both in milliseconds: `quiet` is the time since the attempt was sent or received its last response bytes, and
+   * `endpointQuiet` is the time since any connection to the endpoint received response bytes.
+   */
   get logFields (): { readonly quiet: number, readonly endpointQuiet: number | undefined } {
     const now = this.clock.now()
     const endpointLastContactAt = this.endpointLastContactAt()
--- a/packages/ingress/src/relay/endpoint-senders.ts
+++ b/packages/ingress/src/relay/endpoint-senders.ts
@@ -1,4 +1,7 @@
-/** Sends attempts to endpoints: takes a connection, adds headers, and reports the outcome to the quarantine and the outlier ejection. */
+/**
+ * Sends attempts of requests to endpoints: takes a connection, adds headers, and reports lost connections to the quarantine and outcomes
+ * to the outlier ejection.
+ */
 import type { Clock, EndpointId, Logger } from '@limpetwinch/core'
 import type { OutlierEjection } from '@limpetwinch/decisions'
 import type { IngressMetrics } from '../observability/ingress-metrics.js'
@@ -16,9 +19,9 @@
   readonly endpoint: Endpoint
   /** Id of the event after which a stream is to be resumed. */
   readonly lastEventId: string | undefined
-  /** Version of the adapter that the endpoint must have; undefined accepts any. */
+  /** Version of the adapter that the endpoint must have; undefined accepts any version. */
   readonly adapterVersion: number | undefined
-  /** Number of attempts that were made before. */
+  /** Number of attempts of the same request that were made before this one. */
   readonly earlierAttempts: number
   /** Log fields that explain the choice of the endpoint. */
   readonly grounds: Readonly<Record<string, unknown>>
--- a/packages/ingress/src/relay/event-splitter.ts
+++ b/packages/ingress/src/relay/event-splitter.ts
@@ -1,6 +1,6 @@
-/** Splits an event stream into complete events, so that a partial event never reaches a caller. */
+/** Splits the bytes of an event stream (server-sent events) into complete events, so that a partial event never reaches a caller. */
 
-/** A complete event. */
+/** One event of a stream, with all its bytes. */
 export interface CompleteEvent {
   /** The bytes as received, including the blank line that ends the event. */
   readonly bytes: Buffer
@@ -8,15 +8,15 @@
   readonly id: string | undefined
 }
 
-/** Largest accepted event. A stream without the end of an event for longer than this is malformed. */
+/** Largest accepted event. A stream that sends more bytes than this without the end of an event is malformed. */
 const MAXIMUM_EVENT_BYTES = 1_048_576
 const LINE_FEED = 10
 const CARRIAGE_RETURN = 13
 const ID_FIELD = /^id:[ ]?([^\r\n]*)/m
 
-/** Splits one event stream. */
+/** Buffers the bytes of one stream until an event is complete. */
 export class EventSplitter {
-  /** Bytes of the incomplete event. */
+  /** Bytes received so far of the event that is not complete yet. */
   private rest: Buffer = Buffer.alloc(0)
 
   /** Whether the stream is at the end of an event: no bytes of an incomplete event are buffered. */
@@ -24,7 +24,7 @@
     return this.rest.length === 0
   }
 
-  /** Whether the incomplete event is larger than an event may be. */
+  /** Whether the event that is not complete yet is already larger than an event may be. */
   get exceedsEventLimit (): boolean {
     return this.rest.length > MAXIMUM_EVENT_BYTES
   }
@@ -44,7 +44,7 @@
   }
 }
 
-/** @returns the position after the blank line that ends the event, or -1 when there is none yet */
+/** @returns the position after the blank line that ends the event, or -1 when no such line has arrived yet */
 function endOfEvent (bytes: Buffer, start: number): number {
   for (let at = bytes.indexOf(LINE_FEED, start); at !== -1; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2
--- a/packages/ingress/src/relay/failover-search.ts
+++ b/packages/ingress/src/relay/failover-search.ts
@@ -1,4 +1,4 @@
-/** Searches for another engine for a stream whose engine is unresponsive. The stream stays on its engine until another one is found. */
+/** Searches for another engine for a stream whose engine is unresponsive. The stream stays on its engine until another engine is found. */
 import type { FoundEngine } from '../adapters/engine-finder.js'
 
 /** The searches during one attempt; at most one runs at a time. */
@@ -19,7 +19,7 @@
     this.onFound = onFound
   }
 
-  /** Starts a search because the engine is unresponsive, unless a search runs or an engine was found. */
+  /** Starts a search because the engine is unresponsive, unless a search already runs or another engine was already found. */
   start (): void {
     if (this.ended || this.ending !== undefined || this.found !== undefined) return
     const ending = new AbortController()
--- a/packages/ingress/src/relay/relayed-stream.ts
+++ b/packages/ingress/src/relay/relayed-stream.ts
@@ -1,4 +1,7 @@
-/** Relays one event stream: attempts it on engines until it is complete, and resumes it after its last event where the route allows that. */
+/**
+ * Relays one event stream: sends the request to one engine after another until the stream is complete. Where the route allows it, the next
+ * engine resumes the stream after its last event.
+ */
 import type { EndpointId } from '@limpetwinch/core'
 import { LimpetwinchError } from '@limpetwinch/core'
 import { callerPatience, longestAdapterWait } from '@limpetwinch/decisions'
@@ -11,32 +14,42 @@
 import { StreamAttempt } from './stream-attempt.js'
 import type { IdleWatch, StreamProgress, StreamAttemptResult } from './stream-attempt.js'
 
-/** Most attempts of one request. Even attempts that prove that the request did not run take time; after this many the engines are assumed to be full. */
+/** Most attempts of one request. Even attempts that prove that the request did not run take time. After this many attempts the engines are assumed to be full. */
 const MAXIMUM_SENDS = 4
 /**
- * Shortest wait for the first event before another engine is searched for. An endpoint from which nothing was received on any connection
- * for this time counts as lost.
+ * Shortest time without a first event after which another engine is searched for. The same time without any response bytes on any
+ * connection to an endpoint makes that endpoint count as lost.
  */
 const MINIMUM_PATIENCE_MILLISECONDS = 1_500
-/** Factor on the forecast of the first event before the engine counts as unresponsive: under load, forecasts are mostly wrong by up to this factor. */
+/**
+ * Multiple of the forecast time until the first event after which another engine is searched for. Under load, the forecasts are mostly wrong
+ * by up to this factor.
+ */
 const PATIENCE_FORECAST_FACTOR = 3
-/** HTTP status of an engine that does not hold the adapter. */
+/** HTTP status with which an engine refuses a request because it does not hold the adapter. */
 const MISDIRECTED = 421
-/** Most searches for an engine when each engine that is found turns out to be claimed by another suspected request. */
+/** Most searches for an engine before one attempt, when each engine that is found turns out to be claimed by another suspected request. */
 const MAXIMUM_SEARCHES = 4
 /** Reason of the attempt that is abandoned when another engine takes over the stream. */
 const REPLACED = 'the engine fell silent and another one goes on'
 
-/** What to do after an attempt. */
+/**
+ * What to do after an attempt.
+ *
+ * - `whole`: nothing more, since the caller has received the complete stream
+ * - `pass-on`: send the engine's response, which is not a stream but an error, to the caller
+ * - `try-again`: make another attempt, if an engine is found and the retry budget allows it
+ * - `give-up`: respond to the caller with an error of this instance, or truncate the response that has begun
+ */
 type NextStep = 'whole' | 'pass-on' | 'try-again' | 'give-up'
 
-/** The result of an attempt, and the engine that was found to replace its engine, if any. */
+/** The result of an attempt, and the engine on which the stream continues, if the attempt was abandoned because its engine was unresponsive. */
 interface AttemptOutcome {
   readonly result: StreamAttemptResult
   readonly replacement: FoundEngine | undefined
 }
 
-/** Relays one stream. */
+/** The relaying of one stream, from its request to its end, over all attempts. */
 export class RelayedStream {
   private readonly parts: StreamRelayDependencies
   private readonly request: RoutedRequest
@@ -47,13 +60,13 @@
   private sends = 0
   /** Number of attempts on which the request may have run. */
   private runs = 0
-  /** Time spent waiting for adapter loads. */
+  /** Time that the searches waited for engines that hold the adapter, over all attempts. */
   private totalStallMilliseconds = 0
-  /** Engines that this request has already reported as unresponsive on all connections. */
+  /** Engines that were already reported as failed for this request, because no response bytes arrived from them on any connection. */
   private readonly reportedUnresponsive = new Set<EndpointId>()
-  /** The error when the quarantine refuses the request. */
+  /** The error with which the quarantine refused the request; undefined unless it did. */
   private refusal: LimpetwinchError | undefined
-  /** The engine that the stream left last because another engine was found. */
+  /** The last engine that was unresponsive and that the stream left for another engine. */
   private left: EndpointId | undefined
 
   constructor (parts: StreamRelayDependencies, request: RoutedRequest) {
@@ -102,7 +115,10 @@
     return undefined
   }
 
-  /** Searches for an engine. A suspected request avoids engines that run other suspected requests, and engines where a crash would end many runs. */
+  /**
+   * Searches for an engine. A request that is suspected of crashing engines avoids engines that run other suspected requests, and engines
+   * where a crash would end many running requests.
+   */
   private async findAdmissibleEngine (): Promise<FoundEngine | undefined> {
     const { quarantine } = this.parts
     if (quarantine.isUnsuspected(this.request)) return await this.findEngine()
@@ -127,8 +143,8 @@
   private async findReplacement (idle: FoundEngine, ending: AbortSignal): Promise<FoundEngine | undefined> {
     const { clock, senders, quarantine } = this.parts
     if (!quarantine.isUnsuspected(this.request)) return undefined
-    // An engine that responds to other requests has this stream in its queue; loading the adapter on another engine would take a slot from
-    // requests that have no engine at all.
+    // When the engine responds to other requests but has sent no event of this stream, the request waits in the queue of that engine.
+    // Loading the adapter on another engine would take an adapter slot from requests that have no engine at all.
     const isLost = senders.millisecondsSinceContact(idle.endpoint.id) >= MINIMUM_PATIENCE_MILLISECONDS
     if (isLost) this.reportUnresponsive(idle.endpoint.id)
     const mayNotLoad = this.progress.firstEventAt === undefined && !isLost
@@ -138,7 +154,7 @@
     return engine
   }
 
-  /** Reports an engine that is unresponsive on all connections as failed, once for each request however often the request notices it. */
+  /** Reports an engine that is unresponsive on all connections as failed, at most once for this request. */
   private reportUnresponsive (endpoint: EndpointId): void {
     if (this.reportedUnresponsive.has(endpoint)) return
     this.reportedUnresponsive.add(endpoint)
@@ -148,21 +164,25 @@
   /** @returns monotonic time until which to search for an engine */
   private searchEnd (): number {
     const { arrivedAt, endsAt, route, facts } = this.request
-    // Only a caller whose request has not run can retry after a refusal. For any other caller, this is the only response that it can get.
+    // Only a caller whose request has not run can retry after a refusal. Any other caller has no second chance to get a response, so the
+    // search goes on until that caller is expected to leave.
     if (this.runs > 0 || this.progress.firstEventAt !== undefined) return this.callerLeavesAt()
-    // A request without an adapter waits for no load.
+    // A request for the base model needs no adapter load, so its search does not wait.
     if (facts.adapter?.name === undefined) return arrivedAt
     return arrivedAt + longestAdapterWait({ timeToDeadline: endsAt - arrivedAt, objective: route.objectiveMilliseconds, gap: route.gapMilliseconds })
   }
 
-  /** @returns monotonic time at which the caller is expected to leave, or the request ends, if no event arrives before */
+  /**
+   * @returns monotonic time at which the caller is expected to leave if no event arrives before; at the latest the time at which the request
+   *   times out
+   */
   private callerLeavesAt (): number {
     const { arrivedAt, endsAt, route } = this.request
     const patience = callerPatience({ objective: route.objectiveMilliseconds, gap: route.gapMilliseconds })
     return Math.min(endsAt, (this.progress.lastEventAt ?? arrivedAt) + patience)
   }
 
-  /** @returns whether the retry budget of the service allows one more attempt */
+  /** Takes one retry from the retry budget of the service. @returns whether the budget allowed the retry */
   private mayRetry (): boolean {
     const { clock, logger, budgets } = this.parts
     const { service, facts } = this.request
@@ -171,7 +191,10 @@
     return false
   }
 
-  /** @param runs - number of attempts on which the request may have run by then */
+  /**
+   * @param runs - number of attempts on which the request may already have run before the next one
+   * @returns whether the route allows the stream to be resumed by one more attempt
+   */
   private mayRunAgain (runs: number): boolean {
     const { route } = this.request
     return route.resumable && runs < route.mostAttempts
@@ -210,7 +233,7 @@
     return { result, replacement }
   }
 
-  /** @returns what to do while the engine is idle; undefined when the stream may not continue on another engine */
+  /** @returns what to do while the engine sends no event of the stream; undefined when the stream may not continue on another engine */
   private idleWatch (failover: FailoverSearch, forecastMilliseconds: number): IdleWatch | undefined {
     if (!this.mayRunAgain(this.runs + 1) || this.sends + 1 >= MAXIMUM_SENDS) return undefined
     const firstMilliseconds = Math.max(MINIMUM_PATIENCE_MILLISECONDS, PATIENCE_FORECAST_FACTOR * forecastMilliseconds)
@@ -237,7 +260,7 @@
   }
 
   /**
-   * Called when an engine did not accept the stream. If that engine had replaced another one, and the replaced engine responds to other
+   * Called when an engine did not run the request. If that engine had replaced another one, and the replaced engine responds to other
    * requests, the replaced engine may be attempted again.
    */
   private readmitReplacedEngine (): void {
@@ -262,7 +285,7 @@
   private recordFailure ({ endpoint }: FoundEngine, result: Extract<StreamAttemptResult, { reason: string }>): void {
     if (result.kind === 'not-sent') this.record.notRun(endpoint.id, result.reason)
     else this.record.unknown(endpoint.id, result.reason)
-    // An engine that responds to other requests and was replaced by choice has not failed.
+    // An engine that was replaced has not failed as long as it responds to other requests. An engine that responds to none was already reported.
     const wasReplaced = result.reason === REPLACED
     if (!this.request.signal.aborted && !wasReplaced && !this.reportedUnresponsive.has(endpoint.id)) this.parts.senders.observe(endpoint.id, 'failed', result.reason)
   }
--- a/packages/ingress/src/relay/request-codec.ts
+++ b/packages/ingress/src/relay/request-codec.ts
@@ -1,8 +1,8 @@
-/** The interface between the relay and a platform's headers: the relay knows their content, the codec knows their names and formats. */
+/** The interface between the relay and the headers of a platform: the relay works with what the headers say, the codec knows their names and formats. */
 import type { EndpointId } from '@limpetwinch/core'
 import type { AdapterKey } from '../routes/configuration.js'
 
-/** A part of a prompt, which an engine may have cached. */
+/** A part of a prompt. An engine may have cached it from an earlier request with the same beginning. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: number
@@ -28,25 +28,26 @@
   readonly outputTokens: number
   /** The parts of the prompt, in order. */
   readonly promptParts: readonly PromptPart[]
-  /** Id of the last event that the caller has received; undefined when it does not resume a stream. */
+  /** Id of the last event that the caller has received; undefined when the caller does not resume a stream. */
   readonly lastEventId: string | undefined
 }
 
 /** What the system sends to an endpoint in addition to the caller's headers. */
 export interface SendFacts {
   readonly endpoint: EndpointId
+  /** Time until the request times out. */
   readonly millisecondsLeft: number
   /** Priority of the request, 0 being the most urgent; undefined for plain services. */
   readonly priority: number | undefined
   /** Version of the adapter without which the endpoint must refuse the request; undefined accepts any version. */
   readonly adapterVersion: number | undefined
-  /** Id of the event after which the stream is to be resumed. */
+  /** Id of the event after which the stream is to be resumed; undefined to start from the beginning. */
   readonly lastEventId: string | undefined
 }
 
 /** The content of the headers of a response. */
 export interface ResponseFacts {
-  /** Id of the request that the response belongs to. */
+  /** Id of the request that the response belongs to; undefined when the response states none. */
   readonly requestId: string | undefined
   /** Whether the response is signed by the endpoint, so that no intermediary produced it. */
   readonly signed: boolean
--- a/packages/ingress/src/relay/routed-listener.ts
+++ b/packages/ingress/src/relay/routed-listener.ts
@@ -14,16 +14,28 @@
 import type { RequestCodec } from './request-codec.js'
 import type { RoutedRequest } from './routed-request.js'
 
-/** Header limit of the HTTP server. Headers are parsed before the configuration is known; the configured limit is checked afterwards. */
+/**
+ * Largest request headers that the HTTP server parses. The server is created before the configuration is known, so the configured limit is
+ * checked after parsing.
+ */
 const MAXIMUM_HEADER_BYTES = 64 * 1024
-/** Backlog of the listening socket. The operating system drops connections beyond it in a burst, and their callers retry only seconds later. */
+/**
+ * Backlog of the listening socket: the number of connections that may wait to be accepted. In a burst, the operating system drops connections
+ * beyond this number, and their callers retry only seconds later.
+ */
 const BACKLOG = 1_024
-/** An idle connection is kept this much longer than callers expect, so that it is not closed just when a request is sent on it. */
+/**
+ * Added to the configured time limits for idle connections and for headers. An idle connection is kept this much longer than callers
+ * expect, so that it is not closed just when a caller sends a request on it.
+ */
 const IDLE_MARGIN_MILLISECONDS = 1_000
-/** Time limit for receiving a request; the timeouts of routes are usually shorter. */
+/** Time limit for receiving a request with its body; the timeouts of routes are usually shorter. */
 const BODY_MILLISECONDS = 60_000
 
-/** `retry-after` while this instance is stopping: the load balancer assigns the caller's next connection to another instance. */
+/**
+ * `retry-after` of refusals while this instance is stopping, in seconds. The time is short because the load balancer assigns the caller's next
+ * connection to another instance.
+ */
 const STOPPING_RETRY_SECONDS = 0.05
 
 /** Serves one routed request to its end. */
@@ -45,7 +57,7 @@
   readonly services: RequestRelay
 }
 
-/** The listener for callers. */
+/** HTTP server that accepts the requests of callers, chooses their routes and logs how they ended. */
 export class RoutedListener {
   private readonly parts: RoutedListenerDependencies
   private readonly server: Server
@@ -84,7 +96,7 @@
     this.stopping = true
   }
 
-  /** Accepts no new connections, closes idle connections and refuses requests that still arrive on the other ones. */
+  /** Accepts no new connections, closes idle connections and refuses requests that still arrive on busy connections. */
   stopAccepting (): void {
     this.refusing = true
     this.server.close()
@@ -116,7 +128,7 @@
 
   /**
    * Closes the connection of a request that was answered while this instance is stopping. A response that began before the stop did not
-   * ask its caller to use another connection, so without this the next request could arrive on it until the process exits.
+   * ask its caller to use another connection. If its connection stayed open, the next request could arrive there until the process exits.
    */
   private closeKeptAliveConnection (incoming: IncomingMessage): void {
     if (this.stopping) incoming.socket.destroySoon()
--- a/packages/ingress/src/relay/routed-request.ts
+++ b/packages/ingress/src/relay/routed-request.ts
@@ -1,9 +1,9 @@
-/** A request with its route, ready to be sent to an endpoint. */
+/** The request of a caller after its route and service were chosen, which a relay sends to an endpoint. */
 import type { Route, Service } from '../routes/configuration.js'
 import type { CallerExchange } from './caller-exchange.js'
 import type { RequestFacts } from './request-codec.js'
 
-/** A request as a relay receives it. */
+/** A caller's request with its route, as the listener passes it to a relay. */
 export interface RoutedRequest {
   readonly exchange: CallerExchange
   readonly facts: RequestFacts
--- a/packages/ingress/src/relay/service-relay.ts
+++ b/packages/ingress/src/relay/service-relay.ts
@@ -12,13 +12,16 @@
 import type { RelayOutcome } from './relay-outcome.js'
 import type { RoutedRequest } from './routed-request.js'
 
-/** Largest accepted response. Responses are buffered in memory until they are complete, since a truncated one must not reach the caller. */
+/** Largest accepted response body. Responses are buffered in memory until they are complete, since a truncated response must not reach the caller. */
 const MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024
-/** Most attempts of one request. Even attempts that prove that the request did not run take time; after this many the service is assumed to be full. */
+/** Most attempts of one request. Even attempts that prove that the request did not run take time. After this many attempts the service is assumed to be full. */
 const MAXIMUM_SENDS = 4
-/** A safe request without a response after this share of its latency objective is sent to another endpoint, while a response can still be on time. */
+/**
+ * Share of the latency objective after which a safe request without a response is sent to another endpoint. The rest of the objective
+ * is left so that the response of the other endpoint can still be on time.
+ */
 const PATIENCE_OBJECTIVE_SHARE = 0.9
-/** Retry time for callers: slots of an endpoint become free within a fraction of a second. */
+/** `retry-after` of the errors that callers receive, in seconds: slots of an endpoint become free within a fraction of a second. */
 const RETRY_AFTER_SECONDS = 0.25
 const FIRST_SERVER_ERROR = 500
 
@@ -39,14 +42,14 @@
   readonly end: AttemptEnd
   readonly head: ResponseHead | undefined
   readonly body: Buffer
-  /** Endpoint of the next attempt, when this attempt was abandoned for it. */
+  /** Endpoint of the next attempt, when this attempt was abandoned in favour of that endpoint. */
   readonly replacement: Endpoint | undefined
 }
 
-/** Plan of one attempt. */
+/** Where one attempt is sent, and when another endpoint may replace that endpoint. */
 interface AttemptPlan {
   readonly endpoint: Endpoint
-  /** Number of attempts that were made before. */
+  /** Number of attempts of the same request that were made before this one. */
   readonly earlierAttempts: number
   /** Time without a response after which another endpoint is searched for, milliseconds; undefined for never. */
   readonly patience: number | undefined
@@ -91,14 +94,14 @@
       const resultKind = this.classify(request, result, endpoint, record)
       if (resultKind === 'deliver' || (resultKind === 'server-error' && route.kind !== 'safe')) return deliver(request, result, sends + 1)
       if (resultKind === 'server-error') serverError = result
-      // After a refusal by the replacement, the endpoint that it replaced may be attempted again.
+      // When the replacement refused the request, the endpoint that was replaced may be attempted again.
       if (resultKind === 'not-run' && replaced !== undefined) attempted.delete(replaced)
       replaced = replacement === undefined ? undefined : endpoint.id
       if (resultKind !== 'not-run') runs += 1
       if (resultKind !== 'not-run' && (route.kind !== 'safe' || runs >= route.mostAttempts)) break
     }
     if (exchange.left.aborted) return { outcome: 'caller-left', tries: attempted.size }
-    // An error response of an endpoint tells the caller more than an error of this instance could.
+    // The caller learns more from an error response of an endpoint than from an error that this instance produces.
     if (serverError !== undefined) return deliver(request, serverError, attempted.size)
     const error = this.finalError(request, record, refusal)
     exchange.refuse(error)
@@ -111,7 +114,7 @@
   }
 
   /**
-   * Chooses the endpoint of the next attempt. From the second attempt on, this takes a retry from the retry budget.
+   * Chooses the endpoint of the next attempt. From the second attempt on, the choice takes a retry from the retry budget of the service.
    *
    * @param attempted - endpoints that the request was sent to before
    * @param avoided - endpoints that the quarantine excludes
@@ -144,12 +147,12 @@
       }
     })
     const switchEndpoint = (): void => {
-      // Without another endpoint, the late response of this endpoint is the only one that the caller can get.
+      // Without another endpoint, the attempt goes on: its late response is the only one that the caller can get.
       replacement = next()
       if (replacement !== undefined) sending.attempt.abandon('no answer within the objective')
     }
     let pendingSwitch: NodeJS.Immediate | undefined
-    // After a process pause, timers fire before a response that has already arrived is read; the immediate lets that be read first.
+    // After a process pause, timers fire before a response that has already arrived is read. `setImmediate` lets that response be read first.
     const timer = patience === undefined ? undefined : setTimeout(() => { pendingSwitch = setImmediate(switchEndpoint) }, patience)
     const end = await sending.ended
     clearTimeout(timer)
@@ -199,6 +202,7 @@
   }
 }
 
+/** Reason with which the endpoint senders abandon an attempt whose caller has left; such an attempt does not count as a failure of the endpoint. */
 const CALLER_LEFT = 'the caller left'
 const NONE: ReadonlySet<EndpointId> = new Set()
 
--- a/packages/ingress/src/relay/stream-attempt.ts
+++ b/packages/ingress/src/relay/stream-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a stream on one engine: passes complete events to the caller and detects when the engine is idle. */
+/** One attempt of a stream on one engine: passes complete events to the caller and detects when the engine sends no events on this stream. */
 import type { Clock } from '@limpetwinch/core'
 import { EventSpacing } from '@limpetwinch/decisions'
 import type { ResponseHead, AttemptSink } from './attempt.js'
@@ -6,9 +6,12 @@
 import type { RunningAttempt } from './endpoint-senders.js'
 import { EventSplitter } from './event-splitter.js'
 
-/** Time without an event after which a stream counts as idle. Engines produce an event every few milliseconds, so an idle stream may have lost its engine. */
+/**
+ * Time without an event after which a stream counts as idle. Engines produce an event of a stream every few milliseconds, so the engine of
+ * an idle stream may be lost.
+ */
 const GAP_MILLISECONDS = 1_500
-/** Largest accepted body of a response that is not a stream, which is a short message. */
+/** Largest accepted body of a response that is not a stream. Engines send such a response to refuse a request or to report an error, with a short message. */
 const MAXIMUM_OTHER_BYTES = 1_048_576
 const OK = 200
 const MULTIPLE_CHOICES = 300
@@ -17,9 +20,9 @@
 export interface StreamProgress {
   /** Id of the last event that was sent to the caller. */
   lastEventId: string | undefined
-  /** Monotonic time. */
+  /** Monotonic time at which the first event arrived, from any attempt. */
   firstEventAt: number | undefined
-  /** Monotonic time. */
+  /** Monotonic time at which the latest event arrived, from any attempt. */
   lastEventAt: number | undefined
   /** Longest time between two events of the stream, milliseconds. */
   longestGap: number
@@ -28,29 +31,32 @@
 /** How an attempt ended. */
 export type StreamAttemptResult =
   | { readonly kind: 'whole' }
-  /** The engine responded with something other than a stream. */
+  /** The engine responded with something other than a stream, such as a refusal or an error. */
   | { readonly kind: 'other-answer', readonly head: ResponseHead, readonly body: Buffer }
   | { readonly kind: 'not-sent', readonly reason: string }
   | { readonly kind: 'broken', readonly reason: string }
 
-/** Callbacks for an idle engine. Idleness alone does not end an attempt, since the run may be paused and continue. */
+/**
+ * Callbacks for an idle stream, that is, one on which the engine has sent no event for some time. Idleness alone does not end an attempt,
+ * since the engine may have paused the run of this request and continue it.
+ */
 export interface IdleWatch {
-  /** How long the first event may take before the engine counts as idle, milliseconds. */
+  /** How long the first event may take before the stream counts as idle, milliseconds. After the first event, the limit is {@link GAP_MILLISECONDS}. */
   readonly firstMilliseconds: number
-  /** Called repeatedly while the engine is idle. */
+  /** Called when the stream becomes idle, and again each time the same limit has passed without an event. */
   readonly onIdle: () => void
   /** Called when events arrive. */
   readonly onEvent: () => void
 }
 
-/** One attempt. */
+/** Runs one attempt of a stream on one engine. */
 export class StreamAttempt {
   private readonly exchange: CallerExchange
   private readonly progress: StreamProgress
   private readonly idleWatch: IdleWatch | undefined
   private readonly clock: Clock
   private readonly onFirstEvent: () => void
-  /** Spacing of the events of this attempt. */
+  /** Time between the events of this attempt, from which the speed of the engine is learnt. */
   readonly spacing = new EventSpacing()
   private readonly splitter = new EventSplitter()
   private readonly otherBody: Buffer[] = []
@@ -67,7 +73,7 @@
   /**
    * @param exchange - exchange with the caller
    * @param progress - shared by all attempts of the stream
-   * @param idleWatch - called while the engine is idle; undefined when the stream could not continue on another engine
+   * @param idleWatch - called while the stream is idle; undefined when the stream may not continue on another engine
    * @param clock - monotonic time
    * @param onFirstEvent - called once, with the first event of this attempt
    */
@@ -126,7 +132,7 @@
     if (!this.hasEvents) this.firstEvent()
     let mayWriteMore = true
     for (const event of events) {
-      // A resumed run may begin with events before the last one, which the caller has already received.
+      // A resumed stream may begin with events that the caller has already received from an earlier attempt.
       if (event.id !== undefined && this.isOld(event.id)) continue
       mayWriteMore = this.exchange.write(event.bytes)
       if (event.id !== undefined) this.progress.lastEventId = event.id
@@ -161,7 +167,7 @@
     this.otherBody.push(chunk)
   }
 
-  /** Pauses the stream until a caller that reads slowly has caught up. The engine does not count as idle meanwhile. */
+  /** Stops reading the stream until a caller that reads slowly has caught up. The stream does not count as idle meanwhile. */
   private waitForCaller (): void {
     this.stopWatching()
     this.sending?.attempt.pause()
@@ -171,7 +177,7 @@
     })
   }
 
-  /** Starts or restarts the timer that detects an idle engine. */
+  /** Starts or restarts the timer that detects when the engine sends no event on this stream for the given time. */
   private watch (milliseconds: number | undefined): void {
     const { idleWatch } = this
     if (idleWatch === undefined || milliseconds === undefined || this.ended) return
@@ -185,8 +191,8 @@
   }
 
   /**
-   * Called by the timer. After a process pause, timers fire before data that has already arrived is read, so the engine counts as idle
-   * only when no event was read by the next turn of the event loop.
+   * Called by the timer that detects an idle stream. After a process pause, timers fire before data that has already arrived is read. So
+   * the stream counts as idle only when no event was read by the next turn of the event loop.
    */
   private checkIdle (idleWatch: IdleWatch): void {
     const { lastEventAt } = this.progress
--- a/packages/ingress/src/relay/stream-relay.ts
+++ b/packages/ingress/src/relay/stream-relay.ts
@@ -1,4 +1,7 @@
-/** Relays event streams: passes on complete events as they arrive, and resumes a broken stream after its last event where the route allows that. */
+/**
+ * Relays event streams: passes complete events to the caller as they arrive. Where the route allows it, a stream whose connection broke
+ * is resumed after its last event.
+ */
 import type { Clock, Logger } from '@limpetwinch/core'
 import type { EngineSpeeds } from '@limpetwinch/decisions'
 import type { AdapterLocations } from '../adapters/adapter-locations.js'
@@ -26,7 +29,7 @@
   readonly senders: EndpointSenders
   readonly budgets: RetryBudgets
   readonly quarantine: RequestQuarantine
-  /** @returns the version of the adapter that engines must have; undefined accepts any version */
+  /** @returns the version of the request's adapter that engines must have; undefined accepts any version */
   readonly expectedVersion: (request: RoutedRequest, now: number) => number | undefined
 }
 
--- a/packages/ingress/src/routing/endpoint-work-tracker.ts
+++ b/packages/ingress/src/routing/endpoint-work-tracker.ts
@@ -1,11 +1,14 @@
-/** Tracks the outstanding work on each endpoint: exactly for this instance, and for its peers as of their reports, which are some hundred milliseconds old. */
+/**
+ * Tracks the outstanding work on each endpoint. The work of this instance is exact; that of the other instances (peers) is taken from their
+ * latest reports, which are some hundred milliseconds old.
+ */
 import type { EndpointId, InstanceId, RelayedLoad } from '@limpetwinch/core'
 import type { AdapterKey } from '../routes/configuration.js'
 
-/** A report of a peer expires after this time, so that the work of an unresponsive peer does not count for ever. */
+/** Age at which the report of a peer expires, so that the work of an unresponsive peer does not count for ever. */
 const PEER_REPORT_MILLISECONDS = 5_000
 
-/** Outstanding work of an endpoint. */
+/** Requests that an endpoint has received and not finished yet, and the capacity that they need. */
 export interface OutstandingWork {
   readonly requests: number
   /** Prompt tokens that are still to be read. */
@@ -34,7 +37,7 @@
 
 /** The latest report of one peer. */
 interface PeerReport {
-  /** Monotonic time. */
+  /** Monotonic time at which this instance received the report. */
   readonly receivedAt: number
   readonly loads: readonly RelayedLoad[]
 }
@@ -48,25 +51,28 @@
   readonly running: Map<string, number>
 }
 
-/** Handle to report the progress and the end of a request on an endpoint. */
+/** Handle with which a relay reports the progress and the end of one request on an endpoint. */
 export interface WorkTicket {
-  /** To be called when the first event has arrived, so the prompt has been read. */
+  /** To be called when the first event has arrived, which shows that the endpoint has read the prompt. */
   prefilled: () => void
   /** To be called when the request no longer runs on the endpoint. */
   ended: () => void
 }
 
-/** Outstanding work by endpoint. */
+/** Counts the outstanding work of this instance and of its peers, by endpoint. */
 export class EndpointWorkTracker {
   private readonly own = new Map<EndpointId, OwnWork>()
   /** The latest report of each peer, the oldest report first. */
   private readonly peers = new Map<InstanceId, PeerReport>()
-  /** Updated with each report instead of computed when asked: a router asks for every engine at each request, and there may be hundreds of peers. */
+  /**
+   * Sums over the reports of all peers. They are updated with each report instead of computed for each query: a router queries every engine at
+   * each request, and there may be hundreds of peers.
+   */
   private readonly peerTotals = new Map<EndpointId, PeerTotals>()
   private readonly releaseListeners: ((endpoint: EndpointId) => void)[] = []
   private readonly useListeners: ((endpoint: EndpointId, key: AdapterKey, uses: number) => void)[] = []
 
-  /** Calls the listener with each use of adapters, by requests of this instance or as reported by peers. */
+  /** Calls the listener when requests that use an adapter are sent to an endpoint, by this instance or, as reported, by peers; `uses` is their number. */
   onUse (listener: (endpoint: EndpointId, key: AdapterKey, uses: number) => void): void {
     this.useListeners.push(listener)
   }
@@ -135,7 +141,7 @@
     return count
   }
 
-  /** Replaces the report of a peer by a newer one. */
+  /** Replaces the previous report of a peer by a newer report. */
   applyPeerReport (from: InstanceId, loads: readonly RelayedLoad[], now: number): void {
     this.forgetPeer(from)
     this.peers.set(from, { receivedAt: now, loads })
@@ -153,7 +159,7 @@
     this.peers.delete(instance)
   }
 
-  /** Calls the listener when the last request of this instance for an adapter has ended on an endpoint, so the slot of the adapter may be free. */
+  /** Calls the listener when the last request of this instance for an adapter has ended on an endpoint, so that the slot of the adapter may be free. */
   onReleased (listener: (endpoint: EndpointId) => void): void {
     this.releaseListeners.push(listener)
   }
@@ -178,7 +184,7 @@
     return loads
   }
 
-  /** Removes expired reports. Reports are kept in order of their age, so it stops at the first one that has not expired. */
+  /** Removes expired reports. Reports are kept in the order of their arrival, so the search ends at the first report that has not expired. */
   private dropExpiredReports (now: number): void {
     for (const [instance, { receivedAt }] of this.peers) {
       if (now - receivedAt < PEER_REPORT_MILLISECONDS) return
@@ -186,7 +192,7 @@
     }
   }
 
-  /** @param sign - 1 to add, -1 to subtract */
+  /** Adds or subtracts the work of one peer on one endpoint. @param sign - 1 to add, -1 to subtract */
   private addToTotals (load: RelayedLoad, sign: 1 | -1): void {
     const peerTotals = this.peerTotals.get(load.endpoint) ?? { requests: 0, prefillTokens: 0, memoryTokens: 0, running: new Map() }
     this.peerTotals.set(load.endpoint, peerTotals)
--- a/packages/ingress/src/routing/engine-router.ts
+++ b/packages/ingress/src/routing/engine-router.ts
@@ -1,4 +1,8 @@
-/** Chooses engines: for a request the engine that holds its adapter and has the earliest first event, or else the engine that should load the adapter. */
+/**
+ * Chooses engines. For a request, this is the engine that holds its adapter and is expected to send the first event of the response earliest.
+ * When no engine holds the adapter, it is the engine that should load the adapter. All costs are in milliseconds of waiting; the engine
+ * with the lowest cost is chosen.
+ */
 import { rendezvousWeight } from '@limpetwinch/decisions'
 import type { EngineSpeeds, OutlierEjection } from '@limpetwinch/decisions'
 import type { EndpointId } from '@limpetwinch/core'
@@ -10,63 +14,85 @@
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 import type { PrefixCacheEstimate } from './prefix-cache-estimate.js'
 
-/** Added to engines in other data centres, where bytes are slower and cost money; it decides between engines that are otherwise equal. */
+/**
+ * Added to the cost of engines in other data centres, since bytes take longer and cost money between data centres. The addition decides
+ * only between engines that are otherwise nearly equal.
+ */
 const REMOTE_MILLISECONDS = 12
-/** Added to an engine that has just failed, so that it gets requests again gradually. */
+/** Added to the cost of an engine that has just failed. The addition falls to 0 over a recovery time, so that the engine gets requests again gradually. */
 const PENALTY_MILLISECONDS = 300
-/** Time of a load from the copy that an engine has cached. */
+/** Expected duration of an adapter load from the copy that the engine has cached. */
 const CACHED_LOAD_MILLISECONDS = 40
 /**
- * Cost of a load from the weight store in addition to its time. The store delivers a limited number of adapters a second to all engines
- * together, so each fetch delays the load of another request, and it is worth waiting for an engine that has cached the adapter.
+ * Cost of an adapter load from the weight store, in addition to the duration of the load. The store delivers a limited number of adapters a
+ * second to all engines together, so each load from the store delays the load of another request. With this cost, a request rather
+ * waits for an engine that has cached the adapter.
  */
 const STORE_LOAD_COST_MILLISECONDS = 400
-/** Time after which a slot in use becomes free again: about the duration of a short response. */
+/** Expected time after which an adapter slot in use becomes free again: about the duration of a short response. */
 const RUN_MILLISECONDS = 600
-/** Weight of the rendezvous hash, which spreads adapters that no engine holds yet over the engines, in the same way on all instances. */
+/**
+ * Largest cost that the rendezvous hash of adapter and engine adds when an engine for a load is chosen. The hash spreads adapters that no
+ * engine holds yet over the engines, in the same way on all instances.
+ */
 const HOME_MILLISECONDS = 150
-/** A further copy of an adapter takes a slot and a load, so it is requested only when it saves a request at least this time. */
+/**
+ * Least gain for which a further copy of an adapter is requested: the time by which the first event of a request would come earlier from the
+ * engine with the further copy. The bound exists because each copy takes an adapter slot and a load. A copy that
+ * relieves a crowded engine is requested without such a gain.
+ */
 const COPY_GAIN_MILLISECONDS = 400
-/** Shortest interval between requests for further copies of one adapter, so that the previous copy has taken effect before. */
+/** Shortest interval between requests for further copies of one adapter, so that the effect of the previous copy shows before the next request. */
 const COPY_INTERVAL_MILLISECONDS = 500
 /**
- * Cost for each stream on an engine that is paused for longer than callers accept, while the engine reads a long prompt. Each such stream is
- * late, which costs its caller as much as half a second or more of waiting would. The cost is lower than that because not all streams
- * see the pause: some end before it.
+ * Cost of each stream on an engine that would be paused for longer than callers accept, because the engine reads a long prompt. Each such
+ * stream is late, which costs its caller as much as half a second or more of waiting would. The constant is lower than that because
+ * some streams end before the pause.
  */
 const PAUSED_STREAM_MILLISECONDS = 200
-/** Share of the longest accepted pause that reading one prompt may take; prompts that are read at the same time add to the pause. */
+/**
+ * Largest share of the longest accepted pause that reading one prompt may take. The rest is a margin, since prompts that are read at the same
+ * time add to the pause. For a longer prompt, all streams on the engine count as paused for too long.
+ */
 const PAUSE_SHARE = 0.9
 /**
- * Cost for each stream when a prompt that is short enough alone may exceed the longest pause together with a prompt that is read right
- * before or after it. The more prompts are still to be read, the likelier that is, so the share of the pause counts squared, and
- * half as much as a certain pause, since the prompts may also not be read together.
+ * Cost of each stream on an engine when reading a prompt takes less than the longest accepted pause, but may exceed that pause together with
+ * a prompt that is read right before or after it. The more prompt tokens are still to be read, the likelier such a joint pause is. So the
+ * constant is multiplied by the square of the share of the longest pause that all these prompts take. The constant is half of
+ * {@link PAUSED_STREAM_MILLISECONDS}, since the prompts may also not be read together.
  */
 const JOINT_PAUSE_MILLISECONDS = PAUSED_STREAM_MILLISECONDS / 2
-/** Prompts that take less than this share of the longest accepted pause are read between two events, without a noticeable pause. */
+/** A prompt whose reading takes less than this share of the longest accepted pause is read between two events, without a noticeable pause. */
 const SHORT_PROMPT_SHARE = 0.1
 /**
- * An engine is crowded when its requests reach this multiple of the mean of its service and this share of its batch. Below that share,
- * batch steps are as short as on other engines. A few popular adapters gather requests on the engine that held them first while other
- * engines have capacity; streams on the crowded engine take half as long again, and hold their slots for half as long again. With
- * further copies of these adapters, the streams end and free their slots sooner, and the capacity of the other engines is used.
+ * An engine is crowded when the number of its requests reaches both this multiple of the mean over the engines of its service and this share
+ * of its batch slots. Below that share, batch steps are as short as on other engines. Crowding comes about when a few popular adapters
+ * gather requests on the engine that held them first, while other engines have capacity. Streams on the crowded engine take half as
+ * long again, and hold their slots for half as long again. With further copies of these adapters, the streams end and free their
+ * slots sooner, and the capacity of the other engines is used.
  */
 const CROWDED_SHARE_OF_MEAN = 1.4
 const CROWDED_SHARE_OF_BATCH = 0.3
-/** An adapter with fewer running requests than this on a crowded engine is not a cause of the crowding. */
+/** Least number of running requests with which an adapter counts as a cause of the crowding of its engine. */
 const CROWDED_RUNS = 4
-/** Time by which each running request on an engine lengthens the response of another one; it decides between engines that hold the same adapter. */
+/**
+ * Cost of each running request on an engine: about the time by which it lengthens the response of another request there. The cost decides
+ * between engines that hold the same adapter.
+ */
 const RUNNING_MILLISECONDS = 3
-/** Cost of each running request that a crash of the engine would end: its caller would lose the complete response. */
+/**
+ * Cost of each running request on an engine when the request to be placed is suspected of crashing engines. A crash would end the running
+ * requests, and their callers would lose their complete responses.
+ */
 const CRASH_RISK_MILLISECONDS = 1_000
-/** Largest number of adapters for which the time of the last copy request is kept. */
+/** Largest number of adapters for which the time of the last copy request is kept, which bounds the memory used. Beyond it, all times are dropped. */
 const MAXIMUM_COPY_TIMES = 5_000
 
 /** What an engine is chosen for. */
 export interface EngineQuery {
   readonly service: Service
   readonly facts: RequestFacts
-  /** The longest pause between two events that callers accept. */
+  /** The longest pause between two events of a stream that callers accept. */
   readonly gapMilliseconds: number
   /** Engines that must not be chosen, such as those that were attempted before or refused the request. */
   readonly excluded: ReadonlySet<EndpointId>
@@ -77,14 +103,16 @@
 /** An engine chosen for a request. */
 export interface EngineChoice {
   readonly endpoint: Endpoint
+  /** Time until the first event, plus the additions for other data centres and recent failures. */
   readonly forecastMilliseconds: number
-  /** Prompt tokens that the engine has to read. */
+  /** Prompt tokens that the engine has to read, since it has not cached them. */
   readonly uncachedTokens: number
 }
 
 /** An engine chosen to load an adapter. */
 export interface LoadChoice {
   readonly endpoint: Endpoint
+  /** Expected time until the adapter can be used, plus the costs for other requests; 0 when the load is already in progress. */
   readonly costMilliseconds: number
 }
 
@@ -98,9 +126,9 @@
   readonly prefixes: PrefixCacheEstimate
   readonly ejection: OutlierEjection
   readonly dataCentre: string
-  /** @returns the lowest adapter version on which a new request may start */
+  /** @returns the lowest version of the adapter with which a new request may start */
   readonly leastVersion: (key: AdapterKey, now: number) => number
-  /** @returns current duration of a load from the weight store, milliseconds */
+  /** @returns current duration of an adapter load from the weight store, milliseconds */
   readonly loadMilliseconds: () => number
   /** @returns whether the engine has a load owner, without which it loads nothing */
   readonly hasLoadOwner: (endpoint: EndpointId) => boolean
@@ -136,7 +164,8 @@
    * Chooses the engine that should load the adapter. All instances with the same state choose the same engine, so that requests that
    * arrive at several instances share one load.
    *
-   * @param bias - returns milliseconds that are added to the cost of an engine, by which the caller rates it differently from other instances
+   * @param bias - returns milliseconds that are added to the cost of an engine for this request only. A negative value favours an engine, such
+   *   as the one in whose load queue the request already waits.
    * @returns the engine; undefined when no engine can load the adapter
    */
   chooseForLoad (query: EngineQuery, bias: (endpoint: EndpointId) => number, now: number): LoadChoice | undefined {
@@ -147,7 +176,7 @@
     const { key, model } = facts.adapter
     const usable = this.usableEngines(service, excluded, now)
       .filter((endpoint) => hasLoadOwner(endpoint.id) && endpoint.models.includes(model as ModelName) && !locations.holders(key).has(endpoint.id))
-    // The duration is computed over all engines, so it is read once and not for each engine.
+    // Computing the duration of a load goes over all engines, so it is done once and not for each engine.
     const storeMilliseconds = this.parts.loadMilliseconds()
     let best: LoadChoice | undefined
     for (const endpoint of usable) {
@@ -159,7 +188,12 @@
     return best
   }
 
-  /** @returns an engine for a further copy of the adapter, when the best holder is slow or crowded and another engine would be better; else undefined */
+  /**
+   * Decides whether a further copy of the adapter is worth a load.
+   *
+   * @param best - the engine that was chosen for the request among those that hold the adapter
+   * @returns the engine that should load the copy, when `best` is slow or crowded and that engine would be better; else undefined
+   */
   chooseForCopy (query: EngineQuery, best: EngineChoice, now: number): LoadChoice | undefined {
     const { facts } = query
     const { adapter } = facts
@@ -178,7 +212,7 @@
     return load
   }
 
-  /** @returns milliseconds until a load that is requested now could be complete, on the engine with the shortest load queue */
+  /** @returns milliseconds until an adapter load that is requested now could be complete, on the engine with the shortest load queue */
   shortestWait (service: Service, now: number): number {
     let least = Infinity
     for (const { id } of this.usableEngines(service, NONE, now)) {
@@ -187,7 +221,7 @@
     return least + this.parts.loadMilliseconds()
   }
 
-  /** @returns whether the engine is crowded and the adapter of the request is a cause of that */
+  /** @returns whether the engine is crowded and the adapter of the request is a cause of the crowding */
   private isCrowded ({ service, facts }: EngineQuery, endpoint: Endpoint, shape: EngineShape, now: number): boolean {
     const { workTracker } = this.parts
     const { requests } = workTracker.outstanding(endpoint.id, now)
@@ -217,15 +251,15 @@
   }
 
   /**
-   * @returns servable engines that are neither ejected nor excluded. Ejection is applied to all engines of the service: applied to the
-   *   few holders of one adapter, its lower bound on the remaining engines would keep a failing holder in use.
+   * @returns servable engines that are neither ejected nor excluded. Outlier ejection always leaves a minimum of the given engines in use, so
+   *   all engines of the service are given. If only the few holders of one adapter were given, a failing holder would stay in use.
    */
   private usableEngines (service: Service, excluded: ReadonlySet<EndpointId>, now: number): Endpoint[] {
     const engines = this.parts.directory.servable(service.name).map((endpoint) => ({ endpoint: endpoint.id, entry: endpoint }))
     return this.parts.ejection.usable(engines, now).map(({ entry }) => entry).filter((endpoint) => !excluded.has(endpoint.id))
   }
 
-  /** @returns the engine with the forecast of the first event, penalties included */
+  /** @returns the engine with the forecast time until the first event, including the additions for other data centres and recent failures */
   private estimate (endpoint: Endpoint, shape: EngineShape, facts: RequestFacts, now: number): EngineChoice {
     const { workTracker, forecast, prefixes, ejection, dataCentre } = this.parts
     const key = facts.adapter?.key
@@ -239,7 +273,7 @@
     return { endpoint, forecastMilliseconds: expected + remote + penalty, uncachedTokens }
   }
 
-  /** @returns the cost for the running streams of the engine when it reads a prompt of this length now, expressed as milliseconds of waiting */
+  /** @returns the cost for the running streams of the engine when the engine reads a prompt of this many tokens now, in milliseconds of waiting */
   private pauseCost (endpoint: Endpoint, tokens: number, gapMilliseconds: number, now: number): number {
     const { speeds, workTracker } = this.parts
     const alone = speeds.prefillMilliseconds(endpoint.id, tokens) / gapMilliseconds
@@ -262,7 +296,8 @@
     const idleSlots = shape.adapterSlots - workTracker.adaptersInUse(endpoint.id, now) - locations.inFlight.countFor(endpoint.id)
     const slotWait = idleSlots > 0 ? 0 : RUN_MILLISECONDS / shape.adapterSlots * (1 - idleSlots)
     const queueWait = Math.max(slotWait, queue?.waitMilliseconds ?? 0)
-    // Requests still run with the adapter although the engine does not offer it: it is being evicted or replaced there, which waits for these runs.
+    // Requests still run with the adapter although the engine does not offer it. So the engine is evicting or replacing the adapter, and has to
+    // wait until these runs end before a new load.
     const evictionWait = workTracker.running(endpoint.id, key, now) > 0 ? RUN_MILLISECONDS : 0
     const remote = endpoint.dataCentre === dataCentre ? 0 : REMOTE_MILLISECONDS
     const penalty = ejection.penalty(endpoint.id, now) * PENALTY_MILLISECONDS
--- a/packages/ingress/src/routing/prefix-cache-estimate.ts
+++ b/packages/ingress/src/routing/prefix-cache-estimate.ts
@@ -1,4 +1,4 @@
-/** Estimates which parts of prompts an engine has cached, from the prompts that were sent to it. */
+/** Estimates which beginnings of prompts an engine has cached, from the prompts that this instance has sent to the engine. */
 import { LRUCache } from 'lru-cache'
 import type { EndpointId } from '@limpetwinch/core'
 import type { PromptPart } from '../relay/request-codec.js'
@@ -7,14 +7,17 @@
 /** Share of the engine's memory that is assumed to hold cached prompts; running requests use the rest. */
 const CACHE_SHARE = 0.6
 
-/** Estimates for all engines. When an estimate is wrong, the engine has to read a part of the prompt again; no response is lost. */
+/**
+ * Estimates for all engines, each a least-recently-used cache of prompt beginnings. When an estimate is wrong, the engine has to read a part of
+ * the prompt again; no response is lost.
+ */
 export class PrefixCacheEstimate {
   private readonly byEndpoint = new Map<EndpointId, LRUCache<string, true>>()
 
   /**
    * Records that an engine has read a prompt.
    *
-   * @param memoryTokens - memory of the engine, tokens
+   * @param memoryTokens - memory of the engine for prompts and output, in tokens
    */
   recordPrompt (endpoint: EndpointId, adapter: AdapterKey, parts: readonly PromptPart[], memoryTokens: number): void {
     if (memoryTokens <= 0) return
@@ -44,7 +47,7 @@
     return tokens
   }
 
-  /** Forgets an engine that has left or was restarted, so its cache is empty. */
+  /** Forgets the estimate for an engine that has left or was restarted: the cache of a restarted engine is empty. */
   forget (endpoint: EndpointId): void {
     this.byEndpoint.delete(endpoint)
   }
--- a/packages/ingress/src/routing/service-router.ts
+++ b/packages/ingress/src/routing/service-router.ts
@@ -1,13 +1,16 @@
-/** Chooses the endpoint of a plain service: the least loaded one, and among equals one in the same data centre. */
+/**
+ * Chooses the endpoint of a plain service: the one with the smallest share of its slots in use, and among equals one in the same data centre.
+ * To the slots in use are added the constants below for distance, failures and errors.
+ */
 import type { ErrorRates, OutlierEjection } from '@limpetwinch/decisions'
 import type { EndpointId } from '@limpetwinch/core'
 import type { EndpointDirectory } from '../endpoints/endpoint-directory.js'
 import type { Endpoint, ServiceName } from '../routes/configuration.js'
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 
-/** Slots that are added to the load of an endpoint in another data centre. */
+/** Slots that are added to the load of an endpoint in another data centre. Less than one, so they decide only between endpoints that are about equally loaded. */
 const REMOTE_SLOTS = 0.6
-/** Slots that are added to the load of an endpoint that has just failed. */
+/** Slots that are added to the load of an endpoint that has just failed. The addition falls to 0 over a recovery time. */
 const PENALTY_SLOTS = 3
 /** Slots that are added to the load of an endpoint that responds with errors more often than its peers, so that it is chosen last. */
 const CONSPICUOUS_SLOTS = 12
@@ -53,7 +56,7 @@
     return best
   }
 
-  /** @returns the load of an endpoint as a share of its slots, with the added slots */
+  /** @returns the load of an endpoint as a share of its slots, with the additions for distance, failures and errors */
   private fullness (endpoint: Endpoint, all: readonly EndpointId[], now: number): number {
     const remote = endpoint.dataCentre === this.dataCentre ? 0 : REMOTE_SLOTS
     const penalty = PENALTY_SLOTS * this.ejection.penalty(endpoint.id, now)
--- a/packages/ingress/src/routing/work-digests.ts
+++ b/packages/ingress/src/routing/work-digests.ts
@@ -1,24 +1,28 @@
-/** Reports the outstanding work of this instance on each endpoint to its peers. */
+/**
+ * Sends work digests to the other instances (peers). A digest is a summary of the outstanding work that this instance has on each endpoint:
+ * numbers of requests and tokens. The routers of the peers need it to know the load of an endpoint over all instances.
+ */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { PeerOverlay } from '../overlay/peer-overlay.js'
 import type { EndpointWorkTracker } from './endpoint-work-tracker.js'
 
-/** Interval between digests, and so the age of the peers' work on which routing is based. */
+/** Interval between digests. It bounds how old the figures of the peers are on which routing is based, apart from the delay of the messages. */
 const DIGEST_MILLISECONDS = 150
 /**
- * Above this number of instances, the interval between digests grows in proportion, so that the digests that each instance receives
- * stay about as many. Each instance then holds a smaller share of the work, so its digest may be older.
+ * Above this number of instances, the interval between digests grows in proportion to the number of instances, so that the number of digests
+ * that each instance receives per second stays about the same. Each instance then holds a smaller share of the work, so its digest may
+ * be older.
  */
 const MEMBERS_AT_FULL_RATE = 20
 
 /**
- * Time in which calls of `sendSoon` for one peer are combined. While loads wait for a slot, the end of a run is reported to the load
- * owner of the engine without waiting for the next digest: until then the slot would stay empty for half a digest interval on
- * average, a tenth of a short run.
+ * Time in which calls of `sendSoon` for one peer are combined into one message. While adapter loads wait for a slot of an engine, the end of a
+ * run is reported to the load owner of that engine without waiting for the next digest. Otherwise the slot would stay empty for half a
+ * digest interval on average, which is a tenth of a short run.
  */
 const SEND_SOON_MILLISECONDS = 20
 
-/** Sends the digests of this instance. */
+/** Sends the work digests of this instance to its peers. */
 export class WorkDigests {
   private readonly peers: Pick<PeerOverlay, 'notify' | 'broadcast'>
   private readonly workTracker: EndpointWorkTracker
