--- a/packages/entry/src/delivery/abandoned-run.ts
+++ b/packages/entry/src/delivery/abandoned-run.ts
@@ -1,7 +1,9 @@
 /** Ends a run at an engine when no caller waits for its response any more. */
 import type { Clock, EngineClient, RequestId } from '@limpetwinch/core'
 
+/** Pause after the first cancellation whose end was not confirmed; doubled after each further one. */
 const FIRST_PAUSE_MILLISECONDS = 50
+/** Upper bound of that pause, so that the adapter's pin is removed soon after the run has ended. */
 const LONGEST_PAUSE_MILLISECONDS = 5_000
 /** Longest time for which one connection waits for the end of a cancelled run. */
 const END_WITHIN_MILLISECONDS = 5_000
@@ -16,9 +18,9 @@
  *
  * @param client - the client of the engine
  * @param requestId - the id of the run
- * @param position - number of tokens already received, which are not requested again
+ * @param position - number of tokens already received; the stream is resumed after them
  * @param clock - the clock to use
- * @param giveUpAt - when the cancellation is abandoned because no run lasts longer, monotonic milliseconds
+ * @param giveUpAt - when to stop waiting for the confirmation, because no run lasts longer; monotonic milliseconds
  */
 export async function endAbandonedRun (client: EngineClient, requestId: RequestId, position: number, clock: Clock, giveUpAt: number): Promise<void> {
   let pause = FIRST_PAUSE_MILLISECONDS
--- a/packages/entry/src/delivery/admission-client.ts
+++ b/packages/entry/src/delivery/admission-client.ts
@@ -8,7 +8,7 @@
 import type { AdmissionOutcome, Grant } from '../scheduling/admission.js'
 import type { InFlightTable } from './in-flight-table.js'
 
-/** Added to the caller's patience, so that the owner's refusal arrives before the call times out. */
+/** Added to the time for which the caller still waits, so that the owner's refusal arrives before the call to the owner times out. */
 const RESPONSE_GRACE_MILLISECONDS = 1_000
 
 /** The parameters of an admission request to an owner. */
@@ -19,10 +19,11 @@
   readonly priority: number
   readonly promptTokens: number
   readonly maximumTokens: number
+  /** How much longer the caller will wait for the complete response, milliseconds. */
   readonly patience: number
 }
 
-/** An admission that has to be ended with {@link HeldAdmission.done}. */
+/** An admission that an owner granted to this instance. The holder has to end the admission with {@link HeldAdmission.done}. */
 export class HeldAdmission {
   readonly grant: Grant
   private readonly owner: InstanceId
@@ -50,17 +51,17 @@
   }
 }
 
-/** Sends admission requests to owners. */
+/** Sends admission requests to owners and notifies owners of the end of requests. */
 export class AdmissionClient {
   private readonly network: PeerNetwork
   private readonly table: InFlightTable
-  /** @returns the current owner of an endpoint, which is notified of the end of a request even if another owner admitted it */
+  /** @returns the current owner of an endpoint, which is notified of the end of a request even if an earlier owner admitted the request */
   private readonly ownerOf: (endpoint: EndpointId) => InstanceId | undefined
 
   /**
    * @param network - the connections to other instances
-   * @param table - the requests that may be running, which new owners query
-   * @param ownerOf - returns the current owner of an endpoint, as far as it is known
+   * @param table - the requests of this instance that may be running; a new owner of an endpoint queries this table
+   * @param ownerOf - returns the current owner of an endpoint, or undefined if this instance does not know it
    */
   constructor (network: PeerNetwork, table: InFlightTable, ownerOf: (endpoint: EndpointId) => InstanceId | undefined) {
     this.network = network
@@ -93,12 +94,15 @@
     return ok(new HeldAdmission(this, route.owner, endpoint, request.requestId, grant.value))
   }
 
-  /** Removes a request from the table and notifies the owner that admitted it, and the current owner if that is another one. */
+  /**
+   * Removes a request from the table. Notifies the owner that admitted the request, and the current owner if another
+   * instance owns the endpoint now.
+   */
   notifyDone (owner: InstanceId, endpoint: EndpointId, requestId: RequestId, outcome: AdmissionOutcome, outputTokens: number): void {
     this.table.leave(endpoint, requestId)
     const frame = { kind: 'admission-done', requestId, endpoint, outcome, outputTokens } as const
     this.network.notify(owner, frame)
-    // After a hand-over the pin is held by the new owner, which would otherwise keep it for the longest request time.
+    // After a hand-over the new owner holds the pin. Without this message it would keep the pin for the longest request time.
     const present = this.ownerOf(endpoint)
     if (present !== undefined && present !== owner) this.network.notify(present, frame)
   }
--- a/packages/entry/src/delivery/answer-assembler.ts
+++ b/packages/entry/src/delivery/answer-assembler.ts
@@ -1,12 +1,16 @@
 /** Puts the parts of a streamed response in order and removes duplicates. */
 import type { GeneratedPart } from '@limpetwinch/core'
 
+/**
+ * Number of parts kept while an earlier part is missing, to bound memory. Further parts are dropped, and arrive again when the
+ * stream is resumed.
+ */
 const MAXIMUM_PARTS_AHEAD = 4_096
 
 /**
- * Parts may arrive twice (because a resumed stream starts at an earlier position), late (from an abandoned connection) or
- * out of order. To keep the caller from reading repeated or swapped words, parts are released in order of their positions
- * and each position once.
+ * Assembles the parts of one response. Parts may arrive twice (because a resumed stream starts at an earlier position),
+ * late (from an abandoned connection) or out of order. To keep the caller from reading repeated or swapped words, parts are
+ * released in the order of their positions, and each position once.
  */
 export class AnswerAssembler {
   private readonly ahead = new Map<number, string>()
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -1,4 +1,7 @@
-/** Delivers the response of each request: it makes the attempts, streams the response once and decides which error the caller gets. */
+/**
+ * Delivers the response of each request to an adapter: makes the attempts, streams the response once and decides which error
+ * the caller gets.
+ */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -16,10 +19,14 @@
 import { ReplacementAdmission } from './replacement-admission.js'
 import type { Admitted } from './replacement-admission.js'
 
+/** Number of attempts for one request, including the first. It bounds how much engine time a failing request can use. */
 const MAXIMUM_ATTEMPTS = 4
-/** Pause after all owners that can admit a request were unresponsive. */
+/** Pause before admission is requested again, after the owners of all suitable endpoints were unresponsive. */
 const RETRY_ADMISSION_MILLISECONDS = 50
-/** Pause before a request whose run was lost is tried again, after a refusal or while the retry budget is used up. */
+/**
+ * Pause before the next try for a request whose earlier run was lost. The pause follows a refused admission, and a retry that
+ * the retry budget did not allow.
+ */
 const RETRY_REFUSED_MILLISECONDS = 250
 
 /** A request that has passed authentication and limits. */
@@ -36,11 +43,11 @@
   readonly temperature: number | undefined
   readonly seed: number
   readonly idempotent: boolean
-  /** Monotonic milliseconds. */
+  /** Time until which the caller waits for the complete response, monotonic milliseconds. */
   readonly deadlineAt: number
 }
 
-/** Events of a delivery: `admitted`, any number of texts, then one end or error. Each retry adds another `admitted`. */
+/** Events of a delivery: `admitted`, any number of texts, then one end or error. Each retry adds another `admitted`, also after texts. */
 export type DeliveryEvent =
   | { readonly kind: 'admitted', readonly endpoint: EndpointId, readonly servedAs: string | undefined, readonly loadStall: number, readonly queueWait: number }
   | { readonly kind: 'text', readonly text: string }
@@ -58,7 +65,7 @@
   readonly retryBudget: RetryBudget
   readonly explain: ExplainLog
   readonly streamLimits: StreamLimits
-  /** @returns a team's recent service relative to its fair share */
+  /** @returns a team's recent service, which is its use of engines in weighted tokens, relative to the team's fair share; 1 is fair */
   readonly shareUsed: (team: string) => number
   readonly clock: Clock
 }
@@ -99,7 +106,7 @@
 
   constructor (callerSignal: AbortSignal, milliseconds: number) {
     this.link = new LinkedAbort(callerSignal)
-    // This timer is cleared when the request ends; one of AbortSignal.timeout would stay until the deadline.
+    // This timer is cleared when the request ends. A timer of AbortSignal.timeout would stay until the deadline.
     this.timer = setTimeout(() => {
       this.passed = true
       this.link.abort()
@@ -116,7 +123,10 @@
   }
 }
 
-/** The result of one attempt: a complete response, or an error with its outcome and the admission of a replacement if there is one. */
+/**
+ * The result of one attempt: a complete response, or an error. `next` is the admission at another engine, if one was secured
+ * for the next attempt.
+ */
 type Attempt =
   | { readonly whole: true, readonly end: DeliveryEvent }
   | { readonly whole: false, readonly error: LimpetwinchError, readonly next?: Admitted | undefined }
@@ -127,8 +137,9 @@
   private readonly delivered: string[] = []
   private readonly timeline: RequestTimeline
   private attempts = 0
-  /** Number of retries that were withdrawn from the retry budget. */
+  /** Number of retries of this request that were withdrawn from the retry budget. */
   private paidRetries = 0
+  /** Whether an earlier attempt may have run at an engine. */
   private mayHaveRun = false
 
   constructor (
@@ -150,7 +161,7 @@
       const { held, route } = admission.value
       yield { kind: 'admitted', endpoint: route.engine.endpoint, servedAs: held.loadedName, loadStall: held.grant.loadStall, queueWait: held.grant.queueWait }
       const attempt = yield * this.attempt(route, held)
-      // The end is yielded last, because a reader stops at it and no code of this generator runs afterwards.
+      // The end event is yielded last, because a reader stops at that event and no code of this generator runs afterwards.
       if (attempt.whole) return yield attempt.end
       next = attempt.next
       if (next === undefined && !await this.mayTryAgain(attempt.error)) return yield this.finalError(attempt.error)
@@ -163,7 +174,7 @@
   /**
    * Requests admission at one endpoint after another until the request is admitted, finally refused or out of time.
    * Admission requests do not run anything, so they may be retried. An endpoint with an unresponsive owner is skipped while
-   * there are other endpoints, and tried again after a pause when there is no other.
+   * there are other endpoints. When there is no other, the endpoint is tried again after a pause.
    */
   private async admit (): Promise<Result<Admitted, LimpetwinchError>> {
     const unresponsive = new Set<EndpointId>()
@@ -194,8 +205,8 @@
   /**
    * Waits before a refused request is tried again, if an earlier attempt may have run.
    *
-   * A request that has not run is refused at once instead, so that its caller can retry. After a lost run an error could only
-   * have the outcome `unknown`, possibly after a part of the response, so trying again is better.
+   * A request that has not run is refused at once instead, so that the caller can retry. After a lost run an error could only
+   * have the outcome `unknown`, possibly after the caller received a part of the response, so trying again is better.
    *
    * @returns false if nothing has run or the request has ended
    */
@@ -205,7 +216,12 @@
     return true
   }
 
-  /** @returns whether the previous owner named the next one, from which admission can be requested at once */
+  /**
+   * Looks for the id of another owner in an error, where an owner that has been replaced names its successor. If there is one,
+   * the directory is updated, so that the next route to the endpoint leads to the successor.
+   *
+   * @returns whether the error named another owner, so that admission can be requested again at once
+   */
   private followOwner (route: Route, error: LimpetwinchError): boolean {
     const { owner } = error.details
     if (typeof owner !== 'string' || owner === route.owner) return false
@@ -229,7 +245,7 @@
     }, signal)
   }
 
-  /** Requests admission of the next attempt at another endpoint, while the current attempt may still complete. */
+  /** Requests admission of the next attempt at an endpoint other than `present`, while the current attempt may still complete. */
   private async askElsewhere (present: EndpointId, signal: AbortSignal): Promise<Admitted | undefined> {
     if (!this.hasAttemptLeft() || !this.request.idempotent) return undefined
     const avoid = new Set([...this.avoid, present])
@@ -268,7 +284,7 @@
     try {
       const attempt = yield * this.relay(answer, held, stop.signal, replacement)
       ended = attempt.whole || attempt.error.outcome === 'not_run'
-      // The routing policy was notified of a stalled run before.
+      // If the run stalled, the routing policy has already been notified of the failure.
       if (attempt.whole || !replacement.everRequested) this.reportToPolicy(endpoint, attempt)
       if (attempt.whole) return attempt
       this.mayHaveRun ||= attempt.error.outcome === 'unknown'
@@ -280,7 +296,10 @@
     }
   }
 
-  /** Reports the result of an attempt to the routing policy. A run that ended because its caller left is no failure of the engine. */
+  /**
+   * Reports the result of an attempt to the routing policy. A run that ended because its caller disconnected is no failure
+   * of the engine.
+   */
   private reportToPolicy (endpoint: EndpointId, attempt: Attempt): void {
     const { policy, clock } = this.options
     const callerLeft = this.signal.aborted && !this.deadline.passed
@@ -301,7 +320,7 @@
             this.delivered.push(text)
             yield { kind: 'text', text }
           } else if (known !== text) {
-            // The caller has read a part of the first response, which cannot be continued with a different one.
+            // The caller has read a part of the first response, which cannot be continued with a different response.
             return { whole: false, error: new LimpetwinchError('endpoint-failed', { endpoint: held.endpoint, reason: 'a retried run gave a different response' }) }
           }
           position += 1
@@ -320,7 +339,7 @@
     return { whole: false, error: this.earlyEndError('unknown') }
   }
 
-  /** Requests a replacement for a stalled run. The run may recover, so it is kept until another engine has admitted the request. */
+  /** Requests a replacement for a stalled run. The run may recover, so the run is kept until another engine has admitted the request. */
   private handleStall (endpoint: EndpointId, replacement: ReplacementAdmission): void {
     const { policy, clock } = this.options
     this.timeline.add('stalled', { endpoint })
@@ -330,7 +349,7 @@
   }
 
   /**
-   * Ends a run that no caller waits for. The run may continue while the engine cannot be reached, so its adapter stays
+   * Ends a run that no caller waits for. The run may continue while the engine cannot be reached. So the run's adapter stays
    * pinned until the engine confirms the end or the longest request time has passed.
    */
   private async abandon (client: EngineClient, held: HeldAdmission, requestId: RequestId, outputTokens: number): Promise<void> {
@@ -341,7 +360,7 @@
   }
 
   private async mayTryAgain (error: LimpetwinchError): Promise<boolean> {
-    // A request that may run only once is never started again if it may have run.
+    // A request that may run only once is never started again after an attempt that may have run.
     if (error.outcome === 'unknown' && !this.request.idempotent) return false
     while (this.hasAttemptLeft()) {
       if (this.payForRetry()) return true
@@ -354,7 +373,12 @@
     return !this.signal.aborted && this.attempts + 1 < MAXIMUM_ATTEMPTS
   }
 
-  /** Withdraws the next attempt from the retry budget, at most once: a refused or withdrawn admission request leaves it paid for. */
+  /**
+   * Withdraws the next attempt from the retry budget, at most once. If the admission request for that attempt is refused or
+   * withdrawn, a later request for the same attempt needs no second withdrawal.
+   *
+   * @returns whether the next attempt is within the retry budget
+   */
   private payForRetry (): boolean {
     if (this.paidRetries > this.attempts) return true
     if (!this.options.retryBudget.withdraw(this.options.clock.now())) return false
@@ -375,7 +399,7 @@
     return new LimpetwinchError(this.deadline.passed ? 'deadline-passed' : 'request-ended-early', {}, { outcome, retryAfterSeconds: 1 })
   }
 
-  /** Each attempt has an id of its own, because engines identify requests by id and must not mistake a late first attempt for the second. */
+  /** @returns the id of an attempt; engines identify runs by this id, and must not mistake a late first attempt for the second */
   private attemptId (attempts: number): RequestId {
     return (attempts === 0 ? this.request.requestId : `${this.request.requestId}~${attempts + 1}`) as RequestId
   }
--- a/packages/entry/src/delivery/engine-answer.ts
+++ b/packages/entry/src/delivery/engine-answer.ts
@@ -1,14 +1,17 @@
-/** The complete response of one engine run. The stream is resumed by position when a connection breaks or becomes unresponsive. */
+/**
+ * Reads the complete response of one engine run. When a connection breaks or becomes unresponsive, the stream is resumed
+ * after the last received part.
+ */
 import { LimpetwinchError, SystemClock } from '@limpetwinch/core'
 import type { Clock, EndpointId, EngineClient, GenerateRequest, GenerationEnd, GenerationEventResult } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import { LinkedAbort } from '../runtime/linked-abort.js'
 import { AnswerAssembler } from './answer-assembler.js'
 
-/** Bounds of the pause between connections that made no progress, milliseconds. */
+/** Bounds of the pause before the next connection after one without progress, milliseconds. The pause starts at `first` and doubles. */
 const PAUSE = { first: 50, largest: 1_000 }
 
-/** When a stream is resumed, and when it counts as stalled, so that another engine is sought. */
+/** When the stream of a run is resumed, and when the stream counts as stalled, so that another engine is sought. */
 export interface StreamLimits {
   /** Time without data after which a connection is replaced by a new one. */
   readonly idleTimeoutMilliseconds: number
@@ -19,11 +22,15 @@
 /** Events of an engine's response. */
 export type AnswerEvent =
   | { readonly kind: 'text', readonly texts: readonly string[] }
-  /** The engine is unresponsive. The run may continue, so the stream is resumed until the signal is aborted. */
+  /**
+   * The engine is unresponsive. The run may continue, so further connections are tried until the response ends or the reader
+   * aborts the signal of {@link EngineAnswer.events}.
+   */
   | { readonly kind: 'stalled' }
   | { readonly kind: 'end', readonly end: GenerationEnd }
   | { readonly kind: 'error', readonly error: LimpetwinchError }
 
+/** How one connection ended: with the last event of the response, or broken before that. */
 type StepResult = { readonly finished: AnswerEvent } | { readonly broken: LimpetwinchError }
 
 /** Streams one run. The signal of {@link EngineAnswer.events} can end the stream at any time. */
@@ -39,7 +46,7 @@
    * @param endpoint - the id of the engine, for errors
    * @param client - the client of the engine
    * @param request - the request to run
-   * @param limits - when a stream is resumed and when it counts as stalled
+   * @param limits - when the stream is resumed and when the stream counts as stalled
    * @param clock - the clock to use
    */
   constructor (endpoint: EndpointId, client: EngineClient, request: GenerateRequest, limits: StreamLimits, clock: Clock = new SystemClock()) {
@@ -50,7 +57,7 @@
     this.limits = limits
   }
 
-  /** Number of tokens released so far. */
+  /** Number of tokens given to the reader so far. */
   get delivered (): number {
     return this.assembler.next
   }
@@ -93,7 +100,7 @@
     yield { kind: 'error', error: lastError ?? new LimpetwinchError('request-ended-early') }
   }
 
-  /** Reads one connection until the response ends, the connection breaks or it delivers no data for too long. */
+  /** Reads one connection until the response ends, the connection breaks or the connection delivers no data for too long. */
   private async * connection (resumed: boolean, signal: AbortSignal): AsyncGenerator<AnswerEvent, StepResult> {
     const idleTimeout = new IdleTimeout(signal, this.limits.idleTimeoutMilliseconds)
     const source = resumed
@@ -121,7 +128,8 @@
       return undefined
     }
     const { end } = result.event
-    // The end counts parts that have not arrived. Ending here would truncate the response, so the stream is resumed to get them.
+    // The end event counts more parts than have arrived. Ending here would truncate the response, so the stream is resumed for the
+    // missing parts.
     if (this.assembler.hasGap || this.assembler.next < end.outputTokens) {
       return { broken: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'the stream ended with parts missing' }) }
     }
@@ -135,7 +143,10 @@
     return { kind: 'error', error: new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason }) }
   }
 
-  /** The engine does not know the request. It may have run before an engine restart, or may still reach the engine late. */
+  /**
+   * @returns the error for a request that the engine does not know; the request may have run before an engine restart, or may
+   *   still reach the engine late, so the outcome is `unknown`
+   */
   private lost (cause: LimpetwinchError): LimpetwinchError {
     return new LimpetwinchError('endpoint-failed', { endpoint: this.endpoint, reason: 'it no longer knows the request' }, { cause })
   }
--- a/packages/entry/src/delivery/in-flight-table.ts
+++ b/packages/entry/src/delivery/in-flight-table.ts
@@ -1,15 +1,16 @@
-/** The requests of this instance that each endpoint may be running, or that are waiting for admission there. */
+/** The requests of this instance that each endpoint may be running, or that wait for admission to the endpoint. */
 import type { EndpointId, FencingToken, LoadedName, RequestId } from '@limpetwinch/core'
 
 /** One request at one endpoint. */
 export interface InFlight {
   readonly requestId: RequestId
   readonly team: string
+  /** The name under which the engine holds the adapter; undefined before admission and for a request without an adapter. */
   loadedName: LoadedName | undefined
 }
 
 /**
- * Lists the requests that may be running to new owners, and rejects grants of earlier owners.
+ * Tells a new owner of an endpoint which requests may be running there, and rejects grants of earlier owners.
  *
  * A request is entered before admission is requested, not when it is granted. Otherwise a new owner could query the table
  * in between, find no use of the adapter, and evict the adapter while the request uses it.
@@ -40,7 +41,7 @@
   }
 
   /**
-   * Rejects grants with older tokens from now on.
+   * Rejects grants with older tokens from now on. Called when a new owner of the endpoint queries the requests.
    *
    * @returns all requests that may be running at the endpoint
    */
--- a/packages/entry/src/delivery/replacement-admission.ts
+++ b/packages/entry/src/delivery/replacement-admission.ts
@@ -1,9 +1,12 @@
-/** Secures admission at another engine while a stalled run may still recover, so that the run is abandoned only when a replacement is certain. */
+/**
+ * Requests admission at another engine while a stalled run may still recover. The run is abandoned only when the other
+ * engine has admitted the request.
+ */
 import type { Route } from '../routing/router.js'
 import { LinkedAbort } from '../runtime/linked-abort.js'
 import type { HeldAdmission } from './admission-client.js'
 
-/** An admission and the route that it belongs to. */
+/** An admission, and the route to the engine that the admission is for. */
 export interface Admitted {
   readonly held: HeldAdmission
   readonly route: Route
@@ -16,14 +19,17 @@
  */
 export type AdmitElsewhere = (signal: AbortSignal) => Promise<Admitted | undefined>
 
-/** The replacement admission of one run. It is requested when the run stalls, cancelled if the run recovers, and secured at most once. */
+/**
+ * The replacement admission of one run. The admission is requested when the run stalls. The request is cancelled if the run
+ * recovers, and a replacement is secured, which means admitted and kept, at most once.
+ */
 export class ReplacementAdmission {
   private readonly admitElsewhere: AdmitElsewhere
   private readonly onSecured: () => void
   private readonly signal: AbortSignal
   private pending: { readonly abort: LinkedAbort, readonly done: Promise<void> } | undefined
   private secured: Admitted | undefined
-  /** Whether a replacement was ever requested. */
+  /** Whether a replacement was ever requested, which means that the run has stalled at least once. */
   everRequested = false
 
   /**
@@ -37,7 +43,7 @@
     this.signal = signal
   }
 
-  /** Requests admission, unless a request is in progress or a replacement is secured already. */
+  /** Requests a replacement, unless an admission request is in progress or a replacement is secured already. */
   request (): void {
     this.everRequested = true
     if (this.pending !== undefined || this.secured !== undefined || this.signal.aborted) return
@@ -62,7 +68,7 @@
     return secured
   }
 
-  /** Cancels the request for a replacement and withdraws a secured one. */
+  /** Cancels an admission request in progress and withdraws a secured replacement. */
   async release (): Promise<void> {
     this.cancelRequest()
     const secured = await this.take()
--- a/packages/entry/src/delivery/service-delivery.ts
+++ b/packages/entry/src/delivery/service-delivery.ts
@@ -1,4 +1,7 @@
-/** Delivers calls of plain services. Calls go to the least loaded endpoint and are retried only if they cannot have run or are idempotent. */
+/**
+ * Delivers calls of plain services, which are HTTP back ends without adapters or admission. A call goes to the endpoint with
+ * the fewest calls in flight, and is retried only if the call cannot have run or is idempotent.
+ */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
@@ -7,11 +10,13 @@
 import type { Membership } from '../membership/membership.js'
 import type { ExplainLog, RequestTimeline } from '../metrics/explain-log.js'
 
+/** Number of attempts for one call, including the first, so that a call that fails everywhere ends soon. */
 const MAXIMUM_ATTEMPTS = 3
-/** Calls in flight that an endpoint in another data centre counts as having in addition to its own. */
+/** Number of calls added to the calls in flight of an endpoint in another data centre, so that endpoints in this one are preferred. */
 const REMOTE_PENALTY = 4
-/** Time for which an endpoint is avoided after a failed call. */
+/** Time for which an endpoint is avoided after a failed call, by all calls of this instance. */
 const AVOID_FAILED_MILLISECONDS = 2_000
+/** Time after which a caller may retry a call that no endpoint could serve. */
 const RETRY_SECONDS = 1
 /** Pause before a call is retried at an endpoint that has already failed it, when there is no other endpoint. */
 const SAME_ENDPOINT_PAUSE_MILLISECONDS = 250
@@ -52,12 +57,14 @@
   }
 
   /**
+   * Delivers one call, with retries within the retry budget.
+   *
    * @param requestId - the id of the request
    * @param service - the name of the service
    * @param call - the call to forward
    * @param idempotent - whether the call may run again after a failure
    * @param settings - the current settings
-   * @param signal - aborted when the caller disconnects or its deadline passes
+   * @param signal - aborted when the caller disconnects or the caller's deadline passes
    * @returns the complete response, or an error whose outcome says whether the call may have run
    */
   async deliver (requestId: RequestId, service: string, call: ServiceCall, idempotent: boolean, settings: OperatorSettings, signal: AbortSignal): Promise<Result<DeliveredCall, LimpetwinchError>> {
@@ -68,8 +75,8 @@
     let mayHaveRun = false
     for (let attempt = 1; ; attempt += 1) {
       const fresh = this.choose(service, settings, avoid)
-      // Once the call may have run, an error could only have the outcome `unknown`, so endpoints that failed are tried again:
-      // their faults may have passed.
+      // Once the call may have run, an error could only have the outcome `unknown`. So endpoints that failed this call are tried
+      // again, because their faults may have passed.
       if (fresh === undefined && mayHaveRun) await this.options.clock.sleep(SAME_ENDPOINT_PAUSE_MILLISECONDS, signal)
       const chosen = fresh ?? (mayHaveRun && !signal.aborted ? this.choose(service, settings, NO_ENDPOINTS) : undefined)
       if (chosen === undefined) return err(this.withFinalOutcome(this.noEndpoint(service), mayHaveRun))
@@ -94,7 +101,10 @@
     return answer.map((value) => ({ endpoint, answer: value }))
   }
 
-  /** Prefers endpoints with few calls in flight and in the same data centre. One that failed recently is chosen only if there is no other. */
+  /**
+   * Prefers endpoints with few calls in flight and in the same data centre. An endpoint that failed recently is chosen only
+   * if there is no other.
+   */
   private choose (service: string, settings: OperatorSettings, avoid: ReadonlySet<EndpointId>): ServiceEndpoint | undefined {
     const leaving = this.options.membership.leavingEndpoints()
     const endpoints = Object.entries(settings.endpoints.services[service]?.endpoints ?? {})
--- a/packages/entry/src/loads/coordinated-load-turns.ts
+++ b/packages/entry/src/loads/coordinated-load-turns.ts
@@ -1,4 +1,4 @@
-/** Load turns granted by one coordinator, a member that all instances choose by rendezvous hashing. */
+/** Load turns granted by one coordinator. The coordinator is a member that all instances choose by rendezvous hashing. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, InstanceId, Logger } from '@limpetwinch/core'
 import { uuidv7 } from 'uuidv7'
@@ -8,8 +8,9 @@
 import { LoadTurnCoordinator } from './load-turn-coordinator.js'
 import { LoadTurns } from './load-turns.js'
 
-/** Timeout of one request for a turn. */
+/** Timeout of one request for a turn. While the coordinator stays connected, the request is sent again. */
 const REQUEST_TIMEOUT_MILLISECONDS = 10_000
+/** Default time after which a turn ends even if it was not released. */
 const LONGEST_TURN_MILLISECONDS = 10_000
 
 /** Dependencies and settings of {@link CoordinatedLoadTurns}. */
@@ -17,21 +18,21 @@
   readonly peers: PeerNetwork
   readonly membership: Membership
   readonly logger: Logger
-  /** Turns at this instance's share of the load rate, used while no coordinator can be reached. */
+  /** Turns used while no coordinator can be reached, at this instance's share of the configured load rate. */
   readonly fallback: LoadTurns
-  /** Whether each data centre has a coordinator of its own, or one coordinator lets one load at a time run in the whole deployment. */
+  /** Whether each data centre has its own coordinator, or the whole deployment has one. One load at a time runs for each coordinator. */
   readonly scope: 'data-centre' | 'deployment'
   readonly clock?: Clock
-  /** Time after which a turn ends, so that a slow load no longer delays others. */
+  /** Time after which a turn ends even if it was not released, so that a slow load does not delay other loads for longer. */
   readonly longestTurnMilliseconds?: number
 }
 
 /**
- * {@link LoadTurns} that a coordinator grants, with this instance's share of the load rate as the fallback. Turns need no
- * fencing, because two loads at once are only slower.
+ * {@link LoadTurns} that a coordinator grants. While no coordinator can be reached, the fallback grants the turns at this
+ * instance's share of the load rate. Turns need no fencing, because two loads at once are only slower.
  */
 export class CoordinatedLoadTurns extends LoadTurns {
-  /** Number of turns taken without a coordinator. */
+  /** Number of turns requested from the fallback, because no coordinator could be reached. */
   turnsWithoutCoordinator = 0
   private readonly options: CoordinatedLoadTurnsOptions
   private readonly clock: Clock
--- a/packages/entry/src/loads/load-turn-coordinator.ts
+++ b/packages/entry/src/loads/load-turn-coordinator.ts
@@ -1,17 +1,22 @@
-/** The coordinator of load turns, which grants one turn at a time. */
+/** The coordinator of load turns, which grants the instances one turn at a time. A turn is the right to load one adapter now. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 
 interface WaitingTurn {
+  /** The instance that requested the turn. */
   readonly holder: InstanceId
   readonly turn: string
   readonly urgency: number
+  /** When the wait began, monotonic milliseconds. */
   readonly since: number
   readonly grant: (granted: boolean) => void
-  /** Removes the listener for the end of the requesting instance's connection, which outlives its turns by far. */
+  /**
+   * Removes the listener for the end of the instance's connection. The connection far outlives the turn, so listeners that are
+   * not removed would accumulate.
+   */
   readonly removeListener: () => void
 }
 
-/** Grants turns by urgency. Its state is never handed over: a new coordinator starts empty. */
+/** Grants turns by urgency. The waiting and granted turns are never handed over: a new coordinator starts without any. */
 export class LoadTurnCoordinator {
   private readonly clock: Clock
   private readonly longestTurnMilliseconds: number
@@ -20,7 +25,8 @@
 
   /**
    * @param clock - measures how long turns have waited
-   * @param longestTurnMilliseconds - time after which a turn ends, so that a slow load no longer delays others
+   * @param longestTurnMilliseconds - time after which a turn ends even if it was not released, so that a slow load does
+   *   not delay other loads for longer
    */
   constructor (clock: Clock, longestTurnMilliseconds: number) {
     this.clock = clock
@@ -32,8 +38,9 @@
    *
    * @param holder - the requesting instance
    * @param turn - id of the turn, unique within the instance
-   * @param urgency - the weighted stall that the load ends; the highest urgency is granted first
-   * @param signal - aborted when the connection of the requesting instance ends, which ends its wait or its turn
+   * @param urgency - how long requests have been stalled by the missing adapter, milliseconds, weighted by the load ordering
+   *   policy; the highest urgency is granted first
+   * @param signal - aborted when the connection of the requesting instance ends, which ends the wait or the turn
    * @returns whether the turn was granted
    */
   async acquire (holder: InstanceId, turn: string, urgency: number, signal: AbortSignal): Promise<boolean> {
@@ -49,7 +56,7 @@
     })
   }
 
-  /** Ends a turn, or the wait for it. */
+  /** Ends a granted turn, or the wait for a turn that was not granted yet. */
   done (holder: InstanceId, turn: string): void {
     this.endTurn(keyOf(holder, turn))
   }
@@ -80,7 +87,7 @@
     waiting.grant(true)
   }
 
-  /** Each millisecond of waiting adds 1 to the urgency, so every request is granted eventually. */
+  /** @returns the urgency plus 1 for each millisecond of waiting, so that every waiting turn is granted eventually */
   private weight (waiting: WaitingTurn): number {
     return waiting.urgency + this.clock.now() - waiting.since
   }
--- a/packages/entry/src/loads/paced-load-turns.ts
+++ b/packages/entry/src/loads/paced-load-turns.ts
@@ -1,4 +1,7 @@
-/** Load turns without a coordinator, paced by this instance's share of the weight store's load rate. */
+/**
+ * Load turns without a coordinator. The instance spaces its loads in time, so that all instances together keep to the
+ * configured load rate.
+ */
 import type { Clock } from '@limpetwinch/core'
 import { LoadTurns } from './load-turns.js'
 
@@ -7,7 +10,7 @@
   readonly begin: () => void
 }
 
-/** Grants one load at a time, the most urgent first, at the instance's share of the load rate. */
+/** Grants one load at a time, the most urgent first, at the instance's share of the configured load rate. */
 export class PacedLoadTurns extends LoadTurns {
   private readonly loadsPerSecond: () => number
   private readonly clock: Clock
@@ -16,7 +19,7 @@
   private nextAt = 0
 
   /**
-   * @param loadsPerSecond - returns this instance's share of the load rate
+   * @param loadsPerSecond - returns this instance's share of the configured load rate, loads per second
    * @param clock - the clock to use
    */
   constructor (loadsPerSecond: () => number, clock: Clock) {
@@ -27,7 +30,7 @@
 
   override async acquire (urgency: number, signal: AbortSignal): Promise<() => void> {
     await new Promise<void>((resolve, reject) => {
-      // The signal lives as long as the loader, so each turn removes its listener. Otherwise listeners would accumulate.
+      // The signal lives as long as the loader, so the listener is removed when a turn is granted. Otherwise listeners would accumulate.
       const cancel = (): void => {
         this.waiting = this.waiting.filter((other) => other !== entry)
         reject(new Error('the wait for a load turn was cancelled'))
--- a/packages/entry/src/outcomes/idempotency-claims.ts
+++ b/packages/entry/src/outcomes/idempotency-claims.ts
@@ -1,4 +1,7 @@
-/** Claims of idempotency keys, so that a request which may run only once runs at most once for each key in the whole deployment. */
+/**
+ * Claims of idempotency keys. A request that may run only once has to claim its caller's key, so it runs at most once for
+ * each key in the whole deployment.
+ */
 import { createHash, randomUUID } from 'node:crypto'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -7,13 +10,16 @@
 import type { Clock, IdempotencyKey, ObjectStore, RequestId, StoredObject, TeamId } from '@limpetwinch/core'
 
 const CLAIMS_PREFIX = '/claims'
+/** Number of attempts to read a claim whose write got no response. It bounds how long the caller waits for an error. */
 const READ_BACK_ATTEMPTS = 3
+/** Pause after the first failed attempt to read the claim; doubled after each further one. */
 const READ_BACK_PAUSE_MILLISECONDS = 100
+/** Time after which a caller may retry a request that was refused because the store was unavailable. */
 const RETRY_SECONDS = 2
 
 /**
- * `claimed`: the request may be running or have run. `answered`: the response was complete. `released`: the request
- * provably did not run, so the key may be claimed again.
+ * State of a key. `claimed`: the request may be running or have run. `answered`: the response was complete. `released`: the
+ * request provably did not run, so the key may be claimed again.
  */
 type ClaimState = 'claimed' | 'answered' | 'released'
 
@@ -26,7 +32,7 @@
 
 type Claim = z.infer<typeof claimSchema>
 
-/** A key that only this request holds. */
+/** A claim of a key, which only one request holds, at the version that this request wrote. */
 export interface HeldClaim {
   readonly path: string
   readonly version: number
@@ -44,7 +50,7 @@
   private readonly clock: Clock
 
   /**
-   * @param store - the platform's object API
+   * @param store - the platform's object store, which holds the claims
    * @param clock - the clock to use
    */
   constructor (store: ObjectStore, clock: Clock) {
@@ -53,6 +59,8 @@
   }
 
   /**
+   * Claims a key for a request, unless another request has claimed the key and may have run.
+   *
    * @param team - the caller's team; each team has its own keys
    * @param key - the caller's key
    * @param requestId - the request to run
@@ -71,7 +79,10 @@
     return err(again.error.kind === 'version-conflict' ? this.keyUsedError(undefined) : this.storeUnavailableError(again.error))
   }
 
-  /** Releases a key whose request provably did not run. If the release is lost, the key stays claimed, which is safe. */
+  /**
+   * Releases a key whose request provably did not run. If the release is lost, the key stays claimed. That is safe: no
+   * request runs twice.
+   */
   async release (claim: HeldClaim): Promise<void> {
     await this.write(claim.path, claim.version, 'released', claim.requestId)
   }
@@ -89,7 +100,10 @@
     return await this.readBack(path, claim, written.error)
   }
 
-  /** Checks whether a write without a response took effect, by the id in the stored claim. The write itself is never retried. */
+  /**
+   * Checks whether a write that got no response took effect, by comparing the write id in the stored claim. The write itself
+   * is never retried.
+   */
   private async readBack (path: string, claim: Claim, lost: LimpetwinchError): Promise<Result<HeldClaim, LimpetwinchError>> {
     for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt += 1) {
       const read = await this.store.get(path)
@@ -115,7 +129,7 @@
     return new LimpetwinchError('key-already-used', { state })
   }
 
-  /** The outcome is `not_run`, because a request never runs without a claim. */
+  /** @returns the error for a claim that failed; its outcome is `not_run`, because a request never runs without a claim */
   private storeUnavailableError (cause: LimpetwinchError): LimpetwinchError {
     return new LimpetwinchError('store-unavailable', { reason: cause.message }, { cause, outcome: 'not_run', retryAfterSeconds: RETRY_SECONDS })
   }
--- a/packages/entry/src/placement/rendezvous.ts
+++ b/packages/entry/src/placement/rendezvous.ts
@@ -1,4 +1,7 @@
-/** Rendezvous hashing: instances that know the same members choose the same one, and the loss of a member moves only the keys of that member. */
+/**
+ * Rendezvous hashing: instances that know the same members choose the same member for a key. The loss of a member moves only
+ * that member's keys.
+ */
 import { xxHash32 } from 'js-xxhash'
 
 /**
--- a/packages/entry/src/routing/current-routing-policy.ts
+++ b/packages/entry/src/routing/current-routing-policy.ts
@@ -3,7 +3,10 @@
 import type { RoutingPolicy } from '@limpetwinch/decisions'
 import type { PolicySettings } from '@limpetwinch/core'
 
-/** Creates a new policy when the settings change. The new policy starts without the observed failures of endpoints. */
+/**
+ * Replaces the routing policy when the settings change. The new policy starts without the endpoint failures that the
+ * previous policy observed.
+ */
 export class CurrentRoutingPolicy {
   private policy: RoutingPolicy = new WeightedRoutingPolicy()
   private settings: PolicySettings | undefined
--- a/packages/entry/src/routing/endpoint-directory.ts
+++ b/packages/entry/src/routing/endpoint-directory.ts
@@ -1,17 +1,22 @@
-/** What this instance knows about each engine, from the digests of its owner and the requests that it sent after them. */
+/**
+ * What this instance knows about each engine, from the digests of the engine's owner and the requests that this instance
+ * sent after those digests.
+ */
 import { enginesOf } from '@limpetwinch/core'
 import type { EndpointDigestFrame, EndpointId, EngineSettings, InstanceId, OperatorSettings } from '@limpetwinch/core'
 import { CopyCounter } from '../scheduling/digest.js'
 
-/** The latest digest of an endpoint's owner, and what this instance sent after it. */
+/** The latest digest from an endpoint's owner, and what this instance sent after that digest. */
 export interface EndpointState {
   readonly owner: InstanceId
   readonly digest: EndpointDigestFrame
+  /** The adapters loaded on the engine. */
   readonly adapters: ReadonlySet<string>
+  /** Monotonic milliseconds. */
   readonly digestReceivedAt: number
-  /** Requests that this instance sent to the endpoint after that digest. */
+  /** Number of admission requests for the endpoint that this instance sent after the digest. */
   sentSince: number
-  /** Adapters that this instance requested after that digest and that were not loaded. Their loads are pending or in progress. */
+  /** Adapters that this instance requested after the digest and that were not loaded. Their loads are pending or in progress. */
   readonly adaptersRequestedSince: Set<string>
 }
 
@@ -30,19 +35,19 @@
     return this.engines
   }
 
-  /** @returns the state of an engine, or undefined if no digest has been received */
+  /** @returns the state of an engine, or undefined if no digest of the engine has been received */
   get (endpoint: EndpointId): EndpointState | undefined {
     return this.states.get(endpoint)
   }
 
   /**
-   * Applies a digest. A digest with an older token comes from an owner that has been replaced. It is ignored, because
-   * applying it would send requests to an instance that refuses them.
+   * Applies a digest. A digest with an older token comes from an owner that has been replaced. Such a digest is ignored,
+   * because applying it would send requests to an instance that refuses them.
    *
    * @param from - the owner that sent the digest
    * @param digest - the digest
    * @param now - monotonic milliseconds
-   * @returns false if a digest was missed, so that the adapters are incomplete until the next full digest
+   * @returns false if a digest was missed, so that the listed adapters are incomplete until the next full digest
    */
   applyDigest (from: InstanceId, digest: EndpointDigestFrame, now: number): boolean {
     const before = this.states.get(digest.endpoint)
@@ -55,7 +60,7 @@
     return digest.full || follows
   }
 
-  /** Records a request sent to an endpoint. The next digest of the owner resets the record. */
+  /** Records an admission request sent for an endpoint. The next digest from the endpoint's owner resets the record. */
   sent (endpoint: EndpointId, adapter: string | undefined): void {
     const state = this.states.get(endpoint)
     if (state === undefined) return
--- a/packages/entry/src/routing/router.ts
+++ b/packages/entry/src/routing/router.ts
@@ -8,10 +8,14 @@
 import type { EndpointDirectory, EndpointState } from './endpoint-directory.js'
 import type { PrefixTracker } from './prefix-tracker.js'
 
-/** Assumed one-way latency between data centres, milliseconds. It only serves to compare endpoints. */
+/** Assumed one-way latency between data centres, milliseconds. The value only serves to compare endpoints. */
 const REMOTE_DISTANCE = 0.5
+/** Time after which a caller may retry a request that no endpoint could serve. */
 const RETRY_SECONDS = 1
-/** Time within which the next owner of an endpoint sends a digest after its owner has ended. Until then requests wait for it. */
+/**
+ * How long an endpoint is still chosen after the last digest of an owner that has ended. Within this time the next owner is
+ * expected to send its first digest, and requests for the endpoint wait.
+ */
 const NEXT_OWNER_MILLISECONDS = 10_000
 
 /** The engine that a request is routed to, and the owner that admits it. */
@@ -40,7 +44,9 @@
   }
 
   /**
-   * @param question - the request
+   * Chooses an endpoint for a request by the current policy.
+   *
+   * @param question - what the routing policy needs to know of the request
    * @param settings - the current settings
    * @returns the engine and its owner, or the error `no-endpoint`
    */
@@ -59,7 +65,10 @@
     return ok({ engine, owner: state.owner })
   }
 
-  /** @returns whether the platform's list marks an endpoint as leaving */
+  /**
+   * @returns whether an endpoint is marked as leaving in the platform's list of instances and endpoints, which the membership
+   *   follows; a leaving endpoint gets no new requests
+   */
   isLeaving (endpoint: EndpointId): boolean {
     return this.options.membership.leavingEndpoints().has(endpoint)
   }
--- a/packages/entry/src/scheduling/admission-queue.ts
+++ b/packages/entry/src/scheduling/admission-queue.ts
@@ -1,4 +1,4 @@
-/** The requests that wait for admission at an owner, indexed by id and by adapter. */
+/** The requests that wait for admission to one engine at its owner, indexed by request id and by adapter. */
 import type { Result } from 'neverthrow'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import type { FairQueue } from '@limpetwinch/decisions'
@@ -9,7 +9,7 @@
 
 const NO_REQUESTS: ReadonlySet<WaitingRequest> = new Set()
 
-/** Keeps the fair queue and the indexes of its requests consistent. */
+/** Keeps the fair queue of one engine and the indexes of the waiting requests consistent. */
 export class AdmissionQueue {
   private readonly queue: FairQueue<WaitingRequest>
   private readonly waiting = new Map<string, { item: WaitingRequest, settle: Settle }>()
@@ -50,7 +50,7 @@
     this.byAdapter.set(item.adapter, waiting)
   }
 
-  /** Removes a waiting request and completes it with a result. Does nothing if the request is not waiting. */
+  /** Removes a waiting request and completes its wait with a result. Does nothing if the request is not waiting. */
   settle (requestId: string, result: Result<Grant, LimpetwinchError>): void {
     const entry = this.waiting.get(requestId)
     if (entry === undefined) return
--- a/packages/entry/src/scheduling/admission.ts
+++ b/packages/entry/src/scheduling/admission.ts
@@ -1,8 +1,11 @@
-/** Types exchanged between the instance that serves a client's request and the endpoint's owner, which admits it. */
+/**
+ * Types of admission, without the admission logic: what the instance that serves a caller's request and the owner of an
+ * endpoint exchange, and how much service a request is expected to use. `EndpointScheduler` admits requests by these types.
+ */
 import type { AdapterReference, FencingToken, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 import type { QueuedRequest } from '@limpetwinch/decisions'
 
-/** A request for admission, as the endpoint's owner receives it from an instance. */
+/** A request for admission to an endpoint, as the endpoint's owner receives it from an instance. */
 export interface IncomingAdmissionRequest {
   readonly requestId: RequestId
   readonly from: InstanceId
@@ -11,21 +14,24 @@
   readonly priority: number
   readonly promptTokens: number
   readonly maximumTokens: number
-  /** How much longer the caller will wait, milliseconds. */
+  /** How much longer the caller will wait for the complete response, milliseconds. */
   readonly patience: number
 }
 
-/** An admission. The owner keeps the adapter loaded until the request has ended. */
+/** An admission of one request. The owner keeps the request's adapter loaded until the request has ended. */
 export interface Grant {
   readonly token: FencingToken
   readonly loadedName: LoadedName | undefined
-  /** Milliseconds that the request waited for its adapter to be loaded. */
+  /** Time from the start of the wait until the request's adapter was found loaded, milliseconds; 0 for a request without an adapter. */
   readonly loadStall: number
   /** Total milliseconds that the request waited in the queue. */
   readonly queueWait: number
 }
 
-/** How an admitted request ended. */
+/**
+ * How an admitted request ended. `answered`: with a complete response. `not-run`: the engine certainly did not run the request.
+ * `failed`: the engine may have run the request. `withdrawn`: the request was never sent to the engine.
+ */
 export type AdmissionOutcome = 'answered' | 'not-run' | 'failed' | 'withdrawn'
 
 /** A request that waits for admission in the owner's queue. */
@@ -35,7 +41,10 @@
   loadedSince: number | undefined
 }
 
-/** Weight of an output token when service is counted; a prompt token counts 1. Each output token costs the engine a step. */
+/**
+ * Weight of one output token. Service is the use of engines, counted in weighted tokens: a prompt token counts 1. An output
+ * token counts more, because the engine needs one step for each of them.
+ */
 export const OUTPUT_TOKEN_COST = 2
 
 /** @returns the service that a request is expected to use, in weighted tokens */
--- a/packages/entry/src/scheduling/data-centre-service-accounting.ts
+++ b/packages/entry/src/scheduling/data-centre-service-accounting.ts
@@ -1,16 +1,20 @@
-/** Accounting of the service that teams use in the whole data centre, so that no team gets a full share at every owner. */
+/**
+ * Accounting for fair queueing: how much service each team has received in the whole data centre, counted in weighted
+ * tokens. If each owner counted only the service of its own engines, a team would get a full share at every owner.
+ */
 import { ServiceAccounting } from '@limpetwinch/decisions'
 import { LoadAccounting } from './load-accounting.js'
 import type { InstanceId, OperatorSettings, TeamServiceFrame } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
 
+/** Number of teams in one `team-service` frame, to bound its size. Further teams are sent with the next broadcast. */
 const MAXIMUM_TEAMS_IN_A_FRAME = 100
 
-/** The accounting for all queues of this instance. Other owners report the service they provided in `team-service` frames. */
+/** The accounting for all admission queues of this instance. Other owners report the service at their engines in `team-service` frames. */
 export class DataCentreServiceAccounting {
   readonly accounting = new ServiceAccounting()
-  /** Accounting of adapter loads, with the same team weights. */
+  /** Accounting of adapter loads, with the same team weights as the accounting of service. */
   readonly loads = new LoadAccounting()
   private readonly network: PeerNetwork
   private readonly membership: Membership
@@ -27,7 +31,10 @@
     this.membership = membership
   }
 
-  /** Applies the current weights. A team that is no longer listed gets weight 1 again. */
+  /**
+   * Applies the teams' weights of the current settings. A team's weight sets its share of the service relative to other
+   * teams. A team that is no longer listed gets weight 1 again.
+   */
   setWeights (settings: OperatorSettings): void {
     if (this.settings?.shares === settings.shares) return
     this.settings = settings
@@ -42,18 +49,21 @@
     this.loads.setWeight(team, weight)
   }
 
-  /** Records service provided here, to be sent to the other owners. The queue has charged it to the local accounting already. */
+  /**
+   * Records service by the engines of this instance, to be sent to the other owners. The queue has already charged that
+   * service locally.
+   */
   served (team: string, tokens: number): void {
     this.unsentTokens.set(team, (this.unsentTokens.get(team) ?? 0) + tokens)
   }
 
-  /** Charges the service that another owner has reported. */
+  /** Charges teams for the service that another owner has reported. */
   receive (from: InstanceId, frame: TeamServiceFrame): void {
     if (from === this.network.self.instance) return
     for (const { team, tokens } of frame.tokens) this.accounting.charge(team, tokens)
   }
 
-  /** Sends the service provided here since the previous call to the other members of the data centre. */
+  /** Sends the service by the engines of this instance since the previous call to the other members of the data centre. */
   broadcast (): void {
     if (this.unsentTokens.size === 0) return
     const tokens = [...this.unsentTokens].slice(0, MAXIMUM_TEAMS_IN_A_FRAME).map(([team, amount]) => ({ team, tokens: amount }))
--- a/packages/entry/src/scheduling/digest.ts
+++ b/packages/entry/src/scheduling/digest.ts
@@ -1,4 +1,4 @@
-/** Digests: what the owner of an endpoint broadcasts about it, so that other instances can route requests. */
+/** Digests: what the owner of an endpoint broadcasts about the endpoint, so that other instances can route requests. */
 import type { EndpointDigestFrame, EndpointId } from '@limpetwinch/core'
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 
@@ -9,12 +9,13 @@
   readonly leaving: boolean
   /** Whether the owner currently receives the engine's reports. */
   readonly healthy: boolean
+  /** Number of requests that the eviction for one more load is expected to stall; 0 while a slot is free. */
   readonly evictionCost: number
 }
 
 /**
- * Builds the digests of one endpoint. Digests list adapters as changes and carry sequence numbers, so that a receiver
- * detects a missed one.
+ * Builds the digests of one endpoint. A digest that is not full lists only the adapters that changed since the previous
+ * digest. Digests carry sequence numbers, so that a receiver detects a missed digest.
  */
 export class DigestMaker {
   private sequence = 0
@@ -23,9 +24,9 @@
 
   /**
    * @param scheduler - the endpoint's scheduler
-   * @param state - what the scheduler does not know
-   * @returns the frame to broadcast, or undefined if neither the load nor the adapters have changed since the
-   *   previous digest
+   * @param state - what the digest contains in addition to the state of the scheduler
+   * @returns the frame to broadcast, or undefined if the digest is not full and neither the load nor the adapters
+   *   have changed since the previous digest; a change of the eviction cost alone sends no digest
    */
   make (scheduler: EndpointScheduler, state: DigestState): EndpointDigestFrame | undefined {
     const { full, leaving, healthy, evictionCost } = state
@@ -56,7 +57,7 @@
   }
 }
 
-/** Counts the copies of adapters on other engines, based on the digests of their owners. */
+/** Counts the copies of adapters on other engines, based on the digests from the owners of those engines. */
 export abstract class CopyCounter {
   /** @returns the number of copies of an adapter on engines other than `endpoint` */
   abstract copiesElsewhere (adapter: string, endpoint: EndpointId): number
--- a/packages/entry/src/scheduling/endpoint-scheduler.ts
+++ b/packages/entry/src/scheduling/endpoint-scheduler.ts
@@ -12,33 +12,38 @@
 import { WaitForecaster } from './wait-forecaster.js'
 import { AdmissionQueue } from './admission-queue.js'
 
-/** Requests admitted beyond the engine's batch capacity, so that the engine replaces a finished sequence in its next step. */
+/** Number of requests admitted beyond the engine's batch capacity, so that the engine can replace a finished sequence in its next step. */
 const GRANTED_BEYOND_BATCH = 2
-/** Largest clock difference that is expected between engines and instances. */
+/**
+ * How much later than the known end of an instance an engine report must be dated before the report can show that a request
+ * of that instance has ended. This covers the largest clock difference that is expected between engines and instances.
+ */
 const REPORT_MARGIN_MILLISECONDS = 2_000
 
 /** A request that has been admitted and has not ended yet. */
 export interface Running {
   readonly request: IncomingAdmissionRequest
   readonly loadedName: LoadedName | undefined
+  /** When the request was admitted, monotonic milliseconds. */
   readonly grantedAt: number
 }
 
-/** Dependencies and callbacks of a scheduler. */
+/** Dependencies and callbacks of the scheduler of one engine. */
 export interface EndpointSchedulerOptions {
   readonly engine: EngineSettings
   readonly record: OwnershipRecord
   readonly rights: () => OwnerRights
   readonly queue: FairQueue<WaitingRequest>
   readonly guard: OverloadGuard<WaitingRequest>
+  /** @returns the expected duration of one adapter load */
   readonly loadMilliseconds: () => number
   readonly clock: Clock
   readonly logger: Logger
-  /** Called for each queued request that names an adapter. */
+  /** Called for each queued request that names an adapter, with the expected service in weighted tokens and monotonic milliseconds. */
   readonly onAdapterRequested: (adapter: string, team: string, tokens: number, now: number) => void
   /** Called when an adapter may have to be loaded. */
   readonly onLoadNeeded: () => void
-  /** Called with the service that a request has used, in weighted tokens. */
+  /** Called when a request has ended, with the service that the request has used, in weighted tokens. */
   readonly onServed: (team: string, tokens: number) => void
 }
 
@@ -51,14 +56,20 @@
   private readonly options: EndpointSchedulerOptions
   private readonly waiting: AdmissionQueue
   private readonly forecaster: WaitForecaster
-  /** Expected service of all waiting requests, weighted tokens. */
+  /** Total service that the waiting requests are expected to use, weighted tokens. */
   private waitingCost = 0
+  /** Names that the previous owner handed over as loaded. A handed-over name may be used even if it contains an older token. */
   private readonly adopted = new Set<LoadedName>()
-  /** Names whose unload order got no response. The engine may still carry out the order at any later time. */
+  /** Names whose unload order failed or got no response. The engine may still carry out the order at any later time. */
   private readonly unconfirmedUnloads = new Set<LoadedName>()
-  /** Wall time at which the last order ended. Engine reports made earlier may not reflect that order. */
+  /**
+   * Wall time at which the last order ended plus a margin for clock differences, milliseconds. Engine reports made earlier
+   * may not reflect that order.
+   */
   lastOrderAt = 0
+  /** The run that the latest report named, which changes when the engine is restarted cold; undefined before the first report. */
   private engineRun: string | undefined
+  /** The refusal of all requests after another owner has taken over; undefined while this owner admits requests. */
   private released: LimpetwinchError | undefined
 
   /** @param options - dependencies and callbacks */
@@ -105,7 +116,7 @@
    */
   async admit (request: IncomingAdmissionRequest, signal: AbortSignal): Promise<Result<Grant, LimpetwinchError>> {
     const running = this.running.get(request.requestId)
-    // An instance retries its admission request if the response was lost with a connection; the request is pinned already.
+    // An instance retries its admission request if the response was lost with a connection. The request already holds its pin then.
     if (running !== undefined) return ok(this.grantOf(running, 0, 0))
     if (this.released !== undefined) return err(this.released)
     const item = this.itemOf(request)
@@ -123,7 +134,8 @@
   }
 
   /**
-   * Removes the pin of an admitted request, or withdraws a waiting request.
+   * Ends a request: removes the pin of an admitted request and charges the service that was really used, or withdraws a
+   * waiting request.
    *
    * @param requestId - the request
    * @param outcome - how the request ended
@@ -144,7 +156,7 @@
     this.grantReady()
   }
 
-  /** Accepts loaded names from a hand-over. The previous owner no longer sends orders, so these names stay loaded. */
+  /** Accepts the names that the previous owner handed over as loaded. That owner no longer sends orders, so the adapters stay loaded. */
   adopt (names: readonly LoadedName[]): void {
     for (const name of names) {
       this.adopted.add(name)
@@ -170,7 +182,8 @@
   }
 
   /**
-   * Takes over what a scheduler with the same token knows about its orders. No order may be sent before this call.
+   * Takes over what an earlier scheduler with the same token knows about the orders sent so far. This scheduler's loader may
+   * send no order before this call.
    *
    * @param earlier - the previous scheduler, whose orders have all ended
    */
@@ -181,7 +194,10 @@
     for (const slot of this.slots.all()) slot.usable = this.isUsable(slot.name)
   }
 
-  /** Applies an engine report. Reports lag, so an adapter is never treated as loaded because of a report alone. */
+  /**
+   * Applies an engine report. Reports are out of date when they arrive, so an adapter is never treated as loaded because of
+   * a report alone.
+   */
   applyReport (report: EngineReport): void {
     const coldStart = this.engineRun !== undefined && this.engineRun !== report.engineRun
     if (coldStart) this.options.logger.warn('The engine restarted with no adapters loaded.', { endpoint: this.engine.endpoint })
@@ -201,8 +217,8 @@
    *
    * @param endedAt - when an instance was known to have ended, wall time in milliseconds; undefined while it may be alive
    * @param report - the latest report of the engine
-   * @param longestRequest - longest request time of the current settings, milliseconds; a request that was admitted with
-   *   a longer patience keeps it
+   * @param longestRequest - longest request time of the current settings, milliseconds; a request whose caller was
+   *   willing to wait longer when the request arrived keeps that longer time
    */
   dropEndedPins (endedAt: (instance: InstanceId) => number | undefined, report: EngineReport, longestRequest: number): void {
     const now = this.options.clock.now()
@@ -215,7 +231,7 @@
     }
   }
 
-  /** @returns the instances that hold pins older than so many milliseconds */
+  /** @returns the instances with admitted requests that were granted more than so many milliseconds ago */
   holdersOfPinsOlderThan (milliseconds: number): ReadonlySet<InstanceId> {
     const now = this.options.clock.now()
     const old = [...this.running.values()].filter((entry) => now - entry.grantedAt > milliseconds)
@@ -223,7 +239,8 @@
   }
 
   /**
-   * Drops the pins of an instance that the instance no longer reports. Their `admission-done` message was lost with a connection.
+   * Drops the pins of requests that their instance no longer reports. The `admission-done` messages of these requests were lost
+   * with a connection.
    *
    * @param from - the instance
    * @param held - all requests to this endpoint that the instance reports, including requests that wait for admission
@@ -247,7 +264,7 @@
     this.waitingCost = 0
   }
 
-  /** Admits the waiting requests that can run now. */
+  /** Admits waiting requests whose adapter is loaded, in the order of the fair queue, while the engine has room. */
   grantReady (): void {
     const { queue, clock, rights } = this.options
     while (this.released === undefined && rights().mayAdmit && this.freePlaces() > 0) {
@@ -269,7 +286,13 @@
     return this.adopted.has(name) || splitLoadedName(name).token === this.token
   }
 
-  /** @returns the name under which an adapter has to be loaded now */
+  /**
+   * Chooses the loaded name for a new load. For an engine that ignores fencing tokens, the name includes the token, so that a
+   * late unload order of an earlier owner cannot name the same adapter. A name with an unconfirmed unload order is not used
+   * again: a generation number makes the new name different.
+   *
+   * @returns the name under which an adapter has to be loaded now
+   */
   nameFor (reference: AdapterReference): LoadedName {
     const plain = loadedNameOf(reference, this.engine.fencing === 'ignores' ? this.token : undefined)
     if (!this.unconfirmedUnloads.has(plain)) return plain
@@ -279,7 +302,7 @@
   }
 
   /**
-   * Stops using a name whose unload order got no response. The engine may have been paused and may carry out the order
+   * Stops using a name whose unload order failed or got no response. The engine may have been paused and may carry out the order
    * after a later load confirmed the adapter; a request admitted to that name would then lose its adapter.
    */
   abandonName (slot: Slot): void {
@@ -318,7 +341,12 @@
     }
   }
 
-  /** Under fair queueing the long queue of another team does not delay a request, so the queue's estimate replaces the total of all waiting requests. */
+  /**
+   * Under fair queueing, the long queue of another team does not delay a request. So the queue's own estimate is used if there
+   * is one, and the total cost of all waiting requests otherwise.
+   *
+   * @returns the service that is expected before this request, weighted tokens
+   */
   private costAhead (item: WaitingRequest): number {
     return this.options.queue.tokensAhead?.(item) ?? this.waitingCost
   }
@@ -383,8 +411,8 @@
     const slot = this.slots.get(running.loadedName)
     if (slot === undefined) return
     slot.pins.delete(running.request.requestId)
-    // The engine did not run the request: it may not hold the adapter, or it may have failed. A load order checks that before
-    // the next grant.
+    // The engine did not run the request: the engine may not hold the adapter, or may have failed. A load order checks that
+    // before the next grant.
     if (outcome === 'not-run' && slot.state === 'loaded') this.markUnverified(slot)
   }
 
--- a/packages/entry/src/scheduling/load-accounting.ts
+++ b/packages/entry/src/scheduling/load-accounting.ts
@@ -1,21 +1,25 @@
-/** Counts adapter loads as a service of their own, so that a team with many rarely used adapters cannot delay the loads of other teams. */
+/**
+ * Counts how many adapter loads each team has caused, separately from the tokens that its requests used. A team that has had
+ * more than its fair share of loads comes later, so that a team with many rarely used adapters cannot delay the loads of
+ * other teams.
+ */
 import { ServiceAccounting } from '@limpetwinch/decisions'
 
-/** Number of loads after which earlier loads have little influence. */
+/** Number of loads, of all teams together, after which earlier loads have little influence on the shares. */
 const MEMORY_LOADS = 200
 
-/** Counts the loads of each team on the engines of this instance. */
+/** Counts the adapter loads of each team on the engines that this instance owns. */
 export class LoadAccounting {
   private readonly ledger = new ServiceAccounting({ memoryTokens: MEMORY_LOADS })
   private readonly waiting = new Map<string, string>()
 
-  /** Sets a team's weight. */
+  /** Sets a team's weight, which sets the team's fair share of the loads relative to other teams. */
   setWeight (team: string, weight: number): void {
     this.ledger.setWeight(team, weight)
   }
 
   /**
-   * Updates which loads are pending on one engine.
+   * Updates which loads are pending on one engine. Only teams with pending loads compete for a share.
    *
    * @param endpoint - the engine
    * @param teams - the team of each adapter that waits to be loaded on the engine
@@ -34,12 +38,12 @@
     }
   }
 
-  /** Counts one load. */
+  /** Counts one completed load of a team's adapter. */
   loaded (team: string): void {
     this.ledger.charge(team, 1)
   }
 
-  /** @returns a team's loads relative to its fair share; 1 is fair */
+  /** @returns a team's recent loads relative to the team's fair share among the teams with pending loads; 1 is fair */
   shareUsed (team: string): number {
     return this.ledger.shareUsed(team)
   }
--- a/packages/entry/src/scheduling/loader.ts
+++ b/packages/entry/src/scheduling/loader.ts
@@ -8,22 +8,33 @@
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 import type { Slot } from './slot-table.js'
 
+/** Time after the first failed load of an adapter before that adapter is tried again; doubled with each further failure. */
 const FIRST_BACKOFF_MILLISECONDS = 500
+/** Upper bound of that time, so that an adapter is tried again soon after its fault has passed. */
 const LONGEST_BACKOFF_MILLISECONDS = 30_000
-/** Consecutive failures after which the waiting requests are refused. Later requests wait until the back-off is over. */
+/**
+ * Consecutive failed loads of an adapter after which the requests that wait for it are refused. Later requests wait until
+ * the back-off is over.
+ */
 const FAILURES_BEFORE_REFUSAL = 3
-/** Pause while no load is pending. */
+/** Pause between checks for pending loads while no load is pending. A new pending load ends the pause early. */
 const IDLE_PAUSE_MILLISECONDS = 1_000
-/** Pause after a load that could not be made, and while no pending load may run yet. */
+/** Pause before pending loads are checked again, when the chosen load could not be made or no pending load may run yet. */
 const RETRY_PAUSE_MILLISECONDS = 100
-/** Urgency of a load that no request waits for, so that it runs after all other loads. */
+/** Urgency of a load that no request waits for, so that such a load runs after all other loads. */
 const MINIMUM_URGENCY = 0
-/** Upper bound of the eviction cost, which stands for an engine that cannot evict any adapter. */
+/**
+ * Upper bound of the eviction cost. It stands for an engine that cannot evict any adapter: the policy then returns Infinity,
+ * but a digest needs a finite number.
+ */
 const LARGEST_COST = 1e9
-/** Largest clock difference that is expected between engines and instances. */
+/**
+ * Largest clock difference that is expected between engines and instances. It is added to the time of an order, so that an
+ * engine report dated by a clock ahead of this one does not pass for a report made after the order.
+ */
 const CLOCK_MARGIN_MILLISECONDS = 1_000
 
-/** Dependencies of a loader. */
+/** Dependencies of the loader of one engine. */
 export interface LoaderOptions {
   readonly scheduler: EndpointScheduler
   readonly client: EngineClient
@@ -33,21 +44,24 @@
   readonly rights: () => OwnerRights
   /** Loaded names that requests admitted by an earlier owner may still use. */
   readonly earlierPins: () => ReadonlySet<LoadedName>
+  /** @returns the number of copies of an adapter on other engines */
   readonly otherCopies: (adapter: string) => number
   readonly loadAccounting: LoadAccounting
   readonly loadAhead: LoadAhead
-  /** @returns the reference of an adapter, or undefined if it is not in the settings or this engine cannot serve it */
+  /** @returns the reference of an adapter, or undefined if the settings do not list the adapter or this engine cannot serve it */
   readonly servable: (adapter: string) => AdapterReference | undefined
   readonly clock: Clock
   readonly logger: Logger
 }
 
+/** Consecutive failed loads of one adapter. */
 interface Failures {
   count: number
+  /** When the adapter may be loaded again, monotonic milliseconds. */
   notBefore: number
 }
 
-/** Sends load and unload orders. No other task changes which adapters the engine holds. */
+/** Sends load and unload orders to one engine. Under the current owner no other task changes which adapters the engine holds. */
 export class Loader {
   private readonly options: LoaderOptions
   private readonly failures = new Map<string, Failures>()
@@ -73,7 +87,7 @@
     return this.stopping.signal.aborted
   }
 
-  /** Runs until stopped or aborted by the signal. No order is in progress after it has returned. */
+  /** Loads pending adapters until the loader is stopped or the signal is aborted. No order is in progress after this call has returned. */
   async run (signal: AbortSignal): Promise<void> {
     const either = AbortSignal.any([signal, this.stopping.signal])
     while (!either.aborted) {
@@ -102,7 +116,7 @@
     const release = await this.turn(candidate, signal)
     if (release === undefined) return
     try {
-      // During the wait for the turn another load may have become more urgent, or the original one unnecessary.
+      // During the wait for the turn another load may have become more urgent, or this load may have become unnecessary.
       const current = this.mostUrgentLoad()
       const progressed = current !== undefined && await this.loadOne(current)
       if (!progressed) await this.pause(RETRY_PAUSE_MILLISECONDS, signal)
@@ -111,10 +125,10 @@
     }
   }
 
-  /** @returns a function that releases the turn, or undefined if the wait was cancelled */
+  /** @returns a function that releases the load turn, or undefined if the wait for the turn was cancelled */
   private async turn (candidate: LoadCandidate, signal: AbortSignal): Promise<(() => void) | undefined> {
     const { scheduler, loadOrder, loadTurns, clock } = this.options
-    // A load order for an adapter that the engine already holds puts no load on the weight store, so it needs no turn.
+    // A load order for an adapter that the engine already holds fetches nothing from the weight store, so the order needs no turn.
     if (scheduler.slots.usableSlot(candidate.adapter)?.state === 'unverified') return () => undefined
     return await this.waitForTurn(() => loadTurns.acquire(loadOrder.urgency(candidate, clock.now()), signal), signal)
   }
@@ -160,7 +174,8 @@
 
   private afterFailure (slot: Slot, error: LimpetwinchError): void {
     const { scheduler, clock } = this.options
-    // An order whose response was lost may have taken effect, so the slot stays occupied until an order or a report clarifies it.
+    // An order whose response was lost may have taken effect, so the slot stays occupied until a later order or report shows
+    // whether the engine holds the adapter.
     if (error.outcome === 'unknown') slot.state = 'unverified'
     else if (slot.pins.size === 0) scheduler.slots.free(slot.name)
     const failures = this.failures.get(slot.adapter) ?? { count: 0, notBefore: 0 }
@@ -182,7 +197,7 @@
     const chosen = useless?.view.adapter ?? eviction.victim(candidates.map(({ view }) => view), incoming, clock.now())
     const slot = (useless ?? candidates.find(({ view }) => view.adapter === chosen))?.slot
     if (slot === undefined) return false
-    // This state keeps requests from being admitted to the slot between this check and the end of the order.
+    // The state `unloading` keeps requests from being admitted to the slot until the unload order has ended.
     slot.state = 'unloading'
     const result = await client.unload({ name: slot.name, token: scheduler.token })
     scheduler.lastOrderAt = this.options.clock.wallTime() + CLOCK_MARGIN_MILLISECONDS
@@ -235,7 +250,7 @@
     if (!signal.aborted && scheduler.queued === 0) await this.loadAhead(signal)
   }
 
-  /** Loads a recently popular adapter that no engine holds into a free slot, while no request waits. */
+  /** Loads an adapter that was recently popular and that no engine holds into a free slot, while no request waits at this engine. */
   private async loadAhead (signal: AbortSignal): Promise<void> {
     const { scheduler, loadAhead, otherCopies, servable, loadTurns, rights, clock } = this.options
     if (!scheduler.slots.hasFreeSlot || !scheduler.knowsSlots || !rights().mayAdmit) return
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -18,14 +18,23 @@
 
 /** Interval between polls of a busy engine's report. */
 const REPORT_INTERVAL_MILLISECONDS = 500
-/** Interval for an idle engine, which is polled less often because each report costs its owner about 2.4 ms of processor time. */
+/** Interval between polls of an idle engine's report. It is longer because each report costs the owner about 2.4 ms of processor time. */
 const IDLE_REPORT_INTERVAL_MILLISECONDS = 2_500
+/** Maximum number of requests that wait at one endpoint. A further request is refused, or displaces a waiting request of lower rank. */
 const MAXIMUM_QUEUED = 2_000
-/** Interval between full digests, which restore what a receiver missed because of a broken connection. */
+/** Interval between full digests, which give receivers the adapters again that they missed because of a broken connection. */
 const FULL_DIGEST_INTERVAL_MILLISECONDS = 30_000
+/**
+ * Number of consecutive failed polls of an engine's report after which digests call the engine unhealthy and no requests are
+ * routed to it.
+ */
 const REPORTS_MISSED_BEFORE_UNHEALTHY = 4
-/** Digests are sent to each member, so the interval between them grows with the number of members to keep the traffic within its budget. */
+/**
+ * Interval between digests, per member. Digests go to each member, so the interval grows with the number of members to bound
+ * the traffic.
+ */
 const DIGEST_MILLISECONDS_PER_MEMBER = 50
+/** Lower bound of the interval between digests, for a deployment with few members. */
 const SHORTEST_DIGEST_INTERVAL_MILLISECONDS = 100
 
 /** Dependencies of {@link OwnedEndpoints}. */
@@ -37,28 +46,34 @@
   readonly settings: () => OperatorSettings | undefined
   readonly directory: EndpointDirectory
   readonly loadTurns: LoadTurns
+  /** @returns loaded names that requests admitted by earlier owners may still use */
   readonly earlierPins: (endpoint: EndpointId) => ReadonlySet<LoadedName>
   readonly clientOf: (engine: EngineSettings) => EngineClient
   readonly clock: Clock
   readonly logger: Logger
 }
 
-/** One owned endpoint and its tasks. */
+/** An endpoint that this instance owns, with its scheduler and the state of its tasks. */
 export interface OwnedEndpoint {
   readonly scheduler: EndpointScheduler
   readonly queue: VirtualTimeFairQueue<WaitingRequest>
   readonly client: EngineClient
   readonly digests: DigestMaker
+  /** Aborted when this instance no longer owns the endpoint, to end the loader and the report polling. */
   readonly controller: AbortController
   /** The loader of the endpoint, or undefined during a hand-over. */
   loader: RunningLoader | undefined
-  /** Whether a hand-over is in progress. Until it ends the endpoint stays in the map, even if its record names the next owner. */
+  /**
+   * Whether a hand-over is in progress. Until it ends this instance keeps the scheduler, even if the ownership record names
+   * the next owner.
+   */
   handingOver: boolean
   latestReport: EngineReport | undefined
+  /** Number of consecutive polls that got no report. */
   missedReports: number
 }
 
-/** A loader and a promise for the end of its task, after which no order is in progress. */
+/** A loader and a promise that resolves when the loader's task has ended. No order is in progress then. */
 export interface RunningLoader {
   readonly loader: Loader
   readonly ended: Promise<void>
@@ -93,12 +108,12 @@
     return [...this.owned.values()]
   }
 
-  /** @returns one owned endpoint */
+  /** @returns the state of an endpoint, or undefined if this instance does not own it */
   get (endpoint: EndpointId): OwnedEndpoint | undefined {
     return this.owned.get(endpoint)
   }
 
-  /** @returns a team's recent service relative to its fair share; 1 is fair */
+  /** @returns a team's recent service relative to the team's fair share of the data centre's service; 1 is fair, more is above the share */
   shareUsed (team: string): number {
     return this.service.accounting.shareUsedAmongActive(team)
   }
@@ -125,7 +140,10 @@
     }
   }
 
-  /** Stops orders for a hand-over and resolves when none is in progress. Requests for loaded adapters are still admitted. */
+  /**
+   * Stops load and unload orders for a hand-over, and resolves when no order is in progress. Requests for loaded adapters
+   * are still admitted.
+   */
   async stopOrders (endpoint: EndpointId): Promise<void> {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return
@@ -136,7 +154,7 @@
     await running?.ended
   }
 
-  /** Resumes orders after a hand-over whose record was not written. */
+  /** Resumes load and unload orders after a hand-over that failed, because its ownership record was not written. */
   resumeOrders (endpoint: EndpointId): void {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return
@@ -145,7 +163,7 @@
     this.reconcile()
   }
 
-  /** Broadcasts digests of all owned endpoints and the service used by teams at intervals, until the signal is aborted. */
+  /** At intervals, until the signal is aborted, broadcasts digests of all owned endpoints and the service that teams used. */
   async broadcast (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const full = this.fullDigestsAreDue()
@@ -167,7 +185,12 @@
     this.options.logger.info('This instance no longer owns an endpoint.', { endpoint, token: owned.scheduler.token, owner: newOwner })
   }
 
-  /** @param earlier - the same ownership with earlier engine settings, whose admitted requests still run */
+  /**
+   * Starts the scheduler, the loader and the report polling of one endpoint.
+   *
+   * @param earlier - the endpoint as it was under the same fencing token and earlier engine settings, if there was one; its
+   *   admitted requests still run
+   */
   private startOwning (engine: EngineSettings, record: OwnershipRecord, earlier: OwnedEndpoint | undefined): void {
     const { clock, logger, ownership, clientOf, supervisor } = this.options
     const client = clientOf(engine)
@@ -196,7 +219,7 @@
       controller: new AbortController(),
       loader: undefined,
       handingOver: false,
-      // Without this report the digests would call the engine unhealthy, and instances would refuse requests, until the next report.
+      // Without the earlier report, digests would call the engine unhealthy until the next report, and instances would refuse requests.
       latestReport: earlier?.client === client ? earlier.latestReport : undefined,
       missedReports: 0
     }
@@ -231,7 +254,8 @@
       logger
     })
     const ended = supervisor.start(`loader ${endpoint}`, async (signal) => {
-      // Orders of the earlier loader carry the same token. With two loaders at once, one could unload what the other has confirmed.
+      // Orders of the earlier loader carry the same token. With two loaders at once, one could unload an adapter that the
+      // other has confirmed as loaded.
       await earlier?.loader?.ended
       if (earlier !== undefined) scheduler.takeOverOrders(earlier.scheduler)
       await loader.run(signal)
@@ -272,7 +296,12 @@
     }
   }
 
-  /** A peer that has just connected needs full digests, since an idle endpoint sends hardly any other digests. */
+  /**
+   * Full digests are due at intervals, and at once after a peer has connected. That peer may have received no digests so far,
+   * and the owner sends hardly any other digests of an idle endpoint, because its state does not change.
+   *
+   * @returns whether the next digests have to be full
+   */
   private fullDigestsAreDue (): boolean {
     const { network, clock } = this.options
     const before = this.connected
@@ -314,7 +343,11 @@
   return one !== undefined && JSON.stringify(one) === JSON.stringify(other)
 }
 
-/** Checks the current settings, because an adapter or version may have been removed since it was last used. */
+/**
+ * Looks up an adapter in the current settings, because the adapter or its version may have been removed since the last use.
+ *
+ * @returns the adapter's reference, or undefined if the settings do not list it or this engine has a different base model
+ */
 function servableBy (settings: OperatorSettings | undefined, engine: EngineSettings, adapter: string): AdapterReference | undefined {
   const model = parseModelName(adapter)
   if (settings === undefined || model.isErr()) return undefined
--- a/packages/entry/src/scheduling/pin-audit.ts
+++ b/packages/entry/src/scheduling/pin-audit.ts
@@ -1,4 +1,4 @@
-/** Finds pins of requests that have ended without the owner receiving the message about their end. */
+/** Finds pins of requests that have ended, when the message about the end of the request did not reach the owner. */
 import type { Clock, EndpointId, InstanceId } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
@@ -6,14 +6,15 @@
 
 /** Interval between audits of one endpoint. */
 const AUDIT_INTERVAL_MILLISECONDS = 10_000
-/** Age from which a pin is audited. */
+/** Age from which a pin is audited, counted from the grant of the request. */
 const MINIMUM_PIN_AGE_MILLISECONDS = 20_000
+/** Time to wait for an instance's response to an audit. The report polling of the endpoint waits for the audit. */
 const RESPONSE_TIMEOUT_MILLISECONDS = 2_000
 
 /**
- * Asks the instances with old pins which requests they still have. The message that a request is done is lost when its
- * connection breaks. Without an audit the pin would occupy the adapter's slot until the longest request time has passed,
- * and loads would stall because no slot is free.
+ * Asks the instances that hold old pins which requests they still have. The message that a request is done is lost when the
+ * connection that carries the message breaks. Without an audit the pin would occupy the adapter's slot until the longest
+ * request time has passed, and loads would stall because no slot is free.
  */
 export class PinAudit {
   private readonly network: PeerNetwork
@@ -23,8 +24,8 @@
   private readonly nextAt = new Map<EndpointId, number>()
 
   /**
-   * @param network - calls the instances that hold pins
-   * @param membership - which instances have ended
+   * @param network - sends the audit calls to the instances that hold pins
+   * @param membership - tells which instances have ended
    * @param clock - the clock to use
    */
   constructor (network: PeerNetwork, membership: Membership, clock: Clock) {
@@ -33,7 +34,7 @@
     this.clock = clock
   }
 
-  /** @returns when an instance was first seen as gone, wall time in milliseconds; undefined while it may be alive */
+  /** @returns when this audit first saw an instance as gone, wall time in milliseconds; undefined while it may be alive */
   endedAt (instance: InstanceId): number | undefined {
     if (this.membership.member(instance)?.state !== 'gone') return undefined
     const since = this.goneSince.get(instance) ?? this.clock.wallTime()
@@ -41,7 +42,7 @@
     return since
   }
 
-  /** Asks the holders of old pins of one endpoint, now and then. */
+  /** Asks the instances that hold old pins of one endpoint, if the audit interval has passed since the previous audit of that endpoint. */
   async auditIfDue (scheduler: EndpointScheduler): Promise<void> {
     const { endpoint } = scheduler.engine
     const now = this.clock.now()
--- a/packages/entry/src/scheduling/scheduler-hand-over.ts
+++ b/packages/entry/src/scheduling/scheduler-hand-over.ts
@@ -1,4 +1,7 @@
-/** The part of an endpoint hand-over that schedulers do: orders stop, and loaded names and pins pass to the next owner. */
+/**
+ * What the previous and the next owner's schedulers do when an endpoint is handed over: orders stop, and loaded names and
+ * pins pass to the next owner.
+ */
 import type { EndpointId, FencingToken, InstanceId, LoadedName } from '@limpetwinch/core'
 import { HandOverSource } from '../ownership/hand-over-source.js'
 import type { EarlierPin } from '../ownership/earlier-pins.js'
@@ -28,7 +31,7 @@
     this.owned.resumeOrders(endpoint)
   }
 
-  /** By the time of this call the written record names the next owner, so no more requests are admitted here. */
+  /** At the time of this call the stored ownership record already names the next owner, so this instance admits no more requests. */
   override state (endpoint: EndpointId): HandOverState {
     const owned = this.owned.get(endpoint)
     if (owned === undefined) return { loaded: [], pins: [] }
--- a/packages/entry/src/scheduling/slot-table.ts
+++ b/packages/entry/src/scheduling/slot-table.ts
@@ -1,30 +1,33 @@
-/** What an owner knows about the adapter slots of one engine. */
+/** What an owner knows about the adapter slots of one engine. A slot is the engine's room for one loaded adapter. */
 import { splitLoadedName } from '@limpetwinch/core'
 import type { LoadedName } from '@limpetwinch/core'
 import type { SlotView } from '@limpetwinch/decisions'
 
 /**
- * `loaded`: confirmed under the current token. `unverified`: reported by the engine or no longer certain, and to be
- * confirmed by a load order, to which an engine that holds the adapter responds at once. `loading`, `unloading`: an order
- * is in progress.
+ * `loaded`: confirmed under the current token. `unverified`: reported by the engine, or no longer certain. A load order
+ * has to confirm an unverified adapter; an engine that holds the adapter responds to the order at once. `loading`,
+ * `unloading`: a load or unload order is in progress.
  */
 export type SlotState = 'loaded' | 'unverified' | 'loading' | 'unloading'
 
 /** One occupied slot. */
 export interface Slot {
+  /** The name under which the engine holds the adapter. */
   readonly name: LoadedName
   /** `team/adapter@version`. */
   readonly adapter: string
   state: SlotState
   /** Ids of the admitted requests that use the slot. */
   readonly pins: Set<string>
+  /** When the slot was occupied, monotonic milliseconds. */
   readonly loadedAt: number
+  /** When a request was last admitted to the slot, monotonic milliseconds. */
   lastUsedAt: number
-  /** False for a name that a late unload order may still remove: an order of an earlier owner, or one whose response was lost. */
+  /** False while a late unload order may still remove the adapter: an order of an earlier owner, or an order whose response was lost. */
   usable: boolean
 }
 
-/** The slots of one engine. Every entry occupies a slot, including entries whose order is in progress. */
+/** The slots of one engine. Every entry occupies a slot, even while its load or unload order is in progress. */
 export class SlotTable {
   private readonly slots = new Map<LoadedName, Slot>()
   private readonly capacity: number
@@ -34,7 +37,7 @@
     this.capacity = capacity
   }
 
-  /** Number of empty slots. An engine may report more adapters than its settings allow, so the difference is kept at 0 or above. */
+  /** Number of empty slots. An engine may report more adapters than its settings allow, so the number is kept at 0 or above. */
   get freeSlots (): number {
     return Math.max(0, this.capacity - this.slots.size)
   }
@@ -64,7 +67,7 @@
     return this.all().find((slot) => slot.usable && slot.adapter === adapter && slot.state !== 'unloading')
   }
 
-  /** Adds a slot, or returns the existing slot of that name. */
+  /** Adds a slot with the given state, or returns the existing slot of that name unchanged. */
   occupy (name: LoadedName, state: SlotState, usable: boolean, now: number): Slot {
     const present = this.slots.get(name)
     if (present !== undefined) return present
