--- a/packages/load/src/faults/caller.ts
+++ b/packages/load/src/faults/caller.ts
@@ -29,7 +29,7 @@
   readonly key: string
 }
 
-interface Told {
+interface ReportedOutcome {
   readonly outcome: 'answered' | 'not_run' | 'unknown'
   readonly code?: string
   readonly model?: string | undefined
@@ -39,8 +39,8 @@
 /** The service that the load calls. */
 export const SERVICE = 'echo'
 
-const GIVE_UP_AFTER_DEADLINE_MILLISECONDS = 10_000
-const LOST: Told = { outcome: 'unknown', code: 'connection-lost' }
+const TIMEOUT_AFTER_DEADLINE_MILLISECONDS = 10_000
+const CONNECTION_LOST: ReportedOutcome = { outcome: 'unknown', code: 'connection-lost' }
 
 const errorSchema = z.object({ error: z.object({ code: z.string(), outcome: z.enum(['not_run', 'unknown']) }) })
 const answerSchema = z.object({ model: z.string(), choices: z.tuple([z.object({ text: z.string() })]) })
@@ -94,8 +94,8 @@
     await this.agent.destroy()
   }
 
-  private async exchange (load: LoadRequest, target: CallerTarget): Promise<Told | undefined> {
-    const signal = AbortSignal.timeout(load.deadlineMilliseconds + GIVE_UP_AFTER_DEADLINE_MILLISECONDS)
+  private async exchange (load: LoadRequest, target: CallerTarget): Promise<ReportedOutcome | undefined> {
+    const signal = AbortSignal.timeout(load.deadlineMilliseconds + TIMEOUT_AFTER_DEADLINE_MILLISECONDS)
     let response: Dispatcher.ResponseData
     try {
       response = await request(target.caller + pathOf(load), {
@@ -103,18 +103,18 @@
       })
     } catch (cause) {
       if (signal.aborted) return undefined
-      return neverConnected(cause) ? { outcome: 'not_run', code: 'connection-refused' } : LOST
+      return neverConnected(cause) ? { outcome: 'not_run', code: 'connection-refused' } : CONNECTION_LOST
     }
     try {
       if (response.statusCode === 200 && load.stream && load.adapter !== undefined) return await this.readStream(load, response)
-      return readWhole(load, response.statusCode, await response.body.text())
+      return parseCompleteResponse(load, response.statusCode, await response.body.text())
     } catch {
-      return signal.aborted ? undefined : LOST
+      return signal.aborted ? undefined : CONNECTION_LOST
     }
   }
 
-  private async readStream (load: LoadRequest, response: Dispatcher.ResponseData): Promise<Told> {
-    let told: Told | undefined
+  private async readStream (load: LoadRequest, response: Dispatcher.ResponseData): Promise<ReportedOutcome> {
+    let told: ReportedOutcome | undefined
     let model: string | undefined
     let position = 0
     const take = (data: string): void => {
@@ -138,11 +138,11 @@
     const parser = createParser({ onEvent: (event) => take(event.data) })
     const decoder = new TextDecoder('utf-8', { fatal: true })
     for await (const chunk of response.body as AsyncIterable<Buffer>) parser.feed(decoder.decode(chunk, { stream: true }))
-    return told ?? LOST
+    return told ?? CONNECTION_LOST
   }
 }
 
-function readWhole (load: LoadRequest, status: number, text: string): Told {
+function parseCompleteResponse (load: LoadRequest, status: number, text: string): ReportedOutcome {
   const body: unknown = JSON.parse(text)
   if (status !== 200) {
     const { code, outcome } = errorSchema.parse(body).error
--- a/packages/load/src/faults/campaign.ts
+++ b/packages/load/src/faults/campaign.ts
@@ -50,7 +50,7 @@
   readonly seconds: number
 }
 
-const LARGEST_SEED = 2 ** 30
+const MAXIMUM_SEED = 2 ** 30
 /** Tighter than the promises' own, since lists and heartbeats of fault runs are quicker. */
 const FAULT_RUN_BOUNDS: CheckBounds = { leavingGrace: 1_500, settingsInForce: 4_000, fairness: 4_096 }
 
@@ -111,5 +111,5 @@
 function runSeeds ({ seed, runs }: CampaignOptions): number[] {
   if (runs === 1) return [seed]
   const random = new SeededRandom(seed)
-  return Array.from({ length: runs }, () => random.between(1, LARGEST_SEED))
+  return Array.from({ length: runs }, () => random.between(1, MAXIMUM_SEED))
 }
--- a/packages/load/src/faults/cuttable-link.ts
+++ b/packages/load/src/faults/cuttable-link.ts
@@ -37,7 +37,7 @@
   }
 
   /** Lets new connections through; those open during the cut are lost. */
-  mend (): void {
+  restore (): void {
     this.isCut = false
     for (const socket of this.sockets) socket.destroy()
   }
--- a/packages/load/src/faults/deployment.ts
+++ b/packages/load/src/faults/deployment.ts
@@ -11,7 +11,7 @@
 import type { EntryHost, HostedEntry } from './entry-host.js'
 import { LocalEntryHost } from './entry-host.js'
 import { HistoryLog } from './history-log.js'
-import { entryFor } from './mutants/index.js'
+import { createEntry } from './mutants/index.js'
 import { ProcessEntryHost } from './process-entry-host.js'
 import { CALLER_KEY, endpointsText, keyOf, MARKER, markerOf, teamText, TEAMS } from './sample-deployment.js'
 
@@ -30,18 +30,18 @@
   readonly host: EntryHost
   readonly link: CuttableLink
   /** Callers are sent to it. */
-  inBalancer: boolean
+  receivesRequests: boolean
 }
 
 const DATA_CENTRE = 'north' as DataCentreId
 const LIST_LAG_MILLISECONDS = 100
 const READY_WITHIN_MILLISECONDS = 30_000
-const POLL_MILLISECONDS = 25
-const LOOK_MILLISECONDS = 1_000
+const POLL_INTERVAL_MILLISECONDS = 25
+const SETTINGS_READ_TIMEOUT_MILLISECONDS = 1_000
 
 /** Starts, changes and ends the deployment of one history. */
 export class Deployment {
-  readonly log = new HistoryLog()
+  readonly callerLog = new HistoryLog()
   readonly platform = new StandInPlatform({ listLag: LIST_LAG_MILLISECONDS, loadsPerSecond: 40 })
   readonly engines: readonly StandInEngine[]
   readonly services: readonly StandInService[]
@@ -54,9 +54,9 @@
   constructor (plan: DeploymentPlan) {
     this.plan = plan
     this.engines = plan.fencing.map((fencing, index) => new StandInEngine({
-      name: engineName(index), fencing, slots: 2, batchCapacity: 8, stepMilliseconds: 4, reportLag: 60, reportInterval: 30, loadMilliseconds: 25
+      name: engineId(index), fencing, slots: 2, batchCapacity: 8, stepMilliseconds: 4, reportLag: 60, reportInterval: 30, loadMilliseconds: 25
     }))
-    this.services = [0, 1].map((index) => new StandInService({ name: serviceName(index) }))
+    this.services = [0, 1].map((index) => new StandInService({ name: serviceId(index) }))
   }
 
   /** Starts everything; resolves when every instance is ready. */
@@ -64,12 +64,12 @@
     await this.platform.listen()
     await Promise.all([...this.engines, ...this.services].map(async (standIn) => await standIn.listen()))
     await this.putSettings('/endpoints', 1, endpointsText(
-      this.engines.map((engine, index) => ({ id: engineName(index), url: engine.url, fencing: this.plan.fencing[index] ?? 'refuses' })),
-      this.services.map((service, index) => ({ id: serviceName(index), url: service.url }))
+      this.engines.map((engine, index) => ({ id: engineId(index), url: engine.url, fencing: this.plan.fencing[index] ?? 'refuses' })),
+      this.services.map((service, index) => ({ id: serviceId(index), url: service.url }))
     ))
     await this.putSettings('/policy', 1, JSON.stringify({ loadsPerSecond: 40, longestRequestSeconds: 60 }))
     for (const team of TEAMS) await this.putSettings(`/teams/${team}`, 1, teamText(team, 1))
-    for (const engine of this.engines.keys()) await this.list(engineName(engine), 'endpoint', '', 'live')
+    for (const engine of this.engines.keys()) await this.list(engineId(engine), 'endpoint', '', 'live')
     await Promise.all(Array.from({ length: this.plan.instances }, async () => await this.addEntry()))
   }
 
@@ -80,32 +80,32 @@
     const { mutant, processes } = this.plan
     const host = processes
       ? new ProcessEntryHost(settings, mutant)
-      : new LocalEntryHost(entryFor(settings, mutant))
+      : new LocalEntryHost(createEntry(settings, mutant))
     const hosted = await host.start()
-    const entry: RunningEntry = { ...hosted, host, link, inBalancer: false }
+    const entry: RunningEntry = { ...hosted, host, link, receivesRequests: false }
     this.entries.push(entry)
     await this.list(entry.instance, 'entry', entry.peer.replace('http://', ''), 'live')
     await this.untilReady(entry)
-    this.log.record({ event: 'instance-started', instance: entry.instance })
-    entry.inBalancer = true
+    this.callerLog.record({ event: 'instance-started', instance: entry.instance })
+    entry.receivesRequests = true
     return entry
   }
 
   /** Stops an instance as planned, unless it has been ended already. */
   async stopEntry (entry: RunningEntry): Promise<void> {
     if (!this.entries.includes(entry)) return
-    this.log.record({ event: 'instance-stop-asked', instance: entry.instance })
+    this.callerLog.record({ event: 'instance-stop-asked', instance: entry.instance })
     this.remove(entry)
     await this.list(entry.instance, 'entry', entry.peer, 'leaving')
     await entry.host.stop()
-    this.log.record({ event: 'instance-ended', instance: entry.instance })
+    this.callerLog.record({ event: 'instance-ended', instance: entry.instance })
     await this.unlist(entry.instance)
   }
 
   /** Ends an instance at once, unless it has been ended already. */
   async killEntry (entry: RunningEntry): Promise<void> {
     if (!this.entries.includes(entry)) return
-    this.log.record({ event: 'instance-killed', instance: entry.instance })
+    this.callerLog.record({ event: 'instance-killed', instance: entry.instance })
     this.remove(entry)
     await entry.host.kill()
     await this.unlist(entry.instance)
@@ -113,7 +113,7 @@
 
   /** Marks an engine on the platform's list. */
   async markEngine (index: number, state: 'live' | 'leaving'): Promise<void> {
-    await this.list(engineName(index), 'endpoint', '', state)
+    await this.list(engineId(index), 'endpoint', '', state)
   }
 
   /** Changes a team's settings on top of the newest revision, as one operator among others; a lost race is given up. */
@@ -121,12 +121,12 @@
     const path = `/teams/${team}`
     const revision = this.revisionOf(path) + 1
     const accepted = await this.putSettings(path, revision, teamText(team, revision, author))
-    if (accepted) this.log.record({ event: 'settings-accepted', path, revision, digest: markerOf(revision, author) })
+    if (accepted) this.callerLog.record({ event: 'settings-accepted', path, revision, digest: markerOf(revision, author) })
   }
 
   /** Asks an instance, as a caller would, which revision of a team's settings is in force. */
-  async look (entry: RunningEntry, team: string): Promise<{ revision: number, digest: string } | undefined> {
-    const answer = await request(`${entry.caller}/v1/models`, { headers: { authorization: `Bearer ${keyOf(team)}` }, signal: AbortSignal.timeout(LOOK_MILLISECONDS) })
+  async readSettingsInForce (entry: RunningEntry, team: string): Promise<{ revision: number, digest: string } | undefined> {
+    const answer = await request(`${entry.caller}/v1/models`, { headers: { authorization: `Bearer ${keyOf(team)}` }, signal: AbortSignal.timeout(SETTINGS_READ_TIMEOUT_MILLISECONDS) })
     const body = await answer.body.text()
     const digest = new RegExp(`${MARKER}@(r(\\d+)[.\\w]*)`).exec(body)
     return digest?.[1] === undefined ? undefined : { revision: Number(digest[2]), digest: digest[1] }
@@ -154,7 +154,7 @@
   /** @returns everything that callers, endpoints and platform saw */
   history (): HistoryEvent[] {
     const standIns = [this.platform, ...this.engines, ...this.services].flatMap((standIn) => standIn.history.all()) as HistoryEvent[]
-    return [...this.log.events, ...standIns].sort((left, right) => left.at - right.at)
+    return [...this.callerLog.events, ...standIns].sort((left, right) => left.at - right.at)
   }
 
   /** @returns the owners of engines as the store holds them */
@@ -171,7 +171,7 @@
   }
 
   private remove (entry: RunningEntry): void {
-    entry.inBalancer = false
+    entry.receivesRequests = false
     this.entries.splice(this.entries.indexOf(entry), 1)
     this.ended.push(entry)
   }
@@ -183,7 +183,7 @@
       await answer.body.dump()
       if (answer.statusCode === 200) return
       if (performance.now() > deadline) throw new Error(`Instance ${entry.instance} is not ready after ${READY_WITHIN_MILLISECONDS} ms.`)
-      await sleep(POLL_MILLISECONDS)
+      await sleep(POLL_INTERVAL_MILLISECONDS)
     }
   }
 
@@ -199,11 +199,11 @@
 }
 
 /** @returns an engine's endpoint id */
-export function engineName (index: number): string {
+export function engineId (index: number): string {
   return `engine-${index}`
 }
 
-function serviceName (index: number): string {
+function serviceId (index: number): string {
   return `echo-${index}`
 }
 
--- a/packages/load/src/faults/fault.ts
+++ b/packages/load/src/faults/fault.ts
@@ -4,7 +4,7 @@
 import type { SeededRandom } from './random.js'
 
 /** Where a fault happens. */
-export interface FaultSite {
+export interface FaultContext {
   readonly deployment: Deployment
   readonly random: SeededRandom
 }
@@ -17,7 +17,7 @@
   readonly needsProcesses: boolean = false
 
   /** Lets the fault happen once; resolves when it is over. */
-  abstract run (site: FaultSite): Promise<void>
+  abstract run (site: FaultContext): Promise<void>
 }
 
 /**
@@ -28,8 +28,8 @@
  * @param entries - the instances
  * @param happen - lets it happen
  */
-export async function keepingFromSettings (site: FaultSite, kind: string, entries: readonly RunningEntry[], happen: () => Promise<void>): Promise<void> {
-  const { log } = site.deployment
+export async function runRecorded (site: FaultContext, kind: string, entries: readonly RunningEntry[], happen: () => Promise<void>): Promise<void> {
+  const { callerLog: log } = site.deployment
   const fault = `${kind} ${log.events.length}`
   const instances = entries.map((entry) => entry.instance)
   log.record({ event: 'fault-started', fault, kind, instances })
@@ -38,12 +38,12 @@
 }
 
 /** Waits for a time within limits, milliseconds. */
-export async function last (site: FaultSite, least: number, most: number): Promise<void> {
+export async function sleepBetween (site: FaultContext, least: number, most: number): Promise<void> {
   await sleep(site.random.between(least, most))
 }
 
 /** @returns an instance that callers are sent to, or undefined when there is none */
-export function anyEntry (site: FaultSite): RunningEntry | undefined {
-  const entries = site.deployment.entries.filter((entry) => entry.inBalancer)
+export function pickEntry (site: FaultContext): RunningEntry | undefined {
+  const entries = site.deployment.entries.filter((entry) => entry.receivesRequests)
   return entries.length === 0 ? undefined : site.random.pick(entries)
 }
--- a/packages/load/src/faults/history-run.ts
+++ b/packages/load/src/faults/history-run.ts
@@ -8,9 +8,9 @@
 import type { PlannedFault, PlannedRequest, RunPlan } from './run-plan.js'
 import { keyOf, TEAMS } from './sample-deployment.js'
 
-const LOOK_EVERY_MILLISECONDS = 50
+const POLL_INTERVAL_MILLISECONDS = 50
 /** How long the end of a run waits for the newest settings; longer than their bound, so that a late one is judged. */
-const SETTLE_MILLISECONDS = 5_000
+const SETTINGS_TIMEOUT_MILLISECONDS = 5_000
 
 /** Runs one plan. */
 export class HistoryRun {
@@ -19,7 +19,7 @@
   private readonly caller: RecordingCaller
   /** Choices made while it runs, such as the instance that a request meets. */
   private readonly random: SeededRandom
-  private readonly seen = new Map<string, string>()
+  private readonly recordedDigests = new Map<string, string>()
   private ending = false
 
   /** @param plan - what happens */
@@ -27,17 +27,17 @@
     this.plan = plan
     this.random = new SeededRandom(plan.seed + 1)
     this.deployment = new Deployment(plan.deployment)
-    this.caller = new RecordingCaller(this.deployment.log)
+    this.caller = new RecordingCaller(this.deployment.callerLog)
   }
 
   /** @returns the whole history */
   async run (): Promise<HistoryEvent[]> {
     try {
       await this.deployment.start()
-      const looking = this.lookAgainAndAgain()
+      const looking = this.pollSettings()
       await Promise.all([
         ...this.plan.requests.map(async (planned) => await this.sendPlanned(planned)),
-        ...this.plan.faults.map(async (planned) => await this.happen(planned)),
+        ...this.plan.faults.map(async (planned) => await this.runFault(planned)),
         ...this.plan.changes.map(async ({ after, team }) => {
           await sleep(after)
           await this.deployment.changeTeam(team, '')
@@ -54,12 +54,12 @@
     return this.deployment.history()
   }
 
-  private async happen ({ after, fault }: PlannedFault): Promise<void> {
+  private async runFault ({ after, fault }: PlannedFault): Promise<void> {
     await sleep(after)
     await fault.run({ deployment: this.deployment, random: this.random })
   }
 
-  private async sendPlanned ({ after, load, againAfter }: PlannedRequest): Promise<void> {
+  private async sendPlanned ({ after, load, retryAfter: againAfter }: PlannedRequest): Promise<void> {
     await sleep(after)
     const first = this.send(load)
     if (againAfter !== undefined) {
@@ -70,42 +70,42 @@
   }
 
   private async send (load: LoadRequest): Promise<void> {
-    const entries = this.deployment.entries.filter((entry) => entry.inBalancer)
+    const entries = this.deployment.entries.filter((entry) => entry.receivesRequests)
     if (entries.length === 0) return
     const { instance, caller } = this.random.pick(entries)
     await this.caller.send(load, { instance, caller, key: keyOf(load.team) })
   }
 
-  private async lookAgainAndAgain (): Promise<void> {
+  private async pollSettings (): Promise<void> {
     while (!this.ending) {
-      await this.lookAround()
-      await sleep(LOOK_EVERY_MILLISECONDS)
+      await this.recordSettingsInForce()
+      await sleep(POLL_INTERVAL_MILLISECONDS)
     }
   }
 
   /** Notes which revision each instance shows to callers; one that does not answer now is asked again. */
-  private async lookAround (): Promise<void> {
-    const looks = this.deployment.entries.filter((entry) => entry.inBalancer).flatMap((entry) => TEAMS.map(async (team) => {
-      const inForce = await this.deployment.look(entry, team).catch(() => undefined)
+  private async recordSettingsInForce (): Promise<void> {
+    const looks = this.deployment.entries.filter((entry) => entry.receivesRequests).flatMap((entry) => TEAMS.map(async (team) => {
+      const inForce = await this.deployment.readSettingsInForce(entry, team).catch(() => undefined)
       const view = `${entry.instance} ${team}`
-      if (inForce === undefined || this.seen.get(view) === inForce.digest) return
-      this.seen.set(view, inForce.digest)
-      this.deployment.log.record({ event: 'settings-in-force', path: `/teams/${team}`, instance: entry.instance, ...inForce })
+      if (inForce === undefined || this.recordedDigests.get(view) === inForce.digest) return
+      this.recordedDigests.set(view, inForce.digest)
+      this.deployment.callerLog.record({ event: 'settings-in-force', path: `/teams/${team}`, instance: entry.instance, ...inForce })
     }))
     await Promise.all(looks)
   }
 
   private async settle (): Promise<void> {
-    const deadline = performance.now() + SETTLE_MILLISECONDS
-    while (performance.now() < deadline && !this.allShowTheNewest()) await sleep(LOOK_EVERY_MILLISECONDS)
+    const deadline = performance.now() + SETTINGS_TIMEOUT_MILLISECONDS
+    while (performance.now() < deadline && !this.allShowLatestSettings()) await sleep(POLL_INTERVAL_MILLISECONDS)
     // One more event after the bound, so that the checker knows that it has passed.
-    this.deployment.log.record({ event: 'fault-ended', fault: 'none', kind: 'end-of-run', instances: [] })
+    this.deployment.callerLog.record({ event: 'fault-ended', fault: 'none', kind: 'end-of-run', instances: [] })
   }
 
-  private allShowTheNewest (): boolean {
-    return this.deployment.entries.filter((entry) => entry.inBalancer).every((entry) => TEAMS.every((team) => {
-      const seen = /^r(\d+)/.exec(this.seen.get(`${entry.instance} ${team}`) ?? '')
-      return Number(seen?.[1] ?? 0) >= this.deployment.revisionOf(`/teams/${team}`)
+  private allShowLatestSettings (): boolean {
+    return this.deployment.entries.filter((entry) => entry.receivesRequests).every((entry) => TEAMS.every((team) => {
+      const recordedDigests = /^r(\d+)/.exec(this.recordedDigests.get(`${entry.instance} ${team}`) ?? '')
+      return Number(recordedDigests?.[1] ?? 0) >= this.deployment.revisionOf(`/teams/${team}`)
     }))
   }
 }
--- a/packages/load/src/faults/kinds/engine-faults.ts
+++ b/packages/load/src/faults/kinds/engine-faults.ts
@@ -1,7 +1,7 @@
 /** Faults of engines. */
 import type { EngineFaults, StandInEngine } from '@limpetwinch/stand-ins'
-import { Fault, last } from '../fault.js'
-import type { FaultSite } from '../fault.js'
+import { Fault, sleepBetween } from '../fault.js'
+import type { FaultContext } from '../fault.js'
 
 /** A fault of one engine that is set and taken back. */
 abstract class EngineFault extends Fault {
@@ -10,10 +10,10 @@
   /** What takes it back. */
   protected abstract readonly unset: EngineFaults
 
-  override async run (site: FaultSite): Promise<void> {
+  override async run (site: FaultContext): Promise<void> {
     const engine = site.random.pick(site.deployment.engines)
     engine.setFaults(this.set)
-    await last(site, 300, 1_500)
+    await sleepBetween(site, 300, 1_500)
     engine.setFaults(this.unset)
   }
 }
@@ -22,10 +22,10 @@
 export class RestartCold extends Fault {
   override readonly kind = 'restart-cold'
 
-  override async run (site: FaultSite): Promise<void> {
+  override async run (site: FaultContext): Promise<void> {
     const engine: StandInEngine = site.random.pick(site.deployment.engines)
     engine.restart(site.random.between(0, 400))
-    await last(site, 100, 500)
+    await sleepBetween(site, 100, 500)
   }
 }
 
@@ -37,21 +37,21 @@
 }
 
 /** Streams are cut after some parts while their requests run on. */
-export class LoseAnswers extends EngineFault {
+export class LoseEngineAnswers extends EngineFault {
   override readonly kind = 'lose-engine-answers'
   protected override readonly set = { dropStreams: 6, dropAfterTokens: 2 }
   protected override readonly unset = { dropStreams: 0 }
 }
 
 /** Streams are cut before their first part, and so are the connections that would resume them. */
-export class LoseAllAnswers extends EngineFault {
+export class LoseWholeEngineAnswers extends EngineFault {
   override readonly kind = 'lose-whole-engine-answers'
   protected override readonly set = { dropStreams: 40, dropAfterTokens: 0 }
   protected override readonly unset = { dropStreams: 0 }
 }
 
 /** Parts come twice and out of order. */
-export class GarbleOrder extends EngineFault {
+export class LateAndDuplicatedParts extends EngineFault {
   override readonly kind = 'late-and-doubled-parts'
   protected override readonly set = { duplicateEvery: 3, lateEvery: 4 }
   protected override readonly unset = { duplicateEvery: 0, lateEvery: 0 }
@@ -75,9 +75,9 @@
 export class SilentConnections extends Fault {
   override readonly kind = 'silent-connections'
 
-  override async run (site: FaultSite): Promise<void> {
+  override async run (site: FaultContext): Promise<void> {
     site.random.pick(site.deployment.engines).setFaults({ silenceConnections: true })
-    await last(site, 100, 500)
+    await sleepBetween(site, 100, 500)
   }
 }
 
@@ -85,10 +85,10 @@
 export class LeavingEngine extends Fault {
   override readonly kind = 'leaving-engine'
 
-  override async run (site: FaultSite): Promise<void> {
+  override async run (site: FaultContext): Promise<void> {
     const index = site.random.between(0, site.deployment.engines.length - 1)
     await site.deployment.markEngine(index, 'leaving')
-    await last(site, 2_200, 3_000)
+    await sleepBetween(site, 2_200, 3_000)
     await site.deployment.markEngine(index, 'live')
   }
 }
--- a/packages/load/src/faults/kinds/instance-faults.ts
+++ b/packages/load/src/faults/kinds/instance-faults.ts
@@ -1,6 +1,6 @@
 /** Faults of entry instances. */
-import { anyEntry, Fault, keepingFromSettings, last } from '../fault.js'
-import type { FaultSite } from '../fault.js'
+import { pickEntry, Fault, runRecorded, sleepBetween } from '../fault.js'
+import type { FaultContext } from '../fault.js'
 import { ProcessEntryHost } from '../process-entry-host.js'
 
 /** An instance ends at once and is replaced. */
@@ -8,8 +8,8 @@
   override readonly kind = 'kill-instance'
   override readonly needsProcesses = true
 
-  override async run (site: FaultSite): Promise<void> {
-    const entry = anyEntry(site)
+  override async run (site: FaultContext): Promise<void> {
+    const entry = pickEntry(site)
     if (entry === undefined || site.deployment.entries.length < 2) return
     await site.deployment.killEntry(entry)
     await site.deployment.addEntry()
@@ -20,8 +20,8 @@
 export class StopInstance extends Fault {
   override readonly kind = 'stop-instance'
 
-  override async run (site: FaultSite): Promise<void> {
-    const entry = anyEntry(site)
+  override async run (site: FaultContext): Promise<void> {
+    const entry = pickEntry(site)
     if (entry === undefined) return
     await site.deployment.addEntry()
     await site.deployment.stopEntry(entry)
@@ -33,13 +33,13 @@
   override readonly kind = 'pause-instance'
   override readonly needsProcesses = true
 
-  override async run (site: FaultSite): Promise<void> {
-    const entry = anyEntry(site)
+  override async run (site: FaultContext): Promise<void> {
+    const entry = pickEntry(site)
     if (entry === undefined || !(entry.host instanceof ProcessEntryHost) || site.deployment.entries.length < 2) return
     const { host } = entry
-    await keepingFromSettings(site, this.kind, [entry], async () => {
+    await runRecorded(site, this.kind, [entry], async () => {
       host.pause()
-      await last(site, 1_000, 2_500)
+      await sleepBetween(site, 1_000, 2_500)
       host.resume()
     })
   }
@@ -49,13 +49,13 @@
 export class CutFromPlatform extends Fault {
   override readonly kind = 'cut-from-platform'
 
-  override async run (site: FaultSite): Promise<void> {
-    const entry = anyEntry(site)
+  override async run (site: FaultContext): Promise<void> {
+    const entry = pickEntry(site)
     if (entry === undefined) return
-    await keepingFromSettings(site, this.kind, [entry], async () => {
+    await runRecorded(site, this.kind, [entry], async () => {
       entry.link.cut()
-      await last(site, 500, 2_000)
-      entry.link.mend()
+      await sleepBetween(site, 500, 2_000)
+      entry.link.restore()
     })
   }
 }
--- a/packages/load/src/faults/mutants/claims-mutants.ts
+++ b/packages/load/src/faults/mutants/claims-mutants.ts
@@ -4,12 +4,12 @@
 import type { Clock, IdempotencyKey, LimpetwinchError, ObjectStore, RequestId, TeamId } from '@limpetwinch/core'
 import { IdempotencyClaims } from '@limpetwinch/entry'
 import type { HeldClaim } from '@limpetwinch/entry'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 type ClaimsClass = new (store: ObjectStore, clock: Clock) => IdempotencyClaims
 
 /** Parts with other claims. */
-export class ForgetClaimsParts extends FaultRunParts {
+export class MutantClaimsComponents extends FaultRunComponents {
   private readonly ClaimsClass: ClaimsClass
 
   /** @param claimsClass - the class of the claims */
--- a/packages/load/src/faults/mutants/delivery-mutants.ts
+++ b/packages/load/src/faults/mutants/delivery-mutants.ts
@@ -3,12 +3,12 @@
 import type { AdapterReference, OperatorSettings } from '@limpetwinch/core'
 import { Delivery } from '@limpetwinch/entry'
 import type { DeliveryEvent, DeliveryOptions, DeliveryRequest } from '@limpetwinch/entry'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 type DeliveryClass = new (options: DeliveryOptions) => Delivery
 
 /** Parts with another delivery. */
-export class MutantDeliveryParts extends FaultRunParts {
+export class MutantDeliveryComponents extends FaultRunComponents {
   private readonly DeliveryClass: DeliveryClass
 
   /** @param deliveryClass - the class of the delivery */
--- a/packages/load/src/faults/mutants/engine-client-mutants.ts
+++ b/packages/load/src/faults/mutants/engine-client-mutants.ts
@@ -1,12 +1,12 @@
 /** Engine clients that break what a caller is told. */
 import { HttpEngineClient, LimpetwinchError } from '@limpetwinch/core'
 import type { EndpointId, EngineSettings, GenerateRequest, GenerationEventResult, RequestId } from '@limpetwinch/core'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 type ClientClass = new (endpoint: EndpointId, base: string) => HttpEngineClient
 
 /** Parts with another engine client. */
-export class MutantClientParts extends FaultRunParts {
+export class MutantClientComponents extends FaultRunComponents {
   private readonly ClientClass: ClientClass
 
   /** @param client - the class of the client */
@@ -63,7 +63,7 @@
 
 /** Gives the text of one caller's stream to another while two are open. */
 export class SwapStreamsClient extends HttpEngineClient {
-  private newestText: { readonly of: string, readonly text: string } | undefined
+  private latestText: { readonly of: string, readonly text: string } | undefined
 
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     for await (const result of super.generate(generation, signal)) {
@@ -72,8 +72,8 @@
         continue
       }
       const { part } = result.event
-      const other = this.newestText
-      this.newestText = { of: generation.requestId, text: part.text }
+      const other = this.latestText
+      this.latestText = { of: generation.requestId, text: part.text }
       const swapped = other !== undefined && other.of !== generation.requestId
       yield swapped ? { ok: true, event: { kind: 'part', part: { ...part, text: other.text } } } : result
     }
--- a/packages/load/src/faults/mutants/index.ts
+++ b/packages/load/src/faults/mutants/index.ts
@@ -3,37 +3,37 @@
 import type { InstanceSettings } from '@limpetwinch/core'
 import { EntryInstance } from '@limpetwinch/entry'
 import type { EntryComponents } from '@limpetwinch/entry'
-import { FaultRunParts } from '../fault-run-parts.js'
-import { DropLastPartClient, MutantClientParts, ReportNotRunClient, RetryAfterSendClient, SwapStreamsClient } from './engine-client-mutants.js'
-import { ForgetClaims, ForgetClaimsParts } from './claims-mutants.js'
-import { ForeignAdapterDelivery, LastVersionDelivery, MutantDeliveryParts, SilentFailureDelivery } from './delivery-mutants.js'
-import { HastyInstance } from './instance-mutants.js'
-import { IgnoreLeavingParts } from './membership-mutants.js'
-import { IgnorePinsParts } from './scheduling-mutants.js'
-import { LapsedLeaseParts } from './ownership-mutants.js'
-import { OlderRevisionParts } from './settings-mutants.js'
+import { FaultRunComponents } from '../fault-run-components.js'
+import { DropLastPartClient, MutantClientComponents, ReportNotRunClient, RetryAfterSendClient, SwapStreamsClient } from './engine-client-mutants.js'
+import { ForgetClaims, MutantClaimsComponents } from './claims-mutants.js'
+import { ForeignAdapterDelivery, LastVersionDelivery, MutantDeliveryComponents, SilentFailureDelivery } from './delivery-mutants.js'
+import { StopAtOnceInstance } from './instance-mutants.js'
+import { IgnoreLeavingComponents } from './membership-mutants.js'
+import { IgnorePinsComponents } from './scheduling-mutants.js'
+import { ExpiredLeaseComponents } from './ownership-mutants.js'
+import { OlderRevisionComponents } from './settings-mutants.js'
 
 interface Mutant {
   /** The promise that it breaks. */
   readonly breaks: string
-  readonly parts?: () => EntryComponents
+  readonly components?: () => EntryComponents
   readonly instance?: typeof EntryInstance
 }
 
 const MUTANTS: Readonly<Record<string, Mutant>> = {
-  'retry-after-send': { breaks: 'at-most-once', parts: () => new MutantClientParts(RetryAfterSendClient) },
-  'evict-ignoring-pins': { breaks: 'no-eviction-in-use', parts: () => new IgnorePinsParts() },
-  'apply-older-revision': { breaks: 'settings-in-force', parts: () => new OlderRevisionParts() },
-  'trust-lapsed-lease': { breaks: 'no-eviction-in-use', parts: () => new LapsedLeaseParts() },
-  'drop-last-part': { breaks: 'whole-answer', parts: () => new MutantClientParts(DropLastPartClient) },
-  'forward-to-leaving': { breaks: 'leaving-endpoint', parts: () => new IgnoreLeavingParts() },
-  'swap-streams': { breaks: 'whole-answer', parts: () => new MutantClientParts(SwapStreamsClient) },
-  'report-unknown-as-not-run': { breaks: 'not-run', parts: () => new MutantClientParts(ReportNotRunClient) },
-  'lose-key-holder': { breaks: 'at-most-once', parts: () => new ForgetClaimsParts(ForgetClaims) },
-  'route-by-foreign-adapter': { breaks: 'right-adapter', parts: () => new MutantDeliveryParts(ForeignAdapterDelivery) },
-  'serve-another-version': { breaks: 'right-adapter', parts: () => new MutantDeliveryParts(LastVersionDelivery) },
-  'stop-at-once': { breaks: 'planned-stop', instance: HastyInstance },
-  'silent-failure': { breaks: 'every-request-ended', parts: () => new MutantDeliveryParts(SilentFailureDelivery) }
+  'retry-after-send': { breaks: 'at-most-once', components: () => new MutantClientComponents(RetryAfterSendClient) },
+  'evict-ignoring-pins': { breaks: 'no-eviction-in-use', components: () => new IgnorePinsComponents() },
+  'apply-older-revision': { breaks: 'settings-in-force', components: () => new OlderRevisionComponents() },
+  'trust-lapsed-lease': { breaks: 'no-eviction-in-use', components: () => new ExpiredLeaseComponents() },
+  'drop-last-part': { breaks: 'whole-answer', components: () => new MutantClientComponents(DropLastPartClient) },
+  'forward-to-leaving': { breaks: 'leaving-endpoint', components: () => new IgnoreLeavingComponents() },
+  'swap-streams': { breaks: 'whole-answer', components: () => new MutantClientComponents(SwapStreamsClient) },
+  'report-unknown-as-not-run': { breaks: 'not-run', components: () => new MutantClientComponents(ReportNotRunClient) },
+  'lose-key-holder': { breaks: 'at-most-once', components: () => new MutantClaimsComponents(ForgetClaims) },
+  'route-by-foreign-adapter': { breaks: 'right-adapter', components: () => new MutantDeliveryComponents(ForeignAdapterDelivery) },
+  'serve-another-version': { breaks: 'right-adapter', components: () => new MutantDeliveryComponents(LastVersionDelivery) },
+  'stop-at-once': { breaks: 'planned-stop', instance: StopAtOnceInstance },
+  'silent-failure': { breaks: 'every-request-ended', components: () => new MutantDeliveryComponents(SilentFailureDelivery) }
 }
 
 /** The names of all mutants. */
@@ -49,9 +49,9 @@
  * @param name - the mutant, or undefined for the instance as it ships
  * @returns an instance of a fault run, not yet started
  */
-export function entryFor (settings: InstanceSettings, name: string | undefined): EntryInstance {
+export function createEntry (settings: InstanceSettings, name: string | undefined): EntryInstance {
   const mutant: Mutant | undefined = name === undefined ? { breaks: '' } : MUTANTS[name]
   if (mutant === undefined) throw new Error(`There is no mutant '${name}'; take one of ${MUTANT_NAMES.join(', ')}.`)
-  const { instance: Instance = EntryInstance, parts } = mutant
-  return new Instance(settings, silentLogger(), parts?.() ?? new FaultRunParts())
+  const { instance: Instance = EntryInstance, components: parts } = mutant
+  return new Instance(settings, silentLogger(), parts?.() ?? new FaultRunComponents())
 }
--- a/packages/load/src/faults/mutants/instance-mutants.ts
+++ b/packages/load/src/faults/mutants/instance-mutants.ts
@@ -2,7 +2,7 @@
 import { EntryInstance } from '@limpetwinch/entry'
 
 /** Takes a planned stop for a reason to end at once. */
-export class HastyInstance extends EntryInstance {
+export class StopAtOnceInstance extends EntryInstance {
   override async stop (): Promise<number> {
     await this.kill()
     return 0
--- a/packages/load/src/faults/mutants/membership-mutants.ts
+++ b/packages/load/src/faults/mutants/membership-mutants.ts
@@ -1,7 +1,7 @@
 /** A membership that does not see endpoints leave. */
 import { ListMembership } from '@limpetwinch/entry'
 import type { ListMembershipOptions } from '@limpetwinch/entry'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 class IgnoreLeavingMembership extends ListMembership {
   override leavingEndpoints (): ReadonlySet<string> {
@@ -10,7 +10,7 @@
 }
 
 /** Parts that send new work to leaving endpoints. */
-export class IgnoreLeavingParts extends FaultRunParts {
+export class IgnoreLeavingComponents extends FaultRunComponents {
   override membership (options: ListMembershipOptions): ListMembership {
     return new IgnoreLeavingMembership(options)
   }
--- a/packages/load/src/faults/mutants/ownership-mutants.ts
+++ b/packages/load/src/faults/mutants/ownership-mutants.ts
@@ -4,10 +4,10 @@
 import { StoreOwnership } from '@limpetwinch/entry'
 import type { OwnerRights, OwnershipRecord, StoreOwnershipOptions } from '@limpetwinch/entry'
 import type { ResultAsync } from 'neverthrow'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 /** Goes on with what it owned when another has taken over, and needs no proof that nobody has. */
-class LapsedLeaseOwnership extends StoreOwnership {
+class ExpiredLeaseOwnership extends StoreOwnership {
   private readonly everOwned = new Map<string, OwnershipRecord>()
 
   override owned (): readonly OwnershipRecord[] {
@@ -21,15 +21,15 @@
 }
 
 /** Names adapters without the token, so that a late order names what the present owner's requests use. */
-class PlainNamesClient extends HttpEngineClient {
+class UnfencedNamesClient extends HttpEngineClient {
   private readonly fullNames = new Map<string, LoadedName>()
 
   override load (order: AdapterOrder, source: AdapterReference): ResultAsync<void, LimpetwinchError> {
-    return super.load({ ...order, name: this.plain(order.name) }, source)
+    return super.load({ ...order, name: this.withoutToken(order.name) }, source)
   }
 
   override unload (order: AdapterOrder): ResultAsync<void, LimpetwinchError> {
-    return super.unload({ ...order, name: this.plain(order.name) })
+    return super.unload({ ...order, name: this.withoutToken(order.name) })
   }
 
   override report (): ResultAsync<EngineReport, LimpetwinchError> {
@@ -38,14 +38,14 @@
 
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     const { adapter } = generation
-    const plain = adapter === undefined ? undefined : this.plain(adapter)
-    for await (const result of super.generate({ ...generation, adapter: plain }, signal)) {
+    const withoutToken = adapter === undefined ? undefined : this.withoutToken(adapter)
+    for await (const result of super.generate({ ...generation, adapter: withoutToken }, signal)) {
       const ended = result.ok && result.event.kind === 'end'
       yield ended ? { ok: true, event: { kind: 'end', end: { ...result.event.end, adapter } } } : result
     }
   }
 
-  private plain (name: LoadedName): LoadedName {
+  private withoutToken (name: LoadedName): LoadedName {
     const { adapter } = splitLoadedName(name)
     this.fullNames.set(adapter, name)
     return adapter as LoadedName
@@ -53,12 +53,12 @@
 }
 
 /** Parts for which the lease is the only safeguard against an earlier owner. */
-export class LapsedLeaseParts extends FaultRunParts {
+export class ExpiredLeaseComponents extends FaultRunComponents {
   override ownership (options: StoreOwnershipOptions): StoreOwnership {
-    return new LapsedLeaseOwnership(options)
+    return new ExpiredLeaseOwnership(options)
   }
 
   override engineClient (engine: EngineSettings): HttpEngineClient {
-    return engine.fencing === 'ignores' ? new PlainNamesClient(engine.endpoint, engine.url) : super.engineClient(engine)
+    return engine.fencing === 'ignores' ? new UnfencedNamesClient(engine.endpoint, engine.url) : super.engineClient(engine)
   }
 }
--- a/packages/load/src/faults/mutants/scheduling-mutants.ts
+++ b/packages/load/src/faults/mutants/scheduling-mutants.ts
@@ -1,7 +1,7 @@
 /** An owner that evicts adapters in use. */
 import { OwnedEndpoints } from '@limpetwinch/entry'
 import type { OwnedEndpoint, OwnedEndpointsOptions } from '@limpetwinch/entry'
-import { FaultRunParts } from '../fault-run-parts.js'
+import { FaultRunComponents } from '../fault-run-components.js'
 
 class IgnorePinsOwnedEndpoints extends OwnedEndpoints {
   private readonly changed = new WeakSet<OwnedEndpoint>()
@@ -27,7 +27,7 @@
 }
 
 /** Parts that evict ignoring pins. */
-export class IgnorePinsParts extends FaultRunParts {
+export class IgnorePinsComponents extends FaultRunComponents {
   override ownedEndpoints (options: OwnedEndpointsOptions): OwnedEndpoints {
     return new IgnorePinsOwnedEndpoints(options)
   }
--- a/packages/load/src/faults/run-plan.ts
+++ b/packages/load/src/faults/run-plan.ts
@@ -7,8 +7,8 @@
 import { ADAPTERS, TEAMS, VERSIONS } from './sample-deployment.js'
 
 const LOAD_MILLISECONDS = 2_500
-const MOST_FAULTS = 3
-const LARGEST_SEED = 1_000_000
+const MAXIMUM_FAULTS = 3
+const MAXIMUM_SEED = 1_000_000
 
 /** A request and when it is sent. */
 export interface PlannedRequest {
@@ -16,7 +16,7 @@
   readonly after: number
   readonly load: LoadRequest
   /** Sent once more under the same key so many milliseconds after the first. */
-  readonly againAfter: number | undefined
+  readonly retryAfter: number | undefined
 }
 
 /** A fault and when it begins. */
@@ -61,7 +61,7 @@
 /** Alone, in pairs, and one kind twice. */
 function planFaults (random: SeededRandom, kinds: readonly Fault[]): PlannedFault[] {
   if (kinds.length === 0) return []
-  const count = random.between(1, MOST_FAULTS)
+  const count = random.between(1, MAXIMUM_FAULTS)
   const first = random.pick(kinds)
   return Array.from({ length: count }, (_, index) => ({
     after: random.between(0, LOAD_MILLISECONDS / 2),
@@ -80,12 +80,12 @@
     adapter: forService ? undefined : random.pick(ADAPTERS),
     version: forService || random.happens(0.4) ? undefined : random.pick(VERSIONS),
     idempotent,
-    prompt: `Prompt ${index} of ${random.between(0, LARGEST_SEED)}, ${'word '.repeat(random.between(0, 30))}`,
+    prompt: `Prompt ${index} of ${random.between(0, MAXIMUM_SEED)}, ${'word '.repeat(random.between(0, 30))}`,
     maximumTokens: random.happens(0.3) ? random.between(80, 160) : random.between(1, 40),
-    seed: random.between(0, LARGEST_SEED),
+    seed: random.between(0, MAXIMUM_SEED),
     stream: random.happens(0.6),
     deadlineMilliseconds: 6_000
   }
   const again = key !== undefined && random.happens(0.5)
-  return { after: random.between(0, LOAD_MILLISECONDS), load, againAfter: again ? random.between(0, 400) : undefined }
+  return { after: random.between(0, LOAD_MILLISECONDS), load, retryAfter: again ? random.between(0, 400) : undefined }
 }
--- a/packages/load/src/history/checker.ts
+++ b/packages/load/src/history/checker.ts
@@ -12,7 +12,7 @@
 import { RightAdapterRule } from './rules/right-adapter-rule.js'
 import { SettingsInForceRule } from './rules/settings-in-force-rule.js'
 import { WholeAnswerRule } from './rules/whole-answer-rule.js'
-import type { AnswerText } from './rules/whole-answer-rule.js'
+import type { ComputeAnswer } from './rules/whole-answer-rule.js'
 
 /** What the promises leave to the deployment. */
 export interface CheckBounds {
@@ -35,7 +35,7 @@
    * @param answerText - the text that the endpoints of the history generate
    * @param bounds - the deployment's bounds
    */
-  constructor (answerText: AnswerText, bounds: CheckBounds = DEFAULT_BOUNDS) {
+  constructor (answerText: ComputeAnswer, bounds: CheckBounds = DEFAULT_BOUNDS) {
     this.rules = [
       new RightAdapterRule(),
       new NoEvictionInUseRule(),
--- a/packages/load/src/history/history.ts
+++ b/packages/load/src/history/history.ts
@@ -9,7 +9,7 @@
 }
 
 /** One request as its caller saw it. */
-export interface CallerView {
+export interface RequestRecord {
   readonly sent: Recorded<HistoryEventOf<'request-sent'>>
   readonly parts: readonly Recorded<HistoryEventOf<'request-part'>>[]
   readonly ends: readonly Recorded<HistoryEventOf<'request-ended'>>[]
@@ -21,7 +21,7 @@
 export class History {
   readonly events: readonly Recorded[]
   readonly runs: readonly Run[]
-  readonly requests: readonly CallerView[]
+  readonly requests: readonly RequestRecord[]
   private readonly byKind = new Map<HistoryEventKind, Recorded[]>()
 
   /** @param events - as read; those of one millisecond stay in the order read */
@@ -57,7 +57,7 @@
     return this.of('run-started').map((started) => ({ started, ended: ends.get(runKey(started)) }))
   }
 
-  private joinRequests (): CallerView[] {
+  private joinRequests (): RequestRecord[] {
     const parts = groupBy(this.of('request-part'), (part) => part.request)
     const ends = groupBy(this.of('request-ended'), (ended) => ended.request)
     const runs = this.runsByRequest()
--- a/packages/load/src/history/instance-lives.ts
+++ b/packages/load/src/history/instance-lifetimes.ts
@@ -3,15 +3,15 @@
 import { groupBy } from './history.js'
 import type { History } from './history.js'
 
-interface Span {
+interface TimeSpan {
   readonly from: number
   readonly to: number
 }
 
 /** The lives of the instances in a history. */
-export class InstanceLives {
-  private readonly lives = new Map<string, Span>()
-  private readonly faults: readonly (Span & { readonly instances: readonly string[] })[]
+export class InstanceLifetimes {
+  private readonly lifetimes = new Map<string, TimeSpan>()
+  private readonly faults: readonly (TimeSpan & { readonly instances: readonly string[] })[]
 
   /** @param history - a whole history */
   constructor (history: History) {
@@ -22,14 +22,14 @@
     ], (event) => event.instance)
     for (const started of history.of('instance-started')) {
       const to = Math.min(...(ends.get(started.instance) ?? []).map((event) => event.at), Infinity)
-      this.lives.set(started.instance, { from: started.at, to })
+      this.lifetimes.set(started.instance, { from: started.at, to })
     }
     this.faults = faultSpans(history.of('fault-started'), history.of('fault-ended'))
   }
 
   /** @returns instances whose start the history holds */
   instances (): string[] {
-    return [...this.lives.keys()]
+    return [...this.lifetimes.keys()]
   }
 
   /**
@@ -42,7 +42,7 @@
    * @returns the deadline, or undefined when the instance did not live through it
    */
   reachableDeadline (instance: string, since: number, bound: number): number | undefined {
-    const life = this.lives.get(instance)
+    const life = this.lifetimes.get(instance)
     if (life === undefined) return undefined
     let deadline = Math.max(since, life.from) + bound
     for (const fault of this.faults) {
@@ -56,7 +56,7 @@
 function faultSpans (
   starts: readonly Recorded<HistoryEventOf<'fault-started'>>[],
   ends: readonly Recorded<HistoryEventOf<'fault-ended'>>[]
-): (Span & { instances: readonly string[] })[] {
+): (TimeSpan & { instances: readonly string[] })[] {
   const endOf = new Map(ends.map((event) => [event.fault, event.at]))
   return starts
     .map((event) => ({ from: event.at, to: endOf.get(event.fault) ?? Infinity, instances: event.instances }))
--- a/packages/load/src/history/rules/at-most-once-rule.ts
+++ b/packages/load/src/history/rules/at-most-once-rule.ts
@@ -2,7 +2,7 @@
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
 import { groupBy, runKey } from '../history.js'
-import type { CallerView, History, Run } from '../history.js'
+import type { RequestRecord, History, Run } from '../history.js'
 
 /** Counts the runs of each non-idempotent request and of each idempotency key. */
 export class AtMostOnceRule extends HistoryRule {
@@ -13,7 +13,7 @@
     return [...groupBy(views, workOf).entries()].flatMap(([work, same]) => this.checkWork(work, same))
   }
 
-  private checkWork (work: string, views: readonly CallerView[]): Violation[] {
+  private checkWork (work: string, views: readonly RequestRecord[]): Violation[] {
     const runs = new Map<string, Run>()
     for (const run of views.flatMap((view) => view.runs)) runs.set(runKey(run.started), run)
     if (runs.size <= 1) return []
@@ -22,6 +22,6 @@
   }
 }
 
-function workOf ({ sent }: CallerView): string {
+function workOf ({ sent }: RequestRecord): string {
   return sent.key === undefined ? `request ${sent.request}` : `key ${sent.key} of team ${sent.team}`
 }
--- a/packages/load/src/history/rules/not-run-rule.ts
+++ b/packages/load/src/history/rules/not-run-rule.ts
@@ -2,7 +2,7 @@
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
 import { groupBy, runKey } from '../history.js'
-import type { CallerView, History } from '../history.js'
+import type { RequestRecord, History } from '../history.js'
 
 /** Looks for a run that only callers who were told `not_run` can have caused. */
 export class NotRunRule extends HistoryRule {
@@ -17,7 +17,7 @@
     return [...ran, ...this.deliveredParts(history)]
   }
 
-  private broken (views: readonly CallerView[], started: Parameters<HistoryRule['violation']>[1][number]): Violation {
+  private broken (views: readonly RequestRecord[], started: Parameters<HistoryRule['violation']>[1][number]): Violation {
     const told = views.flatMap((view) => [view.sent, toldNotRun(view)!])
     const names = views.map((view) => view.sent.request).join(', ')
     return this.violation(`request ${names} was told not_run, but it ran`, [...told, started])
@@ -30,6 +30,6 @@
   }
 }
 
-function toldNotRun (view: CallerView): CallerView['ends'][number] | undefined {
+function toldNotRun (view: RequestRecord): RequestRecord['ends'][number] | undefined {
   return view.ends.find((ended) => ended.outcome === 'not_run')
 }
--- a/packages/load/src/history/rules/planned-stop-rule.ts
+++ b/packages/load/src/history/rules/planned-stop-rule.ts
@@ -2,7 +2,7 @@
 import type { HistoryEventOf, Recorded } from '../events.js'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
-import type { CallerView, History } from '../history.js'
+import type { RequestRecord, History } from '../history.js'
 
 type StopAsked = Recorded<HistoryEventOf<'instance-stop-asked'>>
 
@@ -28,7 +28,7 @@
 }
 
 /** A request that ran nowhere and was told so was refused, not cut off; one that was killed was not stopped as planned. */
-function wasCutOff (view: CallerView, stop: StopAsked, killedAt: number): boolean {
+function wasCutOff (view: RequestRecord, stop: StopAsked, killedAt: number): boolean {
   if (view.sent.line > stop.line && view.sent.at >= stop.at) return false
   const [ended] = view.ends
   if (ended === undefined) return killedAt === Infinity
--- a/packages/load/src/history/rules/right-adapter-rule.ts
+++ b/packages/load/src/history/rules/right-adapter-rule.ts
@@ -2,7 +2,7 @@
 import { splitLoadedName } from '@limpetwinch/core'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
-import type { CallerView, History } from '../history.js'
+import type { RequestRecord, History } from '../history.js'
 
 /** Compares what ran, and what the answer says, with what was asked. */
 export class RightAdapterRule extends HistoryRule {
@@ -11,10 +11,10 @@
   override check (history: History): Violation[] {
     return history.requests
       .filter((view) => view.sent.adapter !== undefined)
-      .flatMap((view) => [...this.wrongRuns(view), ...this.wrongWords(view)])
+      .flatMap((view) => [...this.wrongRuns(view), ...this.wrongAnswers(view)])
   }
 
-  private wrongRuns (view: CallerView): Violation[] {
+  private wrongRuns (view: RequestRecord): Violation[] {
     return view.runs
       .filter((run) => !isAddressed(view, adapterOfRun(run.started.adapter)))
       .map((run) => this.violation(
@@ -23,7 +23,7 @@
       ))
   }
 
-  private wrongWords (view: CallerView): Violation[] {
+  private wrongAnswers (view: RequestRecord): Violation[] {
     return view.ends
       .filter((ended) => ended.outcome === 'answered' && ended.adapter !== undefined)
       .filter((ended) => !isAddressed(view, ended.version === undefined ? ended.adapter : `${ended.adapter}@${ended.version}`))
@@ -40,13 +40,13 @@
 }
 
 /** A request without a version means the current one, so any version of its adapter may answer it. */
-function isAddressed (view: CallerView, adapter: string | undefined): boolean {
+function isAddressed (view: RequestRecord, adapter: string | undefined): boolean {
   const asked = addressOf(view)
   if (adapter === undefined) return false
   return view.sent.version === undefined ? adapter === asked || adapter.startsWith(`${asked}@`) : adapter === asked
 }
 
-function addressOf ({ sent }: CallerView): string {
+function addressOf ({ sent }: RequestRecord): string {
   const adapter = `${sent.team}/${sent.adapter}`
   return sent.version === undefined ? adapter : `${adapter}@${sent.version}`
 }
--- a/packages/load/src/history/rules/settings-in-force-rule.ts
+++ b/packages/load/src/history/rules/settings-in-force-rule.ts
@@ -4,7 +4,7 @@
 import type { Violation } from '../history-rule.js'
 import { groupBy } from '../history.js'
 import type { History } from '../history.js'
-import { InstanceLives } from '../instance-lives.js'
+import { InstanceLifetimes } from '../instance-lifetimes.js'
 
 type Accepted = Recorded<HistoryEventOf<'settings-accepted'>>
 type InForce = Recorded<HistoryEventOf<'settings-in-force'>>
@@ -21,16 +21,16 @@
   }
 
   override check (history: History): Violation[] {
-    const lives = new InstanceLives(history)
+    const lives = new InstanceLifetimes(history)
     return [
-      ...this.reverted(history),
-      ...this.acceptedTwice(history),
-      ...this.otherText(history),
+      ...this.findReverted(history),
+      ...this.findAcceptedTwice(history),
+      ...this.findDifferentTexts(history),
       ...this.late(history, lives)
     ]
   }
 
-  private reverted (history: History): Violation[] {
+  private findReverted (history: History): Violation[] {
     const views = groupBy(history.of('settings-in-force'), (event) => `${event.instance} ${event.path}`)
     return [...views.values()].flatMap((events) => {
       let newest = events[0]!
@@ -43,14 +43,14 @@
     })
   }
 
-  private acceptedTwice (history: History): Violation[] {
+  private findAcceptedTwice (history: History): Violation[] {
     const registers = groupBy(history.of('settings-accepted'), registerOf)
     return [...registers.values()]
       .filter((events) => events.length > 1)
       .map((events) => this.violation(`${events[0]!.path} accepted revision ${events[0]!.revision} ${events.length} times, so a change was lost`, events))
   }
 
-  private otherText (history: History): Violation[] {
+  private findDifferentTexts (history: History): Violation[] {
     const known = new Map<string, Accepted | InForce>()
     const violations: Violation[] = []
     for (const event of [...history.of('settings-accepted'), ...history.of('settings-in-force')]) {
@@ -64,7 +64,7 @@
     return violations
   }
 
-  private late (history: History, lives: InstanceLives): Violation[] {
+  private late (history: History, lives: InstanceLifetimes): Violation[] {
     const inForce = groupBy(history.of('settings-in-force'), (event) => `${event.instance} ${event.path}`)
     return history.of('settings-accepted').flatMap((accepted) => lives.instances().flatMap((instance) => {
       const deadline = lives.reachableDeadline(instance, accepted.at, this.boundMilliseconds)
--- a/packages/load/src/history/rules/whole-answer-rule.ts
+++ b/packages/load/src/history/rules/whole-answer-rule.ts
@@ -1,11 +1,11 @@
 /** Every caller receives the whole answer to its own request, in order. */
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
-import type { CallerView, History } from '../history.js'
+import type { RequestRecord, History } from '../history.js'
 import { adapterOfRun } from './right-adapter-rule.js'
 
 /** What a request generates. */
-export interface GenerationOf {
+export interface GenerationParameters {
   /** `team/adapter@version`, or undefined for the base model. */
   readonly adapter: string | undefined
   readonly prompt: string
@@ -14,15 +14,15 @@
 }
 
 /** Computes the whole answer to a request; the stand-in engine's text is a pure function of this. */
-export type AnswerText = (generation: GenerationOf) => string
+export type ComputeAnswer = (generation: GenerationParameters) => string
 
 /** Computes each answer anew, so that a lost, doubled, swapped or foreign part shows without trust in anyone's word. */
 export class WholeAnswerRule extends HistoryRule {
   override readonly promise = 'whole-answer'
-  private readonly answerText: AnswerText
+  private readonly answerText: ComputeAnswer
 
   /** @param answerText - the text that endpoints generate */
-  constructor (answerText: AnswerText) {
+  constructor (answerText: ComputeAnswer) {
     super()
     this.answerText = answerText
   }
@@ -36,14 +36,14 @@
     ])
   }
 
-  private checkPositions (view: CallerView): Violation[] {
+  private checkPositions (view: RequestRecord): Violation[] {
     return view.parts
       .filter((part, index) => part.position !== index)
       .slice(0, 1)
       .map((part) => this.violation(`request ${view.sent.request} received part ${part.position} out of order`, [view.sent, ...view.parts]))
   }
 
-  private checkText (view: CallerView): Violation[] {
+  private checkText (view: RequestRecord): Violation[] {
     const received = view.parts.map((part) => part.text).join('')
     const possible = this.possibleTexts(view)
     const answered = view.ends.find((ended) => ended.outcome === 'answered')
@@ -59,7 +59,7 @@
   }
 
   /** The versions that may have answered: the one asked for, or where none was named, those that ran. */
-  private possibleTexts ({ sent, runs, ends }: CallerView): string[] {
+  private possibleTexts ({ sent, runs, ends }: RequestRecord): string[] {
     if (sent.adapter === undefined) return [sent.prompt]
     const address = `${sent.team}/${sent.adapter}`
     const said = ends.flatMap((ended) => ended.version === undefined ? [] : [`${address}@${ended.version}`])
@@ -70,7 +70,7 @@
     }))
   }
 
-  private checkRan (view: CallerView, history: History): Violation[] {
+  private checkRan (view: RequestRecord, history: History): Violation[] {
     const answered = view.ends.find((ended) => ended.outcome === 'answered')
     if (answered === undefined || view.runs.length > 0) return []
     const { key, team } = view.sent
--- a/packages/load/test/faults/rolling-replacement.failure.test.ts
+++ b/packages/load/test/faults/rolling-replacement.failure.test.ts
@@ -25,7 +25,7 @@
 
   async function callAgainAndAgain (caller: number): Promise<void> {
     for (let turn = 0; state.calling; turn += 1) {
-      const instances = deployment.entries.filter((entry) => entry.inBalancer)
+      const instances = deployment.entries.filter((entry) => entry.receivesRequests)
       const entry = instances[(caller + turn) % instances.length]
       const model = `athletics/${MODELS[turn % MODELS.length]}`
       const answer = await request(`${entry?.caller}/v1/completions`, {
--- a/packages/soak/src/faults/instance-faults.ts
+++ b/packages/soak/src/faults/instance-faults.ts
@@ -93,7 +93,7 @@
     await this.lasting(site, found.instance.name, async () => {
       link.cut()
       await site.wait(500, 5_000)
-      link.mend()
+      link.restore()
     })
   }
 }
