--- a/packages/entry/src/membership/leaving-endpoints.ts
+++ b/packages/entry/src/membership/leaving-endpoints.ts
@@ -3,6 +3,8 @@
 import type { PeerLinks } from '../peers/peer-links.js'
 
 /**
+ * Keeps the latest known set of leaving endpoints and exchanges its changes with the peers.
+ *
  * Without messages from peers, an instance that gets no answer from the platform, or that was paused, would keep sending
  * work to a leaving endpoint that the other instances no longer use. Each instance that reads a change notifies its
  * peers, so one peer that can read the list is enough. Only changes are sent, so there is no traffic without changes.
--- a/packages/entry/src/membership/list-membership.ts
+++ b/packages/entry/src/membership/list-membership.ts
@@ -10,12 +10,21 @@
 import type { Member } from './membership.js'
 import { chooseRemotePeers } from './remote-peers.js'
 
+/** Default of {@link ListMembershipOptions.unlistedTimeoutMilliseconds}. */
 const DEFAULT_UNLISTED_TIMEOUT_MILLISECONDS = 600_000
+/** How long the entry of a member that has left is kept. */
 const GONE_RETENTION_MILLISECONDS = 3_600_000
+/** Factor by which the suspicion time is longer for members of other data centres. */
 const REMOTE_SUSPECT_FACTOR = 5
+/** Number of periodic evaluations of all members within the suspicion time. */
 const TICKS_TO_SUSPECT = 12
+/** Number of evaluation intervals without an evaluation after which this process counts as paused. */
 const PAUSED_AFTER_TICKS = 3
-/** Multiple of the suspicion time in which three attempts to dial fit, each with its time limits and back-off. */
+/**
+ * How long this instance treats no other member as lost after the last check in which it reached no majority of the
+ * members, as a multiple of the suspicion time. Three attempts to dial fit into this duration, each with its time limits
+ * and back-off.
+ */
 const SETTLE_FACTOR = 4
 
 /** Dependencies and times of the membership. */
@@ -28,7 +37,7 @@
   readonly random?: () => number
   /** Mean interval between reads of the instance list. */
   readonly pollIntervalMilliseconds?: number
-  /** Time without any frame after which a member of this data centre is suspected. */
+  /** The suspicion time: time without any frame after which a member of this data centre is suspected. */
   readonly suspectAfterMilliseconds?: number
   /**
    * Time without any frame after which a member that the list has never named has ended; must be longer than the list
@@ -85,13 +94,13 @@
     await Promise.all([this.poll(signal), this.evaluatePeriodically(signal)])
   }
 
-  /** Marks this instance as leaving; the caller makes its heartbeats announce this as well. */
+  /** Marks this instance as leaving; the caller must also set `leaving` in the heartbeats of this instance. */
   startLeaving (): void {
     this.isLeaving = true
     this.changed()
   }
 
-  /** Notifies all peers that this instance ends now; after this it must neither send orders to engines nor run requests. */
+  /** Notifies all peers that this instance ends now; from then on this instance must neither send orders to engines nor run requests. */
   sendGoodbye (): void {
     for (const instance of this.peers.connected()) this.peers.notify(instance, { kind: 'goodbye' })
   }
@@ -120,8 +129,9 @@
   }
 
   /**
-   * @returns whether this instance may treat suspected members as lost; false for a while after it was cut off, since
-   *   members to which it has not reconnected yet still look unresponsive, and it would take over what they serve
+   * @returns whether this instance may treat suspected members as lost; false until four suspicion times after the last
+   *   check in which this instance reached no majority. Members to which it has not reconnected yet still look
+   *   unresponsive, and it would take over the endpoints that these members serve.
    */
   mayTreatOthersAsLost (): boolean {
     return this.clock.now() - this.lastWithoutMajorityAt > SETTLE_FACTOR * this.suspectAfterMilliseconds
@@ -185,7 +195,8 @@
   private connected (peer: PeerIdentity): void {
     const known = this.entries.get(peer.instance)
     if (known !== undefined) known.endEvidence = undefined
-    // An address from the list takes precedence: the address that a peer announces may not be the one at which it is reached.
+    // An address from the list takes precedence: the address that a peer announces may not be the one at which other
+    // instances reach it.
     if (known === undefined) this.entryOf(peer.instance, peer.dataCentre, peer.address)
     this.evaluate()
   }
@@ -209,7 +220,7 @@
   }
 
   /**
-   * After a pause of this process all other members look unresponsive, and this instance would take over what they own.
+   * After a pause of this process all other members look unresponsive, and this instance would take over their endpoints.
    * Their frames wait unread in the sockets; two thirds of the suspicion time, two heartbeats, are enough to read them.
    */
   private detectPause (): void {
--- a/packages/entry/src/membership/member-entry.ts
+++ b/packages/entry/src/membership/member-entry.ts
@@ -3,7 +3,7 @@
 import type { EndEvidence } from '../peers/peer-links.js'
 import type { Member, MemberState } from './membership.js'
 
-/** Status of an instance in the last read of the platform's list; `never` when no list has named it yet. */
+/** Status of an instance in the last read of the platform's list; `never` when no list has named the instance yet. */
 export type ListStatus = 'live' | 'leaving' | 'absent' | 'never'
 
 /** Observations from which the state of a member is derived. */
@@ -16,7 +16,9 @@
   readonly kept: boolean
   /** Whether this process has just resumed from a pause, so that frames from peers may still be unread. */
   readonly justResumed: boolean
+  /** Time without any frame after which the member is suspected. */
   readonly suspectAfterMilliseconds: number
+  /** Time without any frame after which a member that the list has never named has ended. */
   readonly unlistedTimeoutMilliseconds: number
 }
 
@@ -30,7 +32,10 @@
   goodbyeReceived = false
   /** Evidence that the instance has ended; the member then becomes suspected at once, before the suspicion time is over. */
   endEvidence: EndEvidence | undefined
-  /** Monotonic time at which the latest read of a list without this instance began, if an earlier list named it. */
+  /**
+   * Monotonic time at which the latest read began whose list no longer named the instance; undefined while the list names
+   * the instance, and when no list has ever named it.
+   */
   lastAbsentReadAt: number | undefined
   state: MemberState = 'suspect'
   private suspectSince: number | undefined
@@ -61,13 +66,13 @@
       this.lastAbsentReadAt = undefined
       return
     }
-    // The list lags: an instance that it has never named may be too new for it rather than ended.
+    // The list lags: an instance that no list has named may have started after the list was made, rather than have ended.
     if (this.listStatus === 'never') return
     this.listStatus = 'absent'
     this.lastAbsentReadAt = Math.max(this.lastAbsentReadAt ?? readBegan, readBegan)
   }
 
-  /** Derives the state from new observations. @returns whether it changed */
+  /** Derives the state from new observations. @returns whether the state changed */
   updateState (observation: MemberObservation): boolean {
     const before = this.state
     this.state = this.stateFrom(observation)
@@ -87,8 +92,8 @@
 
   private stateFrom (observation: MemberObservation): MemberState {
     if (this.goodbyeReceived) return 'gone'
-    // A member that has just been listed has not had time to connect; if it counted as unresponsive, a new instance
-    // would take over the endpoints of all others.
+    // A member that has just been listed has not had time to connect; if such a member counted as unresponsive, a new
+    // instance would take over the endpoints of all others.
     const inTime = observation.now - (observation.lastContactAt ?? this.firstSeenAt) <= observation.suspectAfterMilliseconds
     const isReachable = inTime || (observation.justResumed && (this.state === 'alive' || this.state === 'leaving'))
     if (isReachable && this.endEvidence === undefined) {
--- a/packages/entry/src/membership/membership.ts
+++ b/packages/entry/src/membership/membership.ts
@@ -22,7 +22,7 @@
   /** @returns all members that have not left, this instance included */
   abstract members (): readonly Member[]
 
-  /** @returns one member, even if it has left, or undefined when it is not known */
+  /** @returns one member, even if it has left, or undefined when the instance is not known */
   abstract member (instance: InstanceId): Member | undefined
 
   /** @returns endpoints that the platform lists as leaving */
--- a/packages/entry/src/membership/reachable-majority.ts
+++ b/packages/entry/src/membership/reachable-majority.ts
@@ -5,7 +5,7 @@
 /** Another member of the data centre, as this instance observes it. */
 export interface ObservedMember {
   readonly instance: InstanceId
-  /** Whether this instance does not suspect the member, because it receives frames from it. */
+  /** Whether this instance does not suspect the member, usually because frames from the member arrive. */
   readonly heard: boolean
   /** Whether there is evidence that the process has ended; a member that is only cut off does not refuse connections. */
   readonly refused: boolean
--- a/packages/entry/src/membership/remote-peers.ts
+++ b/packages/entry/src/membership/remote-peers.ts
@@ -1,8 +1,11 @@
-/** Chooses the instances of other data centres to which this instance keeps connections. */
+/** Chooses the remote peers: the instances of other data centres to which this instance keeps connections. */
 import type { DataCentreId, InstanceId } from '@limpetwinch/core'
 import { rendezvousRank } from '../placement/rendezvous.js'
 
-/** Two, so that one of them may fail; connections to all would be 953 with 990 instances in 27 data centres. */
+/**
+ * Number of instances in each other data centre to which this instance keeps connections: two, so that one of them may
+ * fail. With 990 instances in 27 data centres, connections to all instances of other data centres would be 953.
+ */
 const PEERS_PER_DATA_CENTRE = 2
 
 /** An instance that may be chosen as a remote peer. */
@@ -16,7 +19,7 @@
  * over all instances.
  *
  * @param chooser - this instance
- * @param dataCentre - its data centre, from which no instance is chosen
+ * @param dataCentre - data centre of the chooser, from which no instance is chosen
  * @param candidates - instances that have not left
  * @returns at most two instances of each other data centre
  */
--- a/packages/entry/src/ownership/earlier-pins.ts
+++ b/packages/entry/src/ownership/earlier-pins.ts
@@ -1,4 +1,4 @@
-/** Requests that earlier owners of an endpoint admitted and that may still run on it. */
+/** Earlier pins: requests that earlier owners of an endpoint admitted and that may still run on the endpoint. */
 import type { EngineReport, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 
 /** A request that an earlier owner admitted to the endpoint. */
@@ -18,12 +18,12 @@
   /** Adds pins that a member or the earlier owner reported. */
   add (pins: readonly EarlierPin[]): void {
     for (const pin of pins) {
-      // A member's message that a request ended may overtake the report that still names that request.
+      // A member's message that a request ended may overtake the list of pins that still names that request.
       if (!this.ended.has(pin.requestId)) this.pins.set(pin.requestId, pin)
     }
   }
 
-  /** Removes a pin after its member announced that the request has ended. */
+  /** Removes a pin after the member that ran the request announced that the request has ended. */
   end (requestId: RequestId): void {
     this.pins.delete(requestId)
     this.ended.add(requestId)
@@ -34,7 +34,7 @@
    *
    * @param report - the requests that the engine runs
    * @param hasGranted - whether the current owner granted a request
-   * @param isLiving - whether a member still runs, so that it will announce the end of its request itself
+   * @param isLiving - whether a member still runs, so that this member will announce the end of its request itself
    */
   applyReport (report: EngineReport, hasGranted: (requestId: RequestId) => boolean, isLiving: (instance: InstanceId) => boolean): void {
     const running = new Set(report.running.map((request) => request.requestId))
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Removes the pins of no living member; called once the longest request time has passed. */
+  /** Removes the pins that belong to no living member; called once the longest request time has passed. */
   removeOrphans (isLiving: (instance: InstanceId) => boolean): void {
     for (const pin of this.pins.values()) {
       if (pin.instance === undefined || !isLiving(pin.instance)) this.pins.delete(pin.requestId)
--- a/packages/entry/src/ownership/endpoint-recoveries.ts
+++ b/packages/entry/src/ownership/endpoint-recoveries.ts
@@ -1,4 +1,4 @@
-/** The recoveries of all endpoints that this instance owns. */
+/** Runs the recoveries of all endpoints that this instance owns; a recovery finds out which requests of earlier owners still run. */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, EndpointId, EngineClient, EngineSettings, Logger, RequestId } from '@limpetwinch/core'
 import { TaskGroup } from '../concurrency/task-group.js'
@@ -12,6 +12,7 @@
 import type { OwnershipRecord } from './ownership.js'
 import type { RecoveryStatus, StoreOwnership } from './store-ownership.js'
 
+/** Maximum interval between checks for changed ownership; a reported change triggers a check at once. */
 const CHECK_INTERVAL_MILLISECONDS = 1_000
 
 /** Dependencies and times of the recoveries. */
@@ -24,6 +25,7 @@
   readonly clientOf: (engine: EngineSettings) => EngineClient
   /** Whether this instance granted the request itself as owner of the endpoint. */
   readonly hasGranted: (endpoint: EndpointId, requestId: RequestId) => boolean
+  /** Returns the longest time that a request may take. */
   readonly longestRequestMilliseconds: () => number
   readonly logger: Logger
   readonly clock?: Clock
@@ -75,12 +77,12 @@
     return this.running.get(endpoint)?.recovery.earlierPins() ?? []
   }
 
-  /** @returns whether each earlier pin of the endpoint is known or has ended */
+  /** @returns whether each request that an earlier owner admitted to the endpoint is known to this instance or has ended */
   recovered (endpoint: EndpointId): boolean {
     return this.running.get(endpoint)?.recovery.recovered ?? false
   }
 
-  /** Applies a hand-over; this instance must already know the record. */
+  /** Applies the state that the earlier owner sent; this instance must already know the new record. */
   applyHandOver (record: OwnershipRecord, state: HandOverState, recovered: boolean): void {
     const started = this.start(record)
     if (started === undefined) return
@@ -117,7 +119,7 @@
   }
 
   /**
-   * In a planned hand-over the earlier owner sends its pins after the record. When they do not arrive in time, that
+   * In a planned hand-over the earlier owner sends its pins after the record. When these do not arrive in time, that
    * owner was lost in between, and the recovery asks all members instead.
    */
   private async recover ({ recovery, stopping, handOverArrived }: ActiveRecovery): Promise<void> {
--- a/packages/entry/src/ownership/endpoint-recovery.ts
+++ b/packages/entry/src/ownership/endpoint-recovery.ts
@@ -1,4 +1,4 @@
-/** Recovery of an endpoint: how a new owner finds out which requests still run on it. */
+/** Recovery of an endpoint: how a new owner finds out which requests of earlier owners still run on the endpoint. */
 import type { Clock, EngineClient, EngineReport, EngineSettings, InstanceId, Logger, RequestId } from '@limpetwinch/core'
 import { Backoff } from '../concurrency/backoff.js'
 import { forEachLimited } from '../concurrency/for-each-limited.js'
@@ -8,7 +8,9 @@
 import type { EarlierPin } from './earlier-pins.js'
 import type { OwnershipRecord } from './ownership.js'
 
+/** Delays between attempts to send the token to the engine, or to ask members for their pins, in milliseconds. */
 const BACKOFF = { first: 100, largest: 2_000 }
+/** Maximum number of members that one recovery asks for their pins at the same time. */
 const MAXIMUM_CONCURRENT_CALLS = 32
 
 /** Times of a recovery, in milliseconds. */
@@ -16,17 +18,17 @@
   /** Time limit of one call that asks a member for its pins. */
   readonly callTimeout: number
   /**
-   * How long no new member may appear after all members have answered. The platform's list lags, so the membership
-   * known to this instance may still be incomplete.
+   * After all members have reported their pins, the recovery waits this long without a new member before it stops
+   * collecting pins. The platform's list lags, so the membership known to this instance may still be incomplete.
    */
   readonly settle: number
   /** Largest expected difference between the engine's wall clock and the one of this instance. */
   readonly maximumClockSkew: number
-  /** Interval between reads of the engine's report. */
+  /** Interval between reads of the engine's report, which names the requests that the engine runs. */
   readonly reportInterval: number
 }
 
-/** Default times of a recovery. */
+/** Default times of a recovery, in milliseconds; {@link RecoveryTimes} says what each of them limits. */
 export const DEFAULT_RECOVERY_TIMES: RecoveryTimes = { callTimeout: 2_000, settle: 5_000, maximumClockSkew: 2_000, reportInterval: 1_000 }
 
 /** Record, dependencies and times of a recovery. */
@@ -42,6 +44,7 @@
   readonly times: RecoveryTimes
   /** Whether this instance granted a request under the record. */
   readonly hasGranted: (requestId: RequestId) => boolean
+  /** Returns the longest time that a request may take. */
   readonly longestRequestMilliseconds: () => number
 }
 
@@ -54,16 +57,16 @@
  */
 export class EndpointRecovery {
   readonly record: OwnershipRecord
-  /** Whether the engine has received this token; always true for an engine that ignores tokens. */
+  /** Whether the engine has received the token of the record; always true for an engine that ignores tokens. */
   fenced: boolean
-  /** Whether each earlier pin is known or has ended. */
+  /** Whether each request that an earlier owner admitted to the endpoint is known to this instance or has ended. */
   recovered = false
   private readonly options: EndpointRecoveryOptions
   private readonly pins = new EarlierPins()
   private readonly answered = new Set<InstanceId>()
   /**
-   * When every member had answered or had left. Requests that started before this time end within the longest request
-   * time after it.
+   * When every member had answered or had left, in milliseconds on both clocks. Requests that started before this time end
+   * within the longest request time after this time.
    */
   private membersSettledAt: { readonly monotonic: number, readonly wall: number } | undefined
   /** Highest limit of the request time since the recovery began: a request keeps the limit that it started with. */
@@ -96,13 +99,13 @@
     return this.pins.all()
   }
 
-  /** Removes a pin after its member announced that the request has ended. */
+  /** Removes a pin after the member that ran the request announced that the request has ended. */
   endPin (requestId: RequestId): void {
     this.pins.end(requestId)
   }
 
   /**
-   * Sends the token to the engine before the first grant. Until the engine has received it, an earlier owner that was
+   * Sends the token to the engine before the first grant. Until the engine has received the token, an earlier owner that was
    * paused could still unload an adapter that a request granted by this instance is about to use.
    */
   private async fence (signal: AbortSignal): Promise<void> {
@@ -173,9 +176,9 @@
 
   /**
    * Waits for the engine's report, the only source for requests of members that have left. The report must have been
-   * made after the members were settled, since an earlier one may lack the last requests of such a member. Its queue
-   * must be empty, since the report does not name queued requests. Once the longest request time has passed, no such
-   * report is needed.
+   * made after every member had answered or had left, since an earlier report may lack the last requests of such a
+   * member. The queue in the report must be empty, since the report does not name queued requests. Once the longest
+   * request time has passed, no such report is needed.
    */
   private async awaitConclusiveReport (signal: AbortSignal): Promise<void> {
     const { clock, times, logger } = this.options
@@ -190,6 +193,12 @@
     }
   }
 
+  /**
+   * Applies the engine's report if the engine certainly made it after every member had answered or had left. Once the
+   * longest request time has passed since then, removes the pins that belong to no living member instead.
+   *
+   * @returns the applied report, or undefined when none was applied
+   */
   private async applyFreshReport (): Promise<EngineReport | undefined> {
     if (this.hasLongestRequestTimePassed()) {
       this.pins.removeOrphans(this.isLiving)
--- a/packages/entry/src/ownership/hand-over-source.ts
+++ b/packages/entry/src/ownership/hand-over-source.ts
@@ -1,4 +1,7 @@
-/** Interface of an endpoint's scheduler that a hand-over of the endpoint uses. */
+/**
+ * Interface between a planned hand-over and the scheduler of an endpoint. On the earlier owner, the scheduler provides the
+ * state to hand over; on the new owner, it applies that state.
+ */
 import type { EndpointId, FencingToken, InstanceId, LoadedName, RequestId } from '@limpetwinch/core'
 
 /** A running request, as the earlier owner reports it to the new owner. */
@@ -11,7 +14,7 @@
 
 /** State of an endpoint that its owner hands over. */
 export interface HandOverState {
-  /** Names that are certainly loaded; a name whose load or unload order has no answer yet is left out. */
+  /** Names of adapters that are certainly loaded on the engine; a name whose load or unload order has no answer yet is left out. */
   readonly loaded: readonly LoadedName[]
   /** Requests that were granted and have not ended, including those of earlier owners. */
   readonly pins: readonly HandedOverPin[]
@@ -36,6 +39,6 @@
   /** Refuses waiting and later requests with `not-owner` and `details.owner`, so that their senders ask the new owner. */
   abstract release (endpoint: EndpointId, newOwner: InstanceId): void
 
-  /** Applies the loaded names and pins of the earlier owner. */
+  /** Called on the new owner: applies the loaded names and pins that the earlier owner sent. */
   abstract adopt (endpoint: EndpointId, token: FencingToken, state: HandOverState): void
 }
--- a/packages/entry/src/ownership/hand-overs.ts
+++ b/packages/entry/src/ownership/hand-overs.ts
@@ -7,9 +7,13 @@
 import type { OwnershipRecord } from './ownership.js'
 import type { StoreOwnership } from './store-ownership.js'
 
+/** Time limit of the call that sends the state of an endpoint to the new owner. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000
+/** Duration after which a hand-over stops reading the store to find out whether its write with a lost answer took effect. */
 const WRITE_TIMEOUT_MILLISECONDS = 5_000
+/** How long the new owner waits for its record after the earlier owner has sent the state of the endpoint. */
 const RECORD_WAIT_MILLISECONDS = 1_000
+/** Interval between checks for an expected record, and between attempts to hand over before a planned stop. */
 const CHECK_INTERVAL_MILLISECONDS = 50
 /**
  * How long a stopping instance waits for a successor. A peer may be suspected only briefly; endpoints that are left
@@ -27,7 +31,7 @@
   readonly clock?: Clock
   /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
-  /** Mean interval between checks whether this instance owns far more than its share. */
+  /** Mean interval between checks whether this instance owns more endpoints than the maximum share of one owner. */
   readonly rebalanceIntervalMilliseconds?: number
 }
 
@@ -46,7 +50,7 @@
     options.peers.onCall('hand-over', async (_, frame, signal) => await this.receiveHandOver(frame, signal))
   }
 
-  /** Balances ownership until the signal is aborted: an instance that joined gets its share from owners above theirs. */
+  /** Balances ownership until the signal is aborted: an instance that joined gets endpoints from owners above the maximum share. */
   async run (signal: AbortSignal): Promise<void> {
     const interval = this.options.rebalanceIntervalMilliseconds ?? 5_000
     while (!signal.aborted) {
@@ -79,7 +83,7 @@
    * Hands over some endpoints. Load and unload orders stop first, so that the new owner finds no order in progress.
    * Grants continue until the new record is written, so that no request is refused in the meantime.
    *
-   * @returns whether they were handed over
+   * @returns whether at least one endpoint was handed over
    */
   async handOver (endpoints: readonly EndpointId[], signal: AbortSignal): Promise<boolean> {
     if (this.handingOver) return false
@@ -94,7 +98,7 @@
   private async handOverWithOrdersPaused (endpoints: readonly EndpointId[], signal: AbortSignal): Promise<boolean> {
     const { source, ownership } = this.options
     await Promise.all(endpoints.map(async (endpoint) => await source.pauseOrders(endpoint)))
-    // Read before the write, which ends the recovery of this owner; the new owner must know whether it was complete.
+    // Read before the write, which ends the recovery of this owner; the new owner must know whether that recovery was complete.
     const recovered = new Map(endpoints.map((endpoint) => [endpoint, this.knowsAllPins(endpoint)]))
     const limit = AbortSignal.any([signal, AbortSignal.timeout(WRITE_TIMEOUT_MILLISECONDS)])
     const written = await ownership.handOver(endpoints, limit)
@@ -137,7 +141,7 @@
     return { kind: 'accepted' }
   }
 
-  /** The earlier owner sends the record just before the hand-over, but it may arrive later, over another connection. */
+  /** The earlier owner sends the record just before the hand-over, but the record may arrive later, over another connection. */
   private async waitForRecord (frame: HandOverFrame, signal: AbortSignal): Promise<OwnershipRecord | undefined> {
     const { ownership, peers } = this.options
     const until = this.clock.now() + RECORD_WAIT_MILLISECONDS
--- a/packages/entry/src/ownership/ownership-confirmation.ts
+++ b/packages/entry/src/ownership/ownership-confirmation.ts
@@ -4,6 +4,7 @@
 
 interface PeerSequence {
   readonly sequence: number
+  /** The peer announced the sequence after this time on this instance's clocks. */
   readonly statedAfter: ClockReading
 }
 
@@ -55,7 +56,7 @@
     })
   }
 
-  /** Removes the evidence of instances that have left. */
+  /** Removes the sequences announced by instances that are not in the set, because these instances have left. */
   keepOnly (instances: ReadonlySet<InstanceId>): void {
     for (const instance of this.peerSequences.keys()) {
       if (!instances.has(instance)) this.peerSequences.delete(instance)
--- a/packages/entry/src/ownership/ownership-plan.ts
+++ b/packages/entry/src/ownership/ownership-plan.ts
@@ -1,10 +1,10 @@
-/** Assigns endpoints to owners with as few moves as possible and no owner far above its share. */
+/** Assigns endpoints to owners with as few moves as possible and no owner far above the even share. */
 import type { EndpointId, FencingToken, InstanceId } from '@limpetwinch/core'
 import { rendezvousRank } from '../placement/rendezvous.js'
 import type { OwnershipObject } from './ownership-object.js'
 import type { OwnershipRecord } from './ownership.js'
 
-/** Maximum number of endpoints of one owner, as a multiple of the even share. */
+/** Maximum number of endpoints of one owner, as a multiple of the even share (endpoints divided by candidates). */
 const MAXIMUM_SHARE_FACTOR = 1.25
 
 /** Input of an ownership plan. */
@@ -51,7 +51,7 @@
  * Moves some of one owner's endpoints to others by planned hand-over.
  *
  * @param object - the latest state
- * @param owner - the instance that hands over; not among the candidates when it is leaving
+ * @param owner - the instance that hands over; not among the candidates when that instance is leaving
  * @param endpoints - the endpoints to hand over
  * @param input - endpoints, candidates and lost owners
  * @returns the change, or undefined when nothing can be moved
@@ -73,7 +73,7 @@
   return { nextToken, records: [...kept, ...records] }
 }
 
-/** @returns the endpoints that an owner should hand over because it owns far more than its share */
+/** @returns the endpoints that an owner should hand over because it owns more than the maximum share */
 export function surplusOf (object: OwnershipObject, owner: InstanceId, input: PlanInput): readonly EndpointId[] {
   const owned = object.records.filter((record) => record.owner === owner).map((record) => record.endpoint)
   const surplus = owned.length - maximumShare(input)
@@ -83,6 +83,7 @@
   return [...owned].sort((one, other) => placedByHashing(one) - placedByHashing(other)).slice(0, surplus)
 }
 
+/** @returns the maximum number of endpoints of one owner, rounded up */
 function maximumShare (input: PlanInput): number {
   return Math.ceil(MAXIMUM_SHARE_FACTOR * input.endpoints.length / input.candidates.length)
 }
--- a/packages/entry/src/ownership/ownership-writer.ts
+++ b/packages/entry/src/ownership/ownership-writer.ts
@@ -1,4 +1,7 @@
-/** Conditional updates of the ownership object; the answer of an update may be lost. */
+/**
+ * Reads the ownership object from the store and changes it by conditional updates, each of which succeeds only if the
+ * stored version is still the one that was read. The store's answer to an update may be lost.
+ */
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Clock, ObjectStore, StoredObject } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
@@ -9,16 +12,18 @@
 import type { OwnershipObject } from './ownership-object.js'
 import type { OwnershipChange } from './ownership-plan.js'
 
+/** Delays between reads after the answer to a write was lost, in milliseconds. */
 const BACKOFF = { first: 100, largest: 5_000 }
+/** Maximum number of attempts of one update, which is attempted again after a version conflict or a lost answer. */
 const MAXIMUM_CONFLICTS = 8
 
-/** Both clocks read at one moment, in milliseconds. */
+/** The monotonic clock and the wall clock, read at one moment, in milliseconds. */
 export interface ClockReading {
   readonly monotonic: number
   readonly wall: number
 }
 
-/** What the writer uses of the ownership that it belongs to. */
+/** Dependencies of the writer; the callbacks give access to the latest state that this instance knows. */
 export interface OwnershipWriterDependencies {
   readonly store: ObjectStore
   readonly clock: Clock
@@ -39,6 +44,7 @@
   /** Whether the last call to the store was answered. */
   storeReachable = true
   private readonly dependencies: OwnershipWriterDependencies
+  /** The last write, while it is not known whether that write took effect. */
   private pending: OwnershipObject | undefined
   private lastOperation: Promise<unknown> = Promise.resolve()
 
@@ -47,12 +53,12 @@
     this.dependencies = dependencies
   }
 
-  /** @returns the sequence of a write that may or may not have taken effect, 0 when there is none */
+  /** @returns the sequence of a write that may or may not have taken effect, 0 when there is no such write */
   pendingSequence (): number {
     return this.pending?.sequence ?? 0
   }
 
-  /** Reads the object and applies it. */
+  /** Reads the ownership object from the store and applies the state that was read. */
   async read (): Promise<Result<void, LimpetwinchError>> {
     return await this.runExclusively(async () => (await this.readOnce()).map(() => undefined))
   }
--- a/packages/entry/src/ownership/ownership.ts
+++ b/packages/entry/src/ownership/ownership.ts
@@ -6,15 +6,21 @@
   readonly endpoint: EndpointId
   readonly owner: InstanceId
   readonly token: FencingToken
-  /** Token of the earlier owner after a planned hand-over, whose loaded names and pins the new owner keeps; otherwise undefined. */
+  /**
+   * After a planned hand-over, the fencing token of the earlier owner; otherwise undefined. The new owner then keeps the
+   * adapters that the earlier owner had loaded, and the pins of the requests that the earlier owner had admitted.
+   */
   readonly handedOverFrom: FencingToken | undefined
 }
 
 /** Operations that this instance may currently perform on an endpoint that it owns. */
 export interface OwnerRights {
-  /** Whether it may order loads into free slots and admit requests. */
+  /** Whether this instance may order loads into free slots and admit requests. */
   readonly mayAdmit: boolean
-  /** Whether it may order unloads: each earlier pin is known or has ended, and its ownership is confirmed. */
+  /**
+   * Whether this instance may order unloads: it may admit requests, each request that an earlier owner admitted is known
+   * or has ended, and recent evidence shows that no other instance has written a newer ownership state.
+   */
   readonly mayEvict: boolean
 }
 
--- a/packages/entry/src/ownership/remote-ownership.ts
+++ b/packages/entry/src/ownership/remote-ownership.ts
@@ -1,14 +1,15 @@
-/** Endpoint owners in other data centres, read from the store on demand. */
+/** Owners of endpoints in other (remote) data centres. Their ownership objects are read from the store on demand. */
 import type { Clock, DataCentreId, EndpointId, ObjectStore } from '@limpetwinch/core'
 import { isNewer, ownershipPath, parseOwnership } from './ownership-object.js'
 import type { OwnershipObject } from './ownership-object.js'
 import type { OwnershipRecord } from './ownership.js'
 
+/** Minimum interval between reads of the ownership object of one data centre. */
 const READ_INTERVAL_MILLISECONDS = 10_000
 
 /**
- * Ownership objects of other data centres. They may be stale by up to ten seconds; an instance that no longer owns an
- * endpoint refuses requests for it with `not-owner`.
+ * Ownership objects of other data centres. A lookup reads an object again when its last read is ten seconds old, so a
+ * record may be stale. An instance that no longer owns an endpoint refuses requests for that endpoint with `not-owner`.
  */
 export class RemoteOwnership {
   private readonly store: ObjectStore
@@ -48,7 +49,7 @@
 
   private async readOnce (dataCentre: DataCentreId): Promise<void> {
     const stored = await this.store.get(ownershipPath(dataCentre))
-    // During an outage of the store the last known state stays in use; an instance that is not the owner says so itself.
+    // During an outage of the store the last known state stays in use; an instance that is not the owner refuses requests.
     const object = stored.isOk() ? parseOwnership(stored.value?.value) : undefined
     if (object !== undefined) this.applyIfNewer(object)
   }
--- a/packages/entry/src/ownership/store-ownership.ts
+++ b/packages/entry/src/ownership/store-ownership.ts
@@ -17,16 +17,23 @@
 import type { OwnerRights, OwnershipRecord } from './ownership.js'
 import { RemoteOwnership } from './remote-ownership.js'
 
+/** Maximum interval between checks whether to read the store or to propose a take-over; a change triggers a check at once. */
 const TICK_INTERVAL_MILLISECONDS = 200
+/** Minimum interval between reads of the store; random jitter makes it up to twice as long. */
 const READ_INTERVAL_MILLISECONDS = 1_000
+/** How long a heartbeat may have announced a newer state that has not arrived, before this instance reads the store. */
 const MAXIMUM_LAG_MILLISECONDS = 1_500
+/** Maximum number of instances that send the ownership object to one lagging peer. */
 const MAXIMUM_FORWARDERS = 2
 
-/** How far the recovery of an endpoint has got; before it has begun, the owner may neither admit nor evict. */
+/**
+ * How far the recovery of an endpoint has got: the new owner finds out which requests of earlier owners still run there.
+ * Before the recovery has begun, the owner may neither admit nor evict.
+ */
 export interface RecoveryStatus {
   /** Whether the engine has received this record's token; always true for an engine that ignores tokens. */
   readonly fenced: boolean
-  /** Whether each earlier pin is known or has ended. */
+  /** Whether each request that an earlier owner admitted is known to this instance or has ended. */
   readonly recovered: boolean
 }
 
@@ -41,7 +48,10 @@
   readonly clock?: Clock
   /** Returns a uniformly distributed number from 0 to 1. */
   readonly random?: () => number
-  /** How much later each following rank proposes a take-over, so that the loss of the first proposer does not block it. */
+  /**
+   * Instances propose a take-over in the order of their rank among the alive members of the data centre. This is the delay
+   * from one rank to the next; the loss of the first proposer therefore does not block the take-over.
+   */
   readonly rankDelayMilliseconds?: number
   /**
    * How long an owner must have been lost before its endpoints are taken over; longer than a heartbeat interval. An
@@ -49,7 +59,10 @@
    * looks to this instance as if only the first peer had been lost.
    */
   readonly takeOverDelayMilliseconds?: number
-  /** Interval between checks whether the store was restored to an older state; longer for each following rank. */
+  /**
+   * Mean interval between checks whether the store was restored to an older state, for the instance that ranks first among
+   * the alive members of the data centre. The second has twice this interval, the third three times, and so on.
+   */
   readonly storeCheckIntervalMilliseconds?: number
   /** How long evidence that no newer state exists stays valid. */
   readonly confirmationValidMilliseconds?: number
@@ -71,6 +84,7 @@
   private readonly remote: RemoteOwnership
   private readonly listeners: (() => void)[] = []
   private readonly wake = new Wake()
+  /** Sequence that each peer announced in its last heartbeat. */
   private readonly lastAnnounced = new Map<InstanceId, number>()
   private latestKnown: OwnershipObject
   private byEndpoint: ReadonlyMap<EndpointId, OwnershipRecord> = new Map()
@@ -78,9 +92,13 @@
   private hasReadStore = false
   /** Whether the store held an older state than the one known to this instance. */
   private restoreNeeded = false
+  /** Monotonic time before which the store is not read again, in milliseconds. */
   private nextReadAt = 0
+  /** Monotonic time of the next check whether the store was restored, in milliseconds. */
   private nextCheckAt = 0
+  /** Monotonic time since which a peer has announced a newer state than this instance knows, in milliseconds. */
   private behindSince: number | undefined
+  /** Monotonic time since which a write of owners has been needed, in milliseconds. */
   private proposalNeededSince: number | undefined
 
   /** @param options - dependencies and times */
@@ -131,7 +149,7 @@
 
   /** @returns the sequence to announce in heartbeats: the latest known one, or the one of a pending write */
   announcedVersion (): number {
-    // A write with a lost answer may already have taken effect; a lower number would confirm an owner that it replaced.
+    // A write with a lost answer may already have taken effect; a lower number would confirm an owner that this write replaced.
     return Math.max(this.latestKnown.sequence, this.writer.pendingSequence())
   }
 
@@ -171,7 +189,7 @@
     return this.confirmation.holds(this.latestKnown.sequence, this.others())
   }
 
-  /** @returns endpoints that this instance should hand over because it owns far more than its share */
+  /** @returns endpoints that this instance should hand over because it owns more than the maximum share of one owner */
   surplus (): readonly EndpointId[] {
     const planInput = this.planInput()
     if (planInput === undefined) return []
@@ -294,6 +312,7 @@
       .map((member) => member.instance)
   }
 
+  /** @returns position of this instance in the rendezvous hashing of the data centre's alive members; 0 is the first */
   private rank (): number {
     const ranked = rendezvousRank(`ownership ${this.peers.self.dataCentre}`, this.alive())
     return Math.max(0, ranked.indexOf(this.peers.self.instance))
@@ -309,7 +328,10 @@
     this.lastAnnounced.set(from, announced)
   }
 
-  /** Sends the object to a peer that lags for two heartbeats; only the first-ranked instances do so, not all of them. */
+  /**
+   * Sends the ownership object to a peer whose last two heartbeats announced the same sequence, older than the one known
+   * here. Not all instances send it, only the two that rendezvous hashing ranks first for this peer.
+   */
   private updateLaggingPeer (peer: InstanceId, announced: number): void {
     if (announced >= this.latestKnown.sequence || this.lastAnnounced.get(peer) !== announced) return
     const senders = rendezvousRank(peer, this.alive().filter((instance) => instance !== peer)).slice(0, MAXIMUM_FORWARDERS)
--- a/packages/entry/src/peers/connection-table.ts
+++ b/packages/entry/src/peers/connection-table.ts
@@ -9,7 +9,7 @@
  */
 export class ConnectionTable {
   private readonly connections = new Map<InstanceId, readonly PeerConnection[]>()
-  /** Time of the last frame on connections that have ended. */
+  /** Monotonic time of the last frame from each peer on connections that have ended, in milliseconds. */
   private readonly endedContactAt = new Map<InstanceId, number>()
   private readonly wakes = new Map<InstanceId, Wake>()
 
--- a/packages/entry/src/peers/frame-codec.ts
+++ b/packages/entry/src/peers/frame-codec.ts
@@ -1,4 +1,7 @@
-/** Encodes and decodes frames: a length of four bytes, then a CBOR array of the number of the kind and the fields. */
+/**
+ * Encodes and decodes frames, the messages between instances. A frame starts with the length of its body, in four bytes.
+ * The body is a CBOR array: the number of the frame's kind, then the fields.
+ */
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { FrameKind, PeerFrame } from '@limpetwinch/core'
 import { Encoder } from 'cbor-x'
@@ -9,6 +12,7 @@
 /** Maximum size of a frame's body in bytes: the platform's largest value, one megabyte, with ample room for the fields around it. */
 export const MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
 
+/** Size of the length in front of each body. */
 const LENGTH_BYTES = 4
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true })
@@ -23,7 +27,7 @@
  * Encodes a frame. Fields are identified by position and not by name, which reduces a heartbeat to a third of its size.
  *
  * @param frame - the frame to encode
- * @returns the length and the body of the frame, or `bad-frame` when it is too large
+ * @returns the length and the body of the frame, or `bad-frame` when the frame is too large
  */
 export function encodeFrame (frame: PeerFrame): Result<Buffer, LimpetwinchError> {
   const fields = frame as unknown as Record<string, unknown>
@@ -40,6 +44,7 @@
   private unread: Buffer = Buffer.alloc(0)
   private chunks: Buffer[] = []
   private buffered = 0
+  /** Number of buffered bytes at which the next length or the next whole frame can be read. */
   private needed = LENGTH_BYTES
 
   /**
--- a/packages/entry/src/peers/frame-counter.ts
+++ b/packages/entry/src/peers/frame-counter.ts
@@ -1,4 +1,4 @@
-/** Counts frames and bytes by kind in both directions, to check the budget of control traffic. */
+/** Counts sent and received frames and their bytes by kind, to check the traffic between instances against its budget. */
 import type { FrameKind } from '@limpetwinch/core'
 import type { FrameCounts } from './peer-network.js'
 
@@ -9,11 +9,11 @@
   bytesReceived: number
 }
 
-/** Counts of frames, bytes and connection faults since the start. */
+/** Counts of frames, bytes and connection faults since this instance started. */
 export class FrameCounter {
-  /** Frames that failed validation, and handshakes that failed; each closes its connection, except for a forwarded frame. */
+  /** Invalid frames, and failed handshakes of accepted connections. Each ends its connection, except an invalid forwarded frame. */
   badFrames = 0
-  /** Connections closed because no frame had arrived for too long. */
+  /** Connections closed because no frame had arrived for three heartbeat intervals. */
   silentConnections = 0
   /** One-way messages dropped because a send queue was full or no connection was available. */
   droppedNotices = 0
--- a/packages/entry/src/peers/frame-schemas.ts
+++ b/packages/entry/src/peers/frame-schemas.ts
@@ -7,7 +7,10 @@
 const count = z.int().min(0)
 const errorNames = Object.keys(ERRORS) as [ErrorName, ...ErrorName[]]
 
-/** A newer release may send an error that this release does not know; whether the work was run is still valid then. */
+/**
+ * A newer release may send an error that this release does not know. The field `outcome`, which says whether the work was
+ * run, is still valid then.
+ */
 const errorName = z.enum(errorNames).catch('bad-frame')
 
 const errorBody = {
--- a/packages/entry/src/peers/handshake.ts
+++ b/packages/entry/src/peers/handshake.ts
@@ -11,7 +11,7 @@
 import { framesOf } from './peer-connection.js'
 import type { PeerIdentity } from './peer-links.js'
 
-/** Result of a handshake, after which both sides know each other. */
+/** Result of a handshake, after which each side knows the identity of the other. */
 export interface HandshakeResult {
   readonly hello: HelloFrame
   /** The frames that the peer sends after its hello. */
--- a/packages/entry/src/peers/heartbeat-tracker.ts
+++ b/packages/entry/src/peers/heartbeat-tracker.ts
@@ -31,7 +31,7 @@
     return { kind: 'heartbeat', sequence: this.sequence, echo: this.lastReceived, ...body }
   }
 
-  /** Records a received heartbeat. @returns the heartbeat with the time at which the heartbeat that it echoes was sent */
+  /** Records a received heartbeat. @returns the received heartbeat, and when this instance sent the one that it echoes */
   heard (frame: HeartbeatFrame): ReceivedHeartbeat {
     this.lastReceived = frame.sequence
     return { frame, echoedSentAt: this.sent.find((sent) => sent.sequence === frame.echo) }
--- a/packages/entry/src/peers/peer-dialler.ts
+++ b/packages/entry/src/peers/peer-dialler.ts
@@ -11,7 +11,9 @@
 
 /** Delays between attempts to dial, in heartbeat intervals. */
 const BACKOFF = { first: 0.05, largest: 2 }
+/** How long a connection on demand stays open without any frame other than heartbeats. */
 const IDLE_TIMEOUT_MILLISECONDS = 60_000
+/** Maximum interval between checks whether to dial or to close an idle connection; a change triggers a check at once. */
 const CHECK_INTERVAL_MILLISECONDS = 5_000
 
 /** What a dialler uses of the network. */
@@ -34,9 +36,9 @@
   private readonly stopping = new AbortController()
   private isRequested = false
   /**
-   * Whether another process answered at the target's address: the target has ended and will not come back. Dialling it
-   * again until the list names the new process would, after a restart of a whole fleet, take processor time from the first
-   * requests at both ends.
+   * Whether another process answered at the target's address: the target has ended and will not come back. Dialling the
+   * target again until the platform's list names the new process would, after a restart of a whole fleet, take processor
+   * time from the first requests at both ends.
    */
   private isReplaced = false
 
@@ -82,7 +84,7 @@
     }
   }
 
-  /** Usually both sides know each other; the one with the higher id dials first, so that a pair rarely has two connections. */
+  /** Usually each side has the other as a target; the one with the higher id dials first, so that a pair rarely has two connections. */
   private async waitForIncomingConnection (signal: AbortSignal): Promise<void> {
     if (this.target.dialsBack === false || this.dependencies.self.instance > this.target.instance) return
     const until = this.dependencies.connection.clock.now() + 2 * this.dependencies.intervalMilliseconds
@@ -121,8 +123,9 @@
     const handshakeResult = await handshake(socket.value, self, true, limit, counter)
     if (handshakeResult.isErr()) return this.failed()
     const { hello, frames } = handshakeResult.value
-    // Another process listens at the address now. Frames for the earlier process must not reach it, since it would take
-    // an old call for one of its own. Once the list names its id, it is dialled as a target of its own.
+    // Another process listens at the address now. Frames for the earlier process must not reach it, since the new process
+    // would take an old call for one of its own. Once the platform's list names the new process, that process is
+    // dialled as a target of its own.
     if (hello.instance !== this.target.instance || signal.aborted) {
       socket.value.destroy()
       if (!signal.aborted) {
--- a/packages/entry/src/peers/peer-links.ts
+++ b/packages/entry/src/peers/peer-links.ts
@@ -11,7 +11,7 @@
   readonly address: string
   /** Whether to keep a connection at all times; otherwise the target is dialled when a frame has to be sent. */
   readonly keep: boolean
-  /** Whether the target also dials this instance; true by default. Of the two, the one with the higher id dials first. */
+  /** Whether the target also dials this instance; true by default. Of two such instances, the one with the higher id dials first. */
   readonly dialsBack?: boolean
 }
 
@@ -25,7 +25,7 @@
 /** What an instance announces about itself in each heartbeat. */
 export type HeartbeatBody = Omit<HeartbeatFrame, 'kind' | 'sequence' | 'echo'>
 
-/** A received heartbeat with the time after which it was created. */
+/** A received heartbeat, with a time on this instance's clocks before which the peer cannot have created it. */
 export interface ReceivedHeartbeat {
   readonly frame: HeartbeatFrame
   /**
@@ -36,7 +36,10 @@
   readonly echoedSentAt: { readonly monotonic: number, readonly wall: number } | undefined
 }
 
-/** Evidence that an instance has ended, available before the platform's list shows it. */
+/**
+ * Evidence that an instance has ended, available before the platform's list shows the end: its address refused a
+ * connection, or another process answered there.
+ */
 export type EndEvidence = 'refused' | 'replaced'
 
 /** A {@link PeerNetwork} with the operations that membership and ownership need. */
--- a/packages/entry/src/peers/peer-network.ts
+++ b/packages/entry/src/peers/peer-network.ts
@@ -13,7 +13,7 @@
 /** A one-way message: a frame that gets no reply. */
 export type NoticeFrame = Exclude<PeerFrame, CallFrame | ReplyFrame | { kind: 'hello' }>
 
-/** Frames and bytes by kind in both directions, for the budget of control traffic. */
+/** Sent and received frames and bytes by kind, to check the traffic between instances against its budget. */
 export type FrameCounts = Readonly<Partial<Record<FrameKind, {
   readonly sent: number, readonly received: number, readonly bytesSent: number, readonly bytesReceived: number
 }>>>
@@ -40,7 +40,7 @@
   /** Adds a handler for one-way messages of one kind. */
   abstract onNotice<Kind extends NoticeFrame['kind']> (kind: Kind, handler: (from: InstanceId, frame: FrameOf<Kind>) => void): void
 
-  /** Sets the handler for calls of one kind, which resolves to the reply. Its signal is aborted when the connection ends. */
+  /** Sets the handler for calls of one kind; the handler resolves to the reply. Its signal is aborted when the connection ends. */
   abstract onCall<Kind extends CallFrame['kind']> (
     kind: Kind,
     handler: (from: InstanceId, frame: FrameOf<Kind>, signal: AbortSignal) => Promise<ReplyBody>
--- a/packages/entry/src/peers/tcp-peer-network.ts
+++ b/packages/entry/src/peers/tcp-peer-network.ts
@@ -21,10 +21,11 @@
 import type { CallBody, CallFrame, FrameCounts, NoticeFrame, ReplyBody, ReplyFrame } from './peer-network.js'
 
 /**
- * Factor by which heartbeats to another data centre are rarer by default: instances there do not take over the endpoints
- * of this instance.
+ * Default factor by which the interval between heartbeats to other data centres is longer than the one inside the data
+ * centre: instances of other data centres do not take over the endpoints of this instance.
  */
 const DEFAULT_REMOTE_HEARTBEAT_FACTOR = 5
+/** Maximum number of one-way messages to all peers together that wait for a connection; any further one is dropped. */
 const MAXIMUM_WAITING_NOTICES = 1_000
 const NEVER_ABORTED = new AbortController().signal
 // All calls of an instance to itself listen to this signal, so Node's default warning limit for listeners is too low.
@@ -42,7 +43,10 @@
   readonly random?: () => number
   /** Interval between heartbeats inside the data centre; a connection is unresponsive after three intervals without a frame. */
   readonly heartbeatMilliseconds?: number
-  /** Factor by which heartbeats to other data centres are rarer; 1 where instances of different data centres may replace each other. */
+  /**
+   * Factor by which the interval between heartbeats to other data centres is longer; 1 where instances of different data
+   * centres may replace each other.
+   */
   readonly remoteHeartbeatFactor?: number
 }
 
@@ -293,7 +297,7 @@
     return await connection.call(body, { timeoutMilliseconds: left, signal })
   }
 
-  /** Requests a connection from the dialler of the peer and waits until it is open or the time is over. */
+  /** Requests a connection from the dialler of the peer and waits until the connection is open or the time is over. */
   private async waitForConnection (to: InstanceId, milliseconds: number, signal?: AbortSignal): Promise<PeerConnection | undefined> {
     const dialler = this.diallers.get(to)
     if (dialler === undefined) return undefined
