--- a/packages/load/src/bench/control/control-deployment.ts
+++ b/packages/load/src/bench/control/control-deployment.ts
@@ -13,7 +13,7 @@
 
 const resolveFrom = createRequire(import.meta.url)
 const DATA_CENTRE = 'north'
-const START_MILLISECONDS = 60_000
+const START_TIMEOUT_MILLISECONDS = 60_000
 
 const listeningLine = z.object({ listening: z.string() })
 const entryLine = z.object({ listening: z.object({ caller: z.string(), admin: z.string(), peer: z.string() }), instance: z.string() })
@@ -78,7 +78,7 @@
 
   /** Ends all processes; a stopped one is let go on first, or it would not end. */
   async stop (): Promise<void> {
-    for (const { launched } of this.entries) signalTo(launched, 'SIGKILL')
+    for (const { launched } of this.entries) sendSignal(launched, 'SIGKILL')
     for (const launched of [...this.processes].reverse()) await launched.stop()
     await rm(this.folder, { recursive: true, force: true })
   }
@@ -104,13 +104,13 @@
     const script = join(dirname(resolveFrom.resolve(packageName)), 'bin', `${binary}.js`)
     const launched = new LaunchedProcess({ name, script, scriptArguments }, () => undefined, () => undefined)
     this.processes.push(launched)
-    const line = await launched.untilReady(START_MILLISECONDS)
+    const line = await launched.untilReady(START_TIMEOUT_MILLISECONDS)
     return line.isErr() ? err(line.error) : ok({ launched, line: schema.parse(line.value) })
   }
 }
 
 /** Sends a signal to a process that this bench started. */
-export function signalTo (launched: LaunchedProcess, signal: NodeJS.Signals): void {
+export function sendSignal (launched: LaunchedProcess, signal: NodeJS.Signals): void {
   if (launched.processId === undefined) return
   try {
     process.kill(launched.processId, signal)
--- a/packages/load/src/bench/control/control-phases.ts
+++ b/packages/load/src/bench/control/control-phases.ts
@@ -1,13 +1,13 @@
 /** The figures of the control bench. */
 import { setTimeout as sleep } from 'node:timers/promises'
-import { signalTo } from './control-deployment.js'
+import { sendSignal } from './control-deployment.js'
 import type { ControlDeployment, InstanceStatus, RunningEntry } from './control-deployment.js'
 
-const LOOK_MILLISECONDS = 20
-const LONGEST_MILLISECONDS = 60_000
+const POLL_INTERVAL_MILLISECONDS = 20
+const MAXIMUM_WAIT_MILLISECONDS = 60_000
 
 /** Control traffic and calls at rest, for each instance and second unless said otherwise. */
-export interface RestFigures {
+export interface IdleFigures {
   readonly bytesPerSecond: number
   readonly bytesPerSecondByKind: Readonly<Record<string, number>>
   /** Share of one core, reports of engines included. */
@@ -23,7 +23,7 @@
  *
  * @param seconds - how long
  */
-export async function measureRest (deployment: ControlDeployment, seconds: number): Promise<RestFigures> {
+export async function measureIdle (deployment: ControlDeployment, seconds: number): Promise<IdleFigures> {
   const before = await sample(deployment)
   await sleep(1_000 * seconds)
   const after = await sample(deployment)
@@ -44,14 +44,14 @@
 }
 
 /** @returns milliseconds until every other instance holds a silent one for suspect; it is let go on afterwards */
-export async function measureSilence (deployment: ControlDeployment): Promise<number | undefined> {
+export async function measureUnresponsiveInstance (deployment: ControlDeployment): Promise<number | undefined> {
   const [silent, ...others] = deployment.entries
   if (silent === undefined) return undefined
-  signalTo(silent.launched, 'SIGSTOP')
-  const taken = await timeUntil(async () => await everyOne(deployment, others, (status) =>
+  sendSignal(silent.launched, 'SIGSTOP')
+  const taken = await timeUntil(async () => await everyStatus(deployment, others, (status) =>
     status.members.some((member) => member.instance === silent.instance && member.state === 'suspect')))
-  signalTo(silent.launched, 'SIGCONT')
-  await timeUntil(async () => await everyOne(deployment, others, (status) =>
+  sendSignal(silent.launched, 'SIGCONT')
+  await timeUntil(async () => await everyStatus(deployment, others, (status) =>
     status.members.some((member) => member.instance === silent.instance && member.state === 'alive')))
   return taken
 }
@@ -64,7 +64,7 @@
   const killed = deployment.entries.find((entry) => owned.some((endpoint) => endpoint.owner === entry.instance))
   const watcher = deployment.entries.find((entry) => entry !== killed)
   if (killed === undefined || watcher === undefined) return undefined
-  signalTo(killed.launched, 'SIGKILL')
+  sendSignal(killed.launched, 'SIGKILL')
   return await timeUntil(async () => {
     const { endpoints } = await deployment.status(watcher)
     return endpoints.every((endpoint) => endpoint.owner !== undefined && endpoint.owner !== killed.instance && endpoint.healthy)
@@ -83,7 +83,7 @@
   return { at: performance.now(), bytesByKind, processorMicroseconds: used.reduce((sum, one) => sum + one, 0), calls: await deployment.calls() }
 }
 
-async function everyOne (deployment: ControlDeployment, entries: readonly RunningEntry[], holds: (status: InstanceStatus) => boolean): Promise<boolean> {
+async function everyStatus (deployment: ControlDeployment, entries: readonly RunningEntry[], holds: (status: InstanceStatus) => boolean): Promise<boolean> {
   const statuses = await Promise.all(entries.map(async (entry) => await deployment.status(entry)))
   return statuses.every(holds)
 }
@@ -91,9 +91,9 @@
 /** @returns how long it took, or undefined when it did not come to pass */
 async function timeUntil (holds: () => Promise<boolean>): Promise<number | undefined> {
   const began = performance.now()
-  while (performance.now() - began < LONGEST_MILLISECONDS) {
+  while (performance.now() - began < MAXIMUM_WAIT_MILLISECONDS) {
     if (await holds()) return performance.now() - began
-    await sleep(LOOK_MILLISECONDS)
+    await sleep(POLL_INTERVAL_MILLISECONDS)
   }
   return undefined
 }
--- a/packages/load/src/bench/path/bare-relay.ts
+++ b/packages/load/src/bench/path/bare-relay.ts
@@ -17,7 +17,7 @@
   constructor (engine: string) {
     this.engine = engine
     this.server = createServer((incoming, outgoing) => {
-      void this.pass(incoming, outgoing).catch(() => { outgoing.destroy() })
+      void this.forward(incoming, outgoing).catch(() => { outgoing.destroy() })
     })
   }
 
@@ -34,7 +34,7 @@
     await this.agent.destroy()
   }
 
-  private async pass (incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
+  private async forward (incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
     if (incoming.url === USAGE_PATH) {
       const { user, system } = process.cpuUsage()
       outgoing.end(JSON.stringify({ processorMicroseconds: user + system }))
--- a/packages/load/src/bench/path/bench-deployment.ts
+++ b/packages/load/src/bench/path/bench-deployment.ts
@@ -28,7 +28,7 @@
 
 const resolveFrom = createRequire(import.meta.url)
 const DATA_CENTRE = 'north'
-const START_MILLISECONDS = 60_000
+const START_TIMEOUT_MILLISECONDS = 60_000
 const STEP_MILLISECONDS = 2
 
 const relayUsageSchema = z.object({ processorMicroseconds: z.number() })
@@ -128,7 +128,7 @@
     const pass = (line: string): void => { process.stderr.write(`[${name}] ${line}\n`) }
     const launched = new LaunchedProcess({ name, script, scriptArguments }, (reason) => pass(`ended unexpectedly with ${reason}`), pass)
     this.processes.push(launched)
-    const line = await launched.untilReady(START_MILLISECONDS)
+    const line = await launched.untilReady(START_TIMEOUT_MILLISECONDS)
     return line.isErr() ? err(line.error) : ok(schema.parse(line.value))
   }
 }
--- a/packages/load/src/bench/path/bench-settings.ts
+++ b/packages/load/src/bench/path/bench-settings.ts
@@ -11,7 +11,7 @@
 export const LOADED_MODELS: readonly string[] = ['team-0/adapter-0@1', 'team-0/adapter-1@1', 'team-0/adapter-2@1', 'team-0/adapter-3@1']
 
 /** A team's object must stay below the store's megabyte. */
-const ADAPTERS_IN_TEAM = 1000
+const ADAPTERS_PER_TEAM = 1000
 const NO_LIMIT = 1_000_000_000
 
 /**
@@ -21,10 +21,10 @@
  * @returns the settings by path
  */
 export function benchSettings (key: DevelopmentKey, adapters: number, engines: readonly string[]): SettingsFile[] {
-  const teams = Math.ceil(adapters / ADAPTERS_IN_TEAM)
+  const teams = Math.ceil(adapters / ADAPTERS_PER_TEAM)
   const files = [{ path: '/endpoints', text: JSON.stringify({ engines: Object.fromEntries(engines.map(engineEntry)) }) }]
   for (let team = 0; team < teams; team += 1) {
-    const count = Math.min(ADAPTERS_IN_TEAM, adapters - team * ADAPTERS_IN_TEAM)
+    const count = Math.min(ADAPTERS_PER_TEAM, adapters - team * ADAPTERS_PER_TEAM)
     files.push({ path: `/teams/team-${team}`, text: JSON.stringify(teamSettings(key, count)) })
   }
   return files
--- a/packages/load/src/bench/path/load-workers.ts
+++ b/packages/load/src/bench/path/load-workers.ts
@@ -6,7 +6,7 @@
 import type { WorkerResult, WorkerSpec } from './worker-spec.js'
 
 const BINARY = fileURLToPath(new URL('../../bin/limpetwinch-load.js', import.meta.url))
-const GRACE_MILLISECONDS = 60_000
+const START_AND_STOP_ALLOWANCE_MILLISECONDS = 60_000
 
 /**
  * Runs workers side by side.
@@ -22,7 +22,7 @@
 async function runOne (spec: WorkerSpec, name: string): Promise<Result<WorkerResult, LimpetwinchError>> {
   const launch = { name, script: BINARY, scriptArguments: ['bench', 'worker', '--spec', JSON.stringify(spec)] }
   const worker = new LaunchedProcess(launch, () => undefined, (line) => process.stderr.write(`[${name}] ${line}\n`))
-  const line = await worker.untilReady(spec.seconds * 1000 + GRACE_MILLISECONDS)
+  const line = await worker.untilReady(spec.seconds * 1000 + START_AND_STOP_ALLOWANCE_MILLISECONDS)
   await worker.stop()
   return line.isErr() ? err(line.error) : ok(line.value as WorkerResult)
 }
--- a/packages/load/src/bench/path/memory-phase.ts
+++ b/packages/load/src/bench/path/memory-phase.ts
@@ -7,15 +7,15 @@
 import { slopeOf } from './path-report.js'
 import type { MemorySlope } from './path-report.js'
 
-const SIZES = [3_000, 70_000, 140_000]
+const ADAPTER_COUNTS = [3_000, 70_000, 140_000]
 const SETTLE_MILLISECONDS = 4_000
 const READINGS = 5
-const PAUSE_MILLISECONDS = 500
+const READING_INTERVAL_MILLISECONDS = 500
 
 /** @returns resident memory of a fresh instance at each size, and the slope */
 export async function measureMemory (): Promise<Result<MemorySlope, LimpetwinchError>> {
   const points: { adapters: number, residentBytes: number }[] = []
-  for (const adapters of SIZES) {
+  for (const adapters of ADAPTER_COUNTS) {
     const residentBytes = await residentAt(adapters)
     if (residentBytes.isErr()) return err(residentBytes.error)
     points.push({ adapters, residentBytes: residentBytes.value })
@@ -32,7 +32,7 @@
     const readings: number[] = []
     for (let reading = 0; reading < READINGS; reading += 1) {
       readings.push((await deployment.usage()).residentBytes)
-      await sleep(PAUSE_MILLISECONDS)
+      await sleep(READING_INTERVAL_MILLISECONDS)
     }
     return ok(readings.sort((one, other) => one - other)[Math.floor(READINGS / 2)] ?? 0)
   } finally {
--- a/packages/load/src/bench/path/path-phases.ts
+++ b/packages/load/src/bench/path/path-phases.ts
@@ -3,7 +3,7 @@
 import type { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
-import type { MeasuresSummary } from '../../driving/load-measures.js'
+import type { MetricsSummary } from '../../driving/load-metrics.js'
 import type { BenchDeployment } from './bench-deployment.js'
 import { LOADED_MODELS } from './bench-settings.js'
 import { runWorkers } from './load-workers.js'
@@ -19,7 +19,7 @@
 }
 
 /** Tells how much processor time a process has used. */
-type UsageOf = () => Promise<{ readonly at: number, readonly processorMicroseconds: number }>
+type ReadUsage = () => Promise<{ readonly at: number, readonly processorMicroseconds: number }>
 
 interface MeasuredLoad {
   readonly results: readonly WorkerResult[]
@@ -32,12 +32,12 @@
 const PROMPT_TOKENS = 64
 const CALLERS = 128
 /** The compiler takes so long to see the whole path: figures of a young process are several times worse. */
-const WARM_SECONDS = 8
+const WARM_UP_SECONDS = 8
 const IDLE_SECONDS = 3
 /** Answers of the second phase are so many times longer, and as many times fewer. */
-const LONGER = 8
-const STRAIGHT_SHARE = 0.5
-const SECOND = 1_000_000
+const LONG_ANSWER_FACTOR = 8
+const STRAIGHT_RATE_SHARE = 0.5
+const MICROSECONDS_PER_SECOND = 1_000_000
 
 /** Runs phases against a started deployment. */
 export class PathPhases {
@@ -55,7 +55,7 @@
 
   /** Loads the adapters and lets the compiler see the path. */
   async warmUp (): Promise<Result<void, LimpetwinchError>> {
-    const spec = this.spec({ mode: 'closed', callers: CALLERS }, this.options.outputTokens, WARM_SECONDS)
+    const spec = this.spec({ mode: 'closed', callers: CALLERS }, this.options.outputTokens, WARM_UP_SECONDS)
     return (await runWorkers([spec])).map(() => undefined)
   }
 
@@ -71,7 +71,7 @@
       return {
         requestsPerSecond: answered / this.options.seconds,
         tokensPerSecond: sum(summaries, (summary) => summary.tokens) / this.options.seconds,
-        entryProcessorShare: microsecondsPerSecond / SECOND,
+        entryProcessorShare: microsecondsPerSecond / MICROSECONDS_PER_SECOND,
         failed: sum(summaries, failedOf)
       }
     })
@@ -79,7 +79,7 @@
 
   /** @returns first tokens both ways, and the processor phase that this load makes */
   async firstToken (requestsPerSecond: number): Promise<Result<{ comparison: FirstTokenComparison, phase: ProcessorPhase }, LimpetwinchError>> {
-    const load = { mode: 'open' as const, throughRate: requestsPerSecond, straightRate: requestsPerSecond * STRAIGHT_SHARE }
+    const load = { mode: 'open' as const, throughRate: requestsPerSecond, straightRate: requestsPerSecond * STRAIGHT_RATE_SHARE }
     return (await this.measure([this.spec(load, this.options.outputTokens)])).map((measured) => {
       const through = measured.results.map((result) => result.through)
       const [first] = measured.results
@@ -107,12 +107,12 @@
    * @returns processor time for a request and for a token
    */
   async processorCost (many: ProcessorPhase): Promise<Result<ProcessorCost, LimpetwinchError>> {
-    const idle = await this.idle()
-    const load = { mode: 'open' as const, throughRate: many.requestsPerSecond / LONGER, straightRate: 0 }
-    const measured = await this.measure([this.spec(load, this.options.outputTokens * LONGER)])
+    const idleMicrosecondsPerSecond = await this.idleMicrosecondsPerSecond()
+    const load = { mode: 'open' as const, throughRate: many.requestsPerSecond / LONG_ANSWER_FACTOR, straightRate: 0 }
+    const measured = await this.measure([this.spec(load, this.options.outputTokens * LONG_ANSWER_FACTOR)])
     if (measured.isErr()) return err(measured.error)
     const few = phaseOf(measured.value)
-    return ok({ ...solveCost(many, few, idle), idleShare: idle / SECOND, phases: [many, few] })
+    return ok({ ...solveCost(many, few, idleMicrosecondsPerSecond), idleShare: idleMicrosecondsPerSecond / MICROSECONDS_PER_SECOND, phases: [many, few] })
   }
 
   /**
@@ -122,26 +122,26 @@
    * @param many - the phase of many short answers that limpetwinch had
    * @returns its processor time for a request and for a token
    */
-  async relayCost (relay: { readonly url: string, readonly usage: UsageOf }, many: ProcessorPhase): Promise<Result<ProcessorCost, LimpetwinchError>> {
+  async relayCost (relay: { readonly url: string, readonly usage: ReadUsage }, many: ProcessorPhase): Promise<Result<ProcessorCost, LimpetwinchError>> {
     const { outputTokens } = this.options
     const warm = { mode: 'open' as const, throughRate: 0, straightRate: many.requestsPerSecond }
-    const warmed = await runWorkers([{ ...this.spec(warm, outputTokens, WARM_SECONDS), engines: [relay.url] }])
+    const warmed = await runWorkers([{ ...this.spec(warm, outputTokens, WARM_UP_SECONDS), engines: [relay.url] }])
     if (warmed.isErr()) return err(warmed.error)
-    const idle = await this.idle(relay.usage)
+    const idleMicrosecondsPerSecond = await this.idleMicrosecondsPerSecond(relay.usage)
     const phases: ProcessorPhase[] = []
-    for (const longer of [1, LONGER]) {
+    for (const longer of [1, LONG_ANSWER_FACTOR]) {
       const load = { mode: 'open' as const, throughRate: 0, straightRate: many.requestsPerSecond / longer }
       const measured = await this.measure([{ ...this.spec(load, outputTokens * longer), engines: [relay.url] }], relay.usage)
       if (measured.isErr()) return err(measured.error)
       phases.push(phaseOf(measured.value, 'straight'))
     }
     const [short, long] = phases as [ProcessorPhase, ProcessorPhase]
-    return ok({ ...solveCost(short, long, idle), idleShare: idle / SECOND, phases })
+    return ok({ ...solveCost(short, long, idleMicrosecondsPerSecond), idleShare: idleMicrosecondsPerSecond / MICROSECONDS_PER_SECOND, phases })
   }
 
-  private readonly entryUsage: UsageOf = async () => await this.deployment.usage()
+  private readonly entryUsage: ReadUsage = async () => await this.deployment.usage()
 
-  private async idle (usage = this.entryUsage): Promise<number> {
+  private async idleMicrosecondsPerSecond (usage = this.entryUsage): Promise<number> {
     const before = await usage()
     await sleep(IDLE_SECONDS * 1000)
     const after = await usage()
@@ -181,7 +181,7 @@
   }
 }
 
-function failedOf (summary: MeasuresSummary): number {
+function failedOf (summary: MetricsSummary): number {
   return summary.requests - (summary.outcomes.answered ?? 0)
 }
 
--- a/packages/load/src/bench/path/path-report.ts
+++ b/packages/load/src/bench/path/path-report.ts
@@ -1,5 +1,5 @@
 /** What the path bench prints. */
-import type { TimeSummary } from '../../driving/load-measures.js'
+import type { TimeSummary } from '../../driving/load-metrics.js'
 import type { Machine } from './machine.js'
 
 /** The highest rate of one instance. */
--- a/packages/load/src/bench/path/run-worker.ts
+++ b/packages/load/src/bench/path/run-worker.ts
@@ -1,6 +1,6 @@
 /** The work of one load worker. */
 import { runClosedLoop } from '../../driving/closed-loop.js'
-import { LoadMeasures } from '../../driving/load-measures.js'
+import { LoadMetrics } from '../../driving/load-metrics.js'
 import { runOpenLoop } from '../../driving/open-loop.js'
 import { RequestDriver } from '../../driving/request-driver.js'
 import { EngineTarget } from '../../targets/engine-target.js'
@@ -13,8 +13,8 @@
 
 /** @returns what was measured */
 export async function runWorker (spec: WorkerSpec): Promise<WorkerResult> {
-  const through = new LoadMeasures()
-  const straight = new LoadMeasures()
+  const through = new LoadMetrics()
+  const straight = new LoadMetrics()
   const entry = new EntryTarget(spec.entry, () => spec.key)
   const engines = spec.engines.map((url) => new EngineTarget(url))
   const throughDriver = new RequestDriver(through, undefined)
--- a/packages/load/src/bench/path/worker-spec.ts
+++ b/packages/load/src/bench/path/worker-spec.ts
@@ -1,6 +1,6 @@
 /** What a load worker is told, and what it answers. */
 import { z } from 'zod'
-import type { MeasuresSummary } from '../../driving/load-measures.js'
+import type { MetricsSummary } from '../../driving/load-metrics.js'
 
 /** The work of one process. */
 export const workerSpecSchema = z.object({
@@ -25,6 +25,6 @@
 
 /** What it measured. */
 export interface WorkerResult {
-  readonly through: MeasuresSummary
-  readonly straight: MeasuresSummary
+  readonly through: MetricsSummary
+  readonly straight: MetricsSummary
 }
--- a/packages/load/src/commands/bench/control.ts
+++ b/packages/load/src/commands/bench/control.ts
@@ -2,15 +2,15 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { Command, Flags } from '@oclif/core'
 import { ControlDeployment } from '../../bench/control/control-deployment.js'
-import { measureKilledOwner, measureRest, measureSilence } from '../../bench/control/control-phases.js'
-import type { RestFigures } from '../../bench/control/control-phases.js'
+import { measureKilledOwner, measureIdle, measureUnresponsiveInstance } from '../../bench/control/control-phases.js'
+import type { IdleFigures } from '../../bench/control/control-phases.js'
 import { describeMachine } from '../../bench/path/machine.js'
 import type { Machine } from '../../bench/path/machine.js'
 
 /** What was measured with one number of instances. */
 interface SizeFigures {
   readonly instances: number
-  readonly rest: RestFigures
+  readonly rest: IdleFigures
   /** Milliseconds; absent when it did not come to pass within a minute. */
   readonly silentPeer: number | undefined
   readonly killedOwner: number | undefined
@@ -45,8 +45,8 @@
       const started = await deployment.start(instances, engines)
       if (started.isErr()) this.error(started.error.message, { exit: 1 })
       await sleep(1_000 * settle)
-      const rest = await measureRest(deployment, seconds)
-      const silentPeer = await measureSilence(deployment)
+      const rest = await measureIdle(deployment, seconds)
+      const silentPeer = await measureUnresponsiveInstance(deployment)
       const killedOwner = await measureKilledOwner(deployment)
       return { instances, rest, silentPeer, killedOwner }
     } finally {
--- a/packages/load/src/commands/bench/policy.ts
+++ b/packages/load/src/commands/bench/policy.ts
@@ -3,9 +3,9 @@
 import { join } from 'node:path'
 import { Command, Flags } from '@oclif/core'
 import { POLICIES_UNDER_TEST } from '../../policy/policies/policies-under-test.js'
-import { USUAL_SECONDS, USUAL_SIZE, makeTraces, runPolicy } from '../../policy/policy-experiment.js'
-import { optimumOf } from '../../policy/results/clairvoyant.js'
-import type { Optimum } from '../../policy/results/clairvoyant.js'
+import { DEFAULT_TRACE_SECONDS, DEFAULT_DEPLOYMENT_SIZE, generateTraces, runPolicy } from '../../policy/policy-experiment.js'
+import { clairvoyantReferenceOf } from '../../policy/results/clairvoyant.js'
+import type { ClairvoyantReference } from '../../policy/results/clairvoyant.js'
 import { markdownOf } from '../../policy/results/markdown.js'
 import { sharePlot, stallPlot } from '../../policy/results/policy-plots.js'
 import type { RunReport } from '../../policy/results/run-report.js'
@@ -18,7 +18,7 @@
   readonly seed: number
   readonly runs: readonly RunReport[]
   /** The clairvoyant reference of each trace, when asked for. */
-  readonly optima?: Readonly<Record<string, Optimum>>
+  readonly optima?: Readonly<Record<string, ClairvoyantReference>>
 }
 
 /** Replays traces on small engines with the product's decision classes and with others. */
@@ -28,10 +28,10 @@
   static override flags = {
     seed: Flags.integer({ default: 1, description: 'Seed of the made traces.' }),
     trace: Flags.string({ description: 'Replay this file of JSON lines instead of the made traces.' }),
-    slots: Flags.integer({ default: USUAL_SIZE.slots, min: 1, description: 'Adapter slots of each engine.' }),
-    engines: Flags.integer({ default: USUAL_SIZE.engines, min: 1, description: 'Number of engines.' }),
-    'loads-per-second': Flags.string({ default: String(USUAL_SIZE.loadsPerSecond), description: 'Loads a second, one at a time.' }),
-    seconds: Flags.integer({ default: USUAL_SECONDS, min: 1, description: 'Length of the made traces.' }),
+    slots: Flags.integer({ default: DEFAULT_DEPLOYMENT_SIZE.slots, min: 1, description: 'Adapter slots of each engine.' }),
+    engines: Flags.integer({ default: DEFAULT_DEPLOYMENT_SIZE.engines, min: 1, description: 'Number of engines.' }),
+    'loads-per-second': Flags.string({ default: String(DEFAULT_DEPLOYMENT_SIZE.loadsPerSecond), description: 'Loads a second, one at a time.' }),
+    seconds: Flags.integer({ default: DEFAULT_TRACE_SECONDS, min: 1, description: 'Length of the made traces.' }),
     optimum: Flags.boolean({ default: false, description: 'Add the clairvoyant reference of each trace.' }),
     markdown: Flags.string({ description: 'Write the page of figures and its plots into this folder.' }),
     policies: Flags.string({ multiple: true, description: 'Run only policies whose name starts so.' }),
@@ -44,9 +44,9 @@
     const runs: RunReport[] = []
     const traces = this.traces(flags.seed, size, flags.seconds, flags.trace)
     for (const trace of traces) {
-      if (!chosen(flags.traces, trace.name)) continue
+      if (!matchesAnyPrefix(flags.traces, trace.name)) continue
       for (const policy of POLICIES_UNDER_TEST) {
-        if (!chosen(flags.policies, policy.name)) continue
+        if (!matchesAnyPrefix(flags.policies, policy.name)) continue
         const report = runPolicy(trace, policy)
         runs.push(report)
         this.log(line(report))
@@ -55,11 +55,11 @@
     if (flags.markdown !== undefined) this.writePage(flags.markdown, flags.seed, traces, runs)
     const document = { bench: 'policy', seed: flags.seed, runs } as const
     if (!flags.optimum) return document
-    return { ...document, optima: Object.fromEntries(traces.map((trace) => [trace.name, optimumOf(trace)])) }
+    return { ...document, optima: Object.fromEntries(traces.map((trace) => [trace.name, clairvoyantReferenceOf(trace)])) }
   }
 
   private writePage (folder: string, seed: number, traces: readonly Trace[], runs: readonly RunReport[]): void {
-    const optima = new Map(traces.map((trace) => [trace.name, optimumOf(trace)]))
+    const optima = new Map(traces.map((trace) => [trace.name, clairvoyantReferenceOf(trace)]))
     const command = `npm run bench -- policy --seed ${seed} --markdown docs/measurements`
     mkdirSync(folder, { recursive: true })
     writeFileSync(join(folder, 'policy.md'), markdownOf({ seed, command, runs, optima }))
@@ -69,13 +69,13 @@
   }
 
   private traces (seed: number, size: Trace['size'], seconds: number, file: string | undefined): Trace[] {
-    if (file === undefined) return makeTraces(seed, size, seconds)
+    if (file === undefined) return generateTraces(seed, size, seconds)
     const trace = readTraceFile(file, size)
     return [trace.match((read) => read, (failure) => this.error(failure.message, { exit: 2 }))]
   }
 }
 
-function chosen (starts: readonly string[] | undefined, name: string): boolean {
+function matchesAnyPrefix (starts: readonly string[] | undefined, name: string): boolean {
   return starts === undefined || starts.some((start) => name.startsWith(start))
 }
 
--- a/packages/load/src/commands/check-history.ts
+++ b/packages/load/src/commands/check-history.ts
@@ -7,7 +7,7 @@
 import { FAULTS } from '../faults/kinds/index.js'
 import { MUTANT_NAMES, promiseBrokenBy } from '../faults/mutants/index.js'
 
-const LINGER_MILLISECONDS = 1_000
+const EXIT_DELAY_MILLISECONDS = 1_000
 
 /** Runs real parts under faults and checks their histories. */
 export default class CheckHistory extends Command {
@@ -39,7 +39,7 @@
     if (flags.mutant !== undefined) this.log(`mutant ${flags.mutant}: ${caught(report, flags.mutant) ? 'caught' : 'not caught'}`)
     process.exitCode = exitCodeOf(report)
     // Instances that were killed inside this process leave tasks that wait for engines which are gone.
-    setTimeout(() => process.exit(), LINGER_MILLISECONDS).unref()
+    setTimeout(() => process.exit(), EXIT_DELAY_MILLISECONDS).unref()
     return report
   }
 
--- a/packages/load/src/commands/run.ts
+++ b/packages/load/src/commands/run.ts
@@ -1,7 +1,7 @@
 /** `limpetwinch-load run`. */
 import { Command, Flags } from '@oclif/core'
-import { LoadMeasures } from '../driving/load-measures.js'
-import type { MeasuresSummary } from '../driving/load-measures.js'
+import { LoadMetrics } from '../driving/load-metrics.js'
+import type { MetricsSummary } from '../driving/load-metrics.js'
 import { runOpenLoop } from '../driving/open-loop.js'
 import { RequestDriver } from '../driving/request-driver.js'
 import { HistoryFileWriter } from '../history/index.js'
@@ -34,13 +34,13 @@
     history: Flags.string({ description: 'file to write history lines to' })
   }
 
-  override async run (): Promise<MeasuresSummary> {
+  override async run (): Promise<MetricsSummary> {
     const { flags } = await this.parse(Run)
     const trace = flags.trace === undefined ? this.draw(flags) : await this.read(flags.trace)
     const keyOf = keysFrom(flags.key)
     const targets = flags.entry.map((url) => new EntryTarget(url, keyOf))
     const writer = flags.history === undefined ? undefined : new HistoryFileWriter(flags.history)
-    const measures = new LoadMeasures()
+    const measures = new LoadMetrics()
     await runOpenLoop(trace, targets, new RequestDriver(measures, writer === undefined ? undefined : (event) => writer.write(event)))
     await Promise.all(targets.map((target) => target.close()))
     await writer?.close()
@@ -71,7 +71,7 @@
     })
   }
 
-  private print (summary: MeasuresSummary): void {
+  private print (summary: MetricsSummary): void {
     this.log(`${summary.requests} requests, ${summary.tokens} tokens, outcomes ${JSON.stringify(summary.outcomes)} ${JSON.stringify(summary.codes)}`)
     for (const name of ['lateness', 'firstToken', 'betweenTokens', 'whole'] as const) {
       const { p50, p95, p99, maximum } = summary[name]
--- a/packages/load/src/driving/load-measures.ts
+++ b/packages/load/src/driving/load-metrics.ts
@@ -13,7 +13,7 @@
 }
 
 /** The figures of a run. */
-export interface MeasuresSummary {
+export interface MetricsSummary {
   readonly requests: number
   readonly outcomes: Readonly<Record<string, number>>
   /** Failures by their code. */
@@ -26,11 +26,11 @@
   readonly whole: TimeSummary
 }
 
-const MICROSECONDS = 1000
-const LONGEST_MICROSECONDS = 3_600_000_000
+const MICROSECONDS_PER_MILLISECOND = 1000
+const MAXIMUM_RECORDED_MICROSECONDS = 3_600_000_000
 
 /** Collects the figures of one run. */
-export class LoadMeasures {
+export class LoadMetrics {
   private requests = 0
   private tokens = 0
   private readonly outcomes = new Map<string, number>()
@@ -60,7 +60,7 @@
   }
 
   /** @returns the figures so far */
-  summary (): MeasuresSummary {
+  summary (): MetricsSummary {
     return {
       requests: this.requests,
       outcomes: Object.fromEntries(this.outcomes),
@@ -75,15 +75,15 @@
 }
 
 function histogram (): Histogram {
-  return build({ lowestDiscernibleValue: 1, highestTrackableValue: LONGEST_MICROSECONDS, numberOfSignificantValueDigits: 3 })
+  return build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_RECORDED_MICROSECONDS, numberOfSignificantValueDigits: 3 })
 }
 
 function record (into: Histogram, milliseconds: number): void {
-  into.recordValue(Math.min(LONGEST_MICROSECONDS, Math.max(1, Math.round(milliseconds * MICROSECONDS))))
+  into.recordValue(Math.min(MAXIMUM_RECORDED_MICROSECONDS, Math.max(1, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
 }
 
 function summaryOf (times: Histogram): TimeSummary {
-  const at = (percentile: number): number => times.totalCount === 0 ? 0 : times.getValueAtPercentile(percentile) / MICROSECONDS
+  const at = (percentile: number): number => times.totalCount === 0 ? 0 : times.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND
   return { count: times.totalCount, p50: at(50), p95: at(95), p99: at(99), maximum: at(100) }
 }
 
--- a/packages/load/src/driving/request-driver.ts
+++ b/packages/load/src/driving/request-driver.ts
@@ -1,21 +1,21 @@
 /** Sends single requests, and notes what the caller sees in measures and history. */
 import type { HistoryEvent } from '../history/index.js'
 import type { LoadRequest, LoadTarget } from '../targets/load-target.js'
-import type { LoadMeasures } from './load-measures.js'
+import type { LoadMetrics } from './load-metrics.js'
 
 /** Takes history events; undefined where no history is wanted. */
 export type HistorySink = ((event: HistoryEvent) => void) | undefined
 
 /** Drives requests at targets. */
 export class RequestDriver {
-  private readonly measures: LoadMeasures
+  private readonly measures: LoadMetrics
   private readonly history: HistorySink
 
   /**
    * @param measures - where times and outcomes go
    * @param history - where events go
    */
-  constructor (measures: LoadMeasures, history: HistorySink) {
+  constructor (measures: LoadMetrics, history: HistorySink) {
     this.measures = measures
     this.history = history
   }
@@ -30,7 +30,7 @@
    */
   async drive (target: LoadTarget, request: LoadRequest, due: number): Promise<void> {
     this.measures.sent(performance.now() - due)
-    this.noteSent(target, request)
+    this.recordSent(target, request)
     let tokens = 0
     let latest = due
     const end = await target.send(request, (text) => {
@@ -44,7 +44,7 @@
     this.history?.({ event: 'request-ended', at: Date.now(), request: request.id, ...end })
   }
 
-  private noteSent (target: LoadTarget, request: LoadRequest): void {
+  private recordSent (target: LoadTarget, request: LoadRequest): void {
     const { id, team, adapter, version, idempotent, prompt, maximumTokens, seed, key } = request
     this.history?.({
       event: 'request-sent',
--- a/packages/load/src/policy/policies/baseline-eviction.ts
+++ b/packages/load/src/policy/policies/baseline-eviction.ts
@@ -88,13 +88,13 @@
 }
 
 /** Tokens of a usual request, so that a productivity can be told as requests. */
-const USUAL_TOKENS = 360
-const SOON_MILLISECONDS = 10_000
+const TYPICAL_REQUEST_TOKENS = 360
+const EVICTION_COST_HORIZON_MILLISECONDS = 10_000
 
 /** The router is told what leaves an engine, and so takes the least productive adapter of the whole data centre. */
 export class GlobalProductivityEviction extends ProductivityEviction {
   override cost (slots: readonly SlotView[], wanted: number, now: number): number {
-    const values = slots.map((slot) => this.value(slot, now) * SOON_MILLISECONDS / USUAL_TOKENS + (slot.pins > 0 ? 1 : 0))
+    const values = slots.map((slot) => this.value(slot, now) * EVICTION_COST_HORIZON_MILLISECONDS / TYPICAL_REQUEST_TOKENS + (slot.pins > 0 ? 1 : 0))
     values.sort((left, right) => left - right)
     return values[wanted] ?? Infinity
   }
--- a/packages/load/src/policy/policies/policies-under-test.ts
+++ b/packages/load/src/policy/policies/policies-under-test.ts
@@ -10,16 +10,16 @@
 import { ArrivalOrderQueue } from './baseline-queue.js'
 import { LeastLoadedRouting, StickyRouting } from './baseline-routing.js'
 
-const LOADS_REMEMBERED = 200
+const LOAD_ACCOUNTING_MEMORY = 200
 
 /** What may differ between forms of the product's own policy. */
-interface ProductForm {
+interface ProductOptions {
   readonly batchEfficiencyWeight: number
   readonly eviction?: EvictionPolicy
 }
 
 /** @returns the product's decision classes as the entry instance makes them */
-function product (size: DeploymentSize, form: ProductForm): PolicyBundle {
+function product (size: DeploymentSize, form: ProductOptions): PolicyBundle {
   const ledger = new ServiceAccounting()
   const reservedPlaces = reservedPlacesFor(form.batchEfficiencyWeight, BATCH_CAPACITY)
   return {
@@ -28,9 +28,9 @@
     loadOrder: new StallLoadOrderingPolicy(),
     makeQueue: () => new VirtualTimeFairQueue<SimulatedRequest>({ accounting: ledger, reservedPlaces }),
     loadAhead: new PopularityLoadAhead(),
-    ledger,
-    loadLedger: new ServiceAccounting({ memoryTokens: LOADS_REMEMBERED }),
-    guard: new OverloadGuard<SimulatedRequest>()
+    accounting: ledger,
+    loadAccounting: new ServiceAccounting({ memoryTokens: LOAD_ACCOUNTING_MEMORY }),
+    overloadGuard: new OverloadGuard<SimulatedRequest>()
   }
 }
 
--- a/packages/load/src/policy/policy-experiment.ts
+++ b/packages/load/src/policy/policy-experiment.ts
@@ -3,14 +3,14 @@
 import type { RunReport } from './results/run-report.js'
 import type { PolicyUnderTest } from './simulation/policy-bundle.js'
 import { Simulation } from './simulation/simulation.js'
-import { TRACE_MAKERS } from './traces/made-traces.js'
+import { TRACE_GENERATORS } from './traces/generated-traces.js'
 import type { DeploymentSize, Trace } from './traces/trace.js'
 
 /** Today's deployment. */
-export const USUAL_SIZE: DeploymentSize = { engines: 13, slots: 8, loadsPerSecond: 4 }
+export const DEFAULT_DEPLOYMENT_SIZE: DeploymentSize = { engines: 13, slots: 8, loadsPerSecond: 4 }
 
 /** Length of the made traces, seconds. */
-export const USUAL_SECONDS = 300
+export const DEFAULT_TRACE_SECONDS = 300
 
 /**
  * @param seed - of all random numbers
@@ -18,8 +18,8 @@
  * @param seconds - length of each trace
  * @returns the seven made traces
  */
-export function makeTraces (seed: number, size: DeploymentSize = USUAL_SIZE, seconds = USUAL_SECONDS): Trace[] {
-  return TRACE_MAKERS.map((make) => make({ seed, size, seconds }))
+export function generateTraces (seed: number, size: DeploymentSize = DEFAULT_DEPLOYMENT_SIZE, seconds = DEFAULT_TRACE_SECONDS): Trace[] {
+  return TRACE_GENERATORS.map((make) => make({ seed, size, seconds }))
 }
 
 /** @returns the figures of one policy on one trace */
--- a/packages/load/src/policy/results/clairvoyant.ts
+++ b/packages/load/src/policy/results/clairvoyant.ts
@@ -5,13 +5,13 @@
 import type { PercentilesAndMaximum } from './percentiles.js'
 
 /** The reference beside a trace's figures. */
-export interface Optimum {
+export interface ClairvoyantReference {
   readonly load_stall_ms: PercentilesAndMaximum
   readonly loads: number
 }
 
 /** Requests looked at ahead for the next adapter that will be wanted. */
-const LOOK_AHEAD = 3_000
+const LOOK_AHEAD_REQUESTS = 3_000
 
 /**
  * All slots of all engines are one cache, requests need no time to run, and loads run one at a time.
@@ -34,9 +34,9 @@
 
   /**
    * @param trace - the trace
-   * @param waitersPower - the load with the most age times waiters to this power goes first
+   * @param waitingCountExponent - the load with the most age times waiters to this power goes first
    */
-  constructor (private readonly trace: Trace, private readonly waitersPower: number) {
+  constructor (private readonly trace: Trace, private readonly waitingCountExponent: number) {
     this.keys = trace.requests.map(adapterKeyOf)
     this.times = trace.requests.map((request) => request.atMilliseconds)
     this.stalls = this.keys.map(() => 0)
@@ -50,7 +50,7 @@
   }
 
   /** @returns the stalls of all requests */
-  run (): Optimum {
+  run (): ClairvoyantReference {
     const loadMilliseconds = 1_000 / this.trace.size.loadsPerSecond
     const restarts = [...this.trace.restarts]
     let loadEnds = Infinity
@@ -60,7 +60,7 @@
       const now = Math.min(arrival, loadEnds)
       while ((restarts[0]?.atMilliseconds ?? Infinity) <= now) {
         restarts.shift()
-        this.loseOneEngine()
+        this.restartOneEngine()
       }
       if (loadEnds <= arrival) this.endLoad(now)
       else this.arrive(next++)
@@ -87,17 +87,17 @@
   }
 
   private chooseLoad (next: number, now: number): string | undefined {
-    const chosen = this.mostWanted(now) ?? this.nextWanted(next)
+    const chosen = this.mostUrgentLoad(now) ?? this.nextLoadAhead(next)
     if (chosen === undefined) return undefined
     this.loads += 1
     return chosen
   }
 
-  private mostWanted (now: number): string | undefined {
+  private mostUrgentLoad (now: number): string | undefined {
     let best: string | undefined
     let most = -1
     for (const [key, indexes] of this.waiting) {
-      const urgency = indexes.length ** this.waitersPower * (now - (this.times[indexes[0] as number] as number) + 1)
+      const urgency = indexes.length ** this.waitingCountExponent * (now - (this.times[indexes[0] as number] as number) + 1)
       if (urgency <= most) continue
       best = key
       most = urgency
@@ -107,12 +107,12 @@
   }
 
   /** Loads ahead only when what leaves is wanted later than what comes. */
-  private nextWanted (next: number): string | undefined {
-    for (let index = next; index < Math.min(this.keys.length, next + LOOK_AHEAD); index++) {
+  private nextLoadAhead (next: number): string | undefined {
+    for (let index = next; index < Math.min(this.keys.length, next + LOOK_AHEAD_REQUESTS); index++) {
       const key = this.keys[index] as string
       if (this.held.has(key)) continue
       if (this.held.size < this.slots) return key
-      const victim = this.farthest()
+      const victim = this.farthestNextUse()
       if (victim === undefined || this.nextUse(victim) <= index) return undefined
       this.held.delete(victim)
       return key
@@ -122,18 +122,18 @@
 
   private makeRoom (): void {
     if (this.held.size < this.slots) return
-    const victim = this.farthest()
+    const victim = this.farthestNextUse()
     if (victim !== undefined) this.held.delete(victim)
   }
 
-  private farthest (): string | undefined {
+  private farthestNextUse (): string | undefined {
     let victim: string | undefined
-    let farthest = -1
+    let farthestNextUse = -1
     for (const key of this.held) {
       const use = this.nextUse(key)
-      if (use <= farthest) continue
+      if (use <= farthestNextUse) continue
       victim = key
-      farthest = use
+      farthestNextUse = use
     }
     return victim
   }
@@ -143,22 +143,22 @@
   }
 
   /** Those wanted last are taken to have been on the engine that restarts. */
-  private loseOneEngine (): void {
+  private restartOneEngine (): void {
     const lost = this.held.size - this.trace.size.slots * (this.trace.size.engines - 1)
     for (let count = 0; count < lost; count++) {
-      const victim = this.farthest()
+      const victim = this.farthestNextUse()
       if (victim !== undefined) this.held.delete(victim)
     }
   }
 }
 
 /** From first come, first served to nothing but the number of waiters. */
-const WAITERS_POWERS: readonly number[] = [0, 0.25, 1, 4]
+const WAITING_COUNT_EXPONENTS: readonly number[] = [0, 0.25, 1, 4]
 
 /** @returns the reference for a trace: for each figure the least of all orders of loads */
-export function optimumOf (trace: Trace): Optimum {
-  const runs = WAITERS_POWERS.map((power) => new Clairvoyant(trace, power).run())
-  const least = (figure: (run: Optimum) => number) => Math.min(...runs.map(figure))
+export function clairvoyantReferenceOf (trace: Trace): ClairvoyantReference {
+  const runs = WAITING_COUNT_EXPONENTS.map((power) => new Clairvoyant(trace, power).run())
+  const least = (figure: (run: ClairvoyantReference) => number) => Math.min(...runs.map(figure))
   return {
     load_stall_ms: {
       p50: least((run) => run.load_stall_ms.p50),
--- a/packages/load/src/policy/results/markdown.ts
+++ b/packages/load/src/policy/results/markdown.ts
@@ -1,5 +1,5 @@
 /** The page of figures, made from the runs. */
-import type { Optimum } from './clairvoyant.js'
+import type { ClairvoyantReference } from './clairvoyant.js'
 import type { RunReport } from './run-report.js'
 
 /** What the page is made of. */
@@ -7,7 +7,7 @@
   readonly seed: number
   readonly command: string
   readonly runs: readonly RunReport[]
-  readonly optima: ReadonlyMap<string, Optimum>
+  readonly optima: ReadonlyMap<string, ClairvoyantReference>
 }
 
 const COLUMNS = ['policy', 'stall p50', 'p95', 'p99', 'max', 'first token p50', 'p95', 'p99', 'batch', 'batch while waiting', 'loads',
@@ -48,7 +48,7 @@
     fairness.worst_share_ratio ?? '', fairness.worst_first_token_ratio ?? ''])
 }
 
-function optimumRow (optimum: Optimum): string {
+function optimumRow (optimum: ClairvoyantReference): string {
   const { p50, p95, p99, max } = optimum.load_stall_ms
   const known = ['*clairvoyant reference*', p50, p95, p99, max, '', '', '', '', '', optimum.loads]
   return tableLine([...known, ...COLUMNS.slice(known.length).map(() => '')])
--- a/packages/load/src/policy/results/policy-check.ts
+++ b/packages/load/src/policy/results/policy-check.ts
@@ -1,6 +1,6 @@
 /** Compares the policy's figures with the committed bounds. */
 import { BASELINE_POLICIES, POLICIES_UNDER_TEST } from '../policies/policies-under-test.js'
-import { USUAL_SIZE, makeTraces, runPolicy } from '../policy-experiment.js'
+import { DEFAULT_DEPLOYMENT_SIZE, generateTraces, runPolicy } from '../policy-experiment.js'
 import type { PolicyUnderTest } from '../simulation/policy-bundle.js'
 import { CHECKED_SECONDS } from './policy-bounds.js'
 import type { CheckedFigure, PolicyBound } from './policy-bounds.js'
@@ -39,7 +39,7 @@
     const known = this.reports.get(key)
     const enough = known !== undefined && (!withControl || known.fairness.worst_first_token_ratio !== undefined)
     if (enough) return known
-    const trace = makeTraces(CHECKED_SEED, USUAL_SIZE, CHECKED_SECONDS[traceName]).find(({ name }) => name === traceName)
+    const trace = generateTraces(CHECKED_SEED, DEFAULT_DEPLOYMENT_SIZE, CHECKED_SECONDS[traceName]).find(({ name }) => name === traceName)
     if (trace === undefined) throw new Error(`A bound names the trace '${traceName}', which is not made.`)
     const { control, ...plain } = trace
     const report = runPolicy(withControl ? trace : plain, policy)
--- a/packages/load/src/policy/results/policy-plots.ts
+++ b/packages/load/src/policy/results/policy-plots.ts
@@ -15,7 +15,7 @@
   const lines = [...PRODUCT_POLICIES, ...BASELINE_POLICIES].map((policy) => {
     const result = run(trace, policy)
     const measured = result.requests.filter((request) => request.enqueuedAt >= trace.measuredFromMilliseconds)
-    return { name: policy.name, points: distributionOf(measured.map((request) => request.stallAt(result.endedAt))) }
+    return { name: policy.name, points: distributionOf(measured.map((request) => request.totalStallAt(result.endedAt))) }
   })
   return svgOf({ title: `Load stalls: ${trace.name}`, horizontal: 'share of requests with at most this stall, %', vertical: 'stall, s', lines })
 }
--- a/packages/load/src/policy/results/run-report.ts
+++ b/packages/load/src/policy/results/run-report.ts
@@ -46,7 +46,7 @@
 }
 
 /** A team that was backlogged for a moment only has too few tokens for a ratio. */
-const LEAST_FAIR_TOKENS = 5_000
+const MINIMUM_FAIR_TOKENS = 5_000
 
 /**
  * @param trace - the trace
@@ -62,7 +62,7 @@
     trace: trace.name,
     policy,
     // A request that never got its adapter counts with its wait so far.
-    load_stall_ms: percentilesOf(measured(trace, result).map((request) => request.stallAt(endedAt))),
+    load_stall_ms: percentilesOf(measured(trace, result).map((request) => request.totalStallAt(endedAt))),
     first_token_ms: { p50, p95, p99 },
     batch_efficiency: efficiency(result.steps, (counts) => counts.sequences, (counts) => counts.steps) ?? 0,
     batch_efficiency_while_waiting: efficiency(result.steps, (counts) => counts.sequencesWhileWaiting, (counts) => counts.stepsWhileWaiting),
@@ -104,7 +104,7 @@
   for (const team of teams) {
     const share = backlogged.get(team)
     const ratio = share === undefined ? null : round(share.tokens / share.fairTokens, 4)
-    const long = share !== undefined && share.fairTokens >= LEAST_FAIR_TOKENS
+    const long = share !== undefined && share.fairTokens >= MINIMUM_FAIR_TOKENS
     if (long && ratio !== null && (worst === null || Math.abs(ratio - 1) > Math.abs(worst - 1))) worst = ratio
     const own = result.requests.filter((request) => request.team === team)
     perTeam[team] = {
--- a/packages/load/src/policy/simulation/engine-view.ts
+++ b/packages/load/src/policy/simulation/engine-view.ts
@@ -6,9 +6,9 @@
 import type { SimulatedEngine } from './simulated-engine.js'
 
 /** Stands for a usual request where only its team matters. */
-const ANY_REQUEST = { cost: 360 }
+const TYPICAL_REQUEST = { cost: 360 }
 const DATA_CENTRES = 3
-const DISTANCE_MILLISECONDS = 0.5
+const REMOTE_ONE_WAY_MILLISECONDS = 0.5
 
 /** A view that is kept for the whole run; `refresh` takes a new report. */
 export class EngineView implements EndpointView {
@@ -27,7 +27,7 @@
   pendingLoads = 0
   readonly evictionCost?: () => number
   /** What a report tells of each team's place in the queue. */
-  private readonly aheadOfTeam = new Map<string, number>()
+  private readonly queuedBeforeTeam = new Map<string, number>()
 
   /**
    * @param engine - the engine that is seen
@@ -37,14 +37,14 @@
   constructor (private readonly engine: SimulatedEngine, eviction: EvictionPolicy, clock: () => number) {
     if (eviction.cost !== undefined) {
       this.evictionCost = () => {
-        const wanted = engine.wantedSlots() - engine.slots.free
+        const wanted = engine.slotsNeeded() - engine.slots.free
         return wanted < 0 ? 0 : eviction.cost?.(engine.slots.loaded(), wanted, clock()) ?? 0
       }
     }
     const place = engine.index % DATA_CENTRES
     this.endpoint = `engine-${String(engine.index).padStart(3, '0')}` as EndpointId
     this.dataCentre = `data-centre-${place}` as DataCentreId
-    this.oneWayMilliseconds = place === 0 ? 0 : DISTANCE_MILLISECONDS
+    this.oneWayMilliseconds = place === 0 ? 0 : REMOTE_ONE_WAY_MILLISECONDS
     this.slots = engine.slots.count
   }
 
@@ -55,12 +55,12 @@
   }
 
   readonly queuedBefore = (team: string): number => {
-    const known = this.aheadOfTeam.get(team)
+    const known = this.queuedBeforeTeam.get(team)
     if (known !== undefined) return known
     const { queue } = this.engine
-    const tokens = queue.tokensAhead?.({ ...ANY_REQUEST, team } as SimulatedRequest)
-    const ahead = tokens === undefined ? this.queued : Math.min(this.queued, tokens / ANY_REQUEST.cost)
-    this.aheadOfTeam.set(team, ahead)
+    const tokens = queue.tokensAhead?.({ ...TYPICAL_REQUEST, team } as SimulatedRequest)
+    const ahead = tokens === undefined ? this.queued : Math.min(this.queued, tokens / TYPICAL_REQUEST.cost)
+    this.queuedBeforeTeam.set(team, ahead)
     return ahead
   }
 
@@ -72,7 +72,7 @@
     this.queued = this.engine.queue.size
     this.running = this.engine.running.length
     this.sentSinceReport = 0
-    this.aheadOfTeam.clear()
+    this.queuedBeforeTeam.clear()
     this.pinnedSlots = this.engine.slots.pinned
     this.pendingLoads = loadsAhead
   }
--- a/packages/load/src/policy/simulation/load-pipeline.ts
+++ b/packages/load/src/policy/simulation/load-pipeline.ts
@@ -30,9 +30,9 @@
   private readonly store: SimulatedWeightStore
   private readonly failures = new Map<string, FailureRecord>()
   /** Whether something changed since no load could be found. */
-  private dirty = true
-  private wakesAt = Infinity
-  private teamsWanting: ReadonlySet<string> = new Set()
+  private changedSinceLastAttempt = true
+  private backoffTimerAt = Infinity
+  private teamsWithPendingLoads: ReadonlySet<string> = new Set()
 
   constructor (
     private readonly engines: readonly SimulatedEngine[],
@@ -47,18 +47,18 @@
 
   /** Something changed that may make a load wanted or possible. */
   changed (): void {
-    this.dirty = true
+    this.changedSinceLastAttempt = true
   }
 
   /** Begins the next load if none runs. */
   run (now: number): void {
-    while (this.dirty && this.store.active === 0) {
-      this.dirty = this.beginNext(now)
+    while (this.changedSinceLastAttempt && this.store.active === 0) {
+      this.changedSinceLastAttempt = this.beginNext(now)
     }
   }
 
   /** @returns loads wanted or under way on one engine */
-  ahead (engine: SimulatedEngine): number {
+  pendingLoads (engine: SimulatedEngine): number {
     let count = 0
     for (const adapter of engine.waitingByAdapter.keys()) {
       if (engine.slots.get(adapter)?.state !== 'loaded') count += 1
@@ -68,19 +68,19 @@
 
   private beginNext (now: number): boolean {
     const wanted = this.wanted()
-    this.tellLedger(wanted)
-    this.wakeForBackoff(wanted, now)
+    this.updateLoadAccounting(wanted)
+    this.scheduleRunAfterBackoff(wanted, now)
     while (wanted.length > 0) {
       const load = this.policy.loadOrder.next(wanted, now)
       if (load === undefined) return false
-      if (this.begin(load, now)) return true
+      if (this.tryBegin(load, now)) return true
       wanted.splice(wanted.indexOf(load), 1)
     }
-    return this.beginAhead(now)
+    return this.beginLoadAhead(now)
   }
 
   /** Fills a free slot while nobody waits for a load. */
-  private beginAhead (now: number): boolean {
+  private beginLoadAhead (now: number): boolean {
     const { loadAhead } = this.policy
     if (loadAhead === undefined) return false
     let roomiest: SimulatedEngine | undefined
@@ -91,7 +91,7 @@
     const held = (adapter: string) => this.engines.some((engine) => engine.slots.get(adapter) !== undefined)
     const adapter = loadAhead.suggest(held, now)
     if (adapter === undefined) return false
-    this.transfer(roomiest, adapter, now)
+    this.startTransfer(roomiest, adapter, now)
     return true
   }
 
@@ -111,7 +111,7 @@
           waitingSince: first.stalledSince,
           waitingRequests: waiting.size,
           highestPriority: Math.max(...[...waiting].map((request) => request.priority)),
-          shareUsed: this.policy.loadLedger?.shareUsed(first.team) ?? 1,
+          shareUsed: this.policy.loadAccounting?.shareUsed(first.team) ?? 1,
           failures: failure?.failures ?? 0,
           notBefore: failure?.notBefore ?? 0
         })
@@ -120,24 +120,24 @@
     return wanted
   }
 
-  private begin (load: LoadCandidate, now: number): boolean {
+  private tryBegin (load: LoadCandidate, now: number): boolean {
     const engine = this.engines[Number(load.endpoint)]
-    if (engine === undefined || !this.makeRoom(engine, load.adapter, now)) return false
-    this.policy.loadLedger?.charge(load.team, 1)
-    this.transfer(engine, load.adapter, now)
+    if (engine === undefined || !this.ensureFreeSlot(engine, load.adapter, now)) return false
+    this.policy.loadAccounting?.charge(load.team, 1)
+    this.startTransfer(engine, load.adapter, now)
     return true
   }
 
-  private transfer (engine: SimulatedEngine, adapter: string, now: number): void {
+  private startTransfer (engine: SimulatedEngine, adapter: string, now: number): void {
     engine.slots.reserve(adapter, engine.waitingByAdapter.get(adapter)?.size ?? 0, now)
     this.counts.loads += 1
     const epoch = engine.epoch
-    this.store.begin(now, (at) => this.ended(engine, adapter, epoch, at))
+    this.store.begin(now, (at) => this.handleTransferEnd(engine, adapter, epoch, at))
     const end = this.store.nextEnd()
     if (end !== undefined) this.events.at(end, (at) => this.store.advance(at))
   }
 
-  private makeRoom (engine: SimulatedEngine, incoming: string, now: number): boolean {
+  private ensureFreeSlot (engine: SimulatedEngine, incoming: string, now: number): boolean {
     if (engine.slots.free > 0) return true
     const slots = engine.slots.loaded()
     for (const slot of slots) slot.otherCopies = this.otherCopies(engine, slot.adapter)
@@ -157,8 +157,8 @@
     return copies
   }
 
-  private ended (engine: SimulatedEngine, adapter: string, epoch: number, now: number): void {
-    this.dirty = true
+  private handleTransferEnd (engine: SimulatedEngine, adapter: string, epoch: number, now: number): void {
+    this.changedSinceLastAttempt = true
     // The engine restarted meanwhile: the load went with all else, and its waiters want it again.
     if (engine.epoch !== epoch) return
     const key = `${engine.index} ${adapter}`
@@ -180,23 +180,23 @@
   }
 
   /** Teams whose loads wait are backlogged in the accounts of loads. */
-  private tellLedger (wanted: readonly LoadCandidate[]): void {
-    const ledger = this.policy.loadLedger
+  private updateLoadAccounting (wanted: readonly LoadCandidate[]): void {
+    const ledger = this.policy.loadAccounting
     if (ledger === undefined) return
     const teams = new Set(wanted.map((load) => load.team))
-    for (const team of teams) if (!this.teamsWanting.has(team)) ledger.arrived(team)
-    for (const team of this.teamsWanting) if (!teams.has(team)) ledger.left(team)
-    this.teamsWanting = teams
+    for (const team of teams) if (!this.teamsWithPendingLoads.has(team)) ledger.arrived(team)
+    for (const team of this.teamsWithPendingLoads) if (!teams.has(team)) ledger.left(team)
+    this.teamsWithPendingLoads = teams
   }
 
   /** A load that failed is wanted again at a time when nothing else may happen. */
-  private wakeForBackoff (wanted: readonly LoadCandidate[], now: number): void {
+  private scheduleRunAfterBackoff (wanted: readonly LoadCandidate[], now: number): void {
     let earliest = Infinity
     for (const load of wanted) if (load.notBefore > now) earliest = Math.min(earliest, load.notBefore)
-    if (earliest === Infinity || (this.wakesAt > now && this.wakesAt <= earliest)) return
-    this.wakesAt = earliest
+    if (earliest === Infinity || (this.backoffTimerAt > now && this.backoffTimerAt <= earliest)) return
+    this.backoffTimerAt = earliest
     this.events.at(earliest, (at) => {
-      this.dirty = true
+      this.changedSinceLastAttempt = true
       this.run(at)
     })
   }
--- a/packages/load/src/policy/simulation/policy-bundle.ts
+++ b/packages/load/src/policy/simulation/policy-bundle.ts
@@ -13,11 +13,11 @@
   /** Loads into free slots what nobody waits for yet. */
   readonly loadAhead?: LoadAhead
   /** Accounts of tokens that the queues share; without it the router knows no shares. */
-  readonly ledger?: ServiceAccounting
+  readonly accounting?: ServiceAccounting
   /** Accounts of loads; without it a load's order knows no shares. */
-  readonly loadLedger?: ServiceAccounting
+  readonly loadAccounting?: ServiceAccounting
   /** Refuses early; without it a request is given up at its deadline. */
-  readonly guard?: OverloadGuard<SimulatedRequest>
+  readonly overloadGuard?: OverloadGuard<SimulatedRequest>
 }
 
 /** A policy under test. */
--- a/packages/load/src/policy/simulation/service-record.ts
+++ b/packages/load/src/policy/simulation/service-record.ts
@@ -39,7 +39,7 @@
   constructor (private readonly weights: ReadonlyMap<string, number>) {}
 
   /** Counts requests that begin or cease to wait. */
-  waits (team: string, change: number): void {
+  addWaiting (team: string, change: number): void {
     this.team(team).waiting += change
   }
 
--- a/packages/load/src/policy/simulation/simulated-engine.ts
+++ b/packages/load/src/policy/simulation/simulated-engine.ts
@@ -2,7 +2,7 @@
 import type { EvictionPolicy, FairQueue } from '@limpetwinch/decisions'
 import { BATCH_CAPACITY, PROMPT_TOKENS_PER_STEP, stepMilliseconds } from './engine-timing.js'
 import { EngineSlots } from './engine-slots.js'
-import { OUTPUT_WEIGHT } from './simulated-request.js'
+import { OUTPUT_TOKEN_WEIGHT } from './simulated-request.js'
 import type { SimulatedRequest } from './simulated-request.js'
 
 /** What an engine tells the simulation. */
@@ -59,7 +59,7 @@
   }
 
   /** Notes that a request left the queue, by whatever way. */
-  noLongerWaits (request: SimulatedRequest, now: number): void {
+  recordDequeued (request: SimulatedRequest, now: number): void {
     const waiting = this.waitingByAdapter.get(request.adapter)
     waiting?.delete(request)
     if (waiting?.size === 0) this.waitingByAdapter.delete(request.adapter)
@@ -80,7 +80,7 @@
     this.count()
     let promptTokens = 0
     for (const request of this.running) {
-      if (request.promptLeft > 0) promptTokens += Math.min(request.promptLeft, PROMPT_TOKENS_PER_STEP - promptTokens)
+      if (request.promptTokensLeft > 0) promptTokens += Math.min(request.promptTokensLeft, PROMPT_TOKENS_PER_STEP - promptTokens)
     }
     return stepMilliseconds(this.running.length, promptTokens)
   }
@@ -89,19 +89,19 @@
   endStep (now: number): void {
     let promptRoom = PROMPT_TOKENS_PER_STEP
     for (const request of [...this.running]) {
-      if (request.promptLeft > 0) {
-        const read = Math.min(request.promptLeft, promptRoom)
+      if (request.promptTokensLeft > 0) {
+        const read = Math.min(request.promptTokensLeft, promptRoom)
         promptRoom -= read
-        request.promptLeft -= read
+        request.promptTokensLeft -= read
         this.serve(request, read, now)
-        if (request.promptLeft > 0) continue
+        if (request.promptTokensLeft > 0) continue
       }
       this.generate(request, now)
     }
   }
 
   /** @returns slots that adapters with waiting requests will want */
-  wantedSlots (): number {
+  slotsNeeded (): number {
     let wanted = 0
     for (const adapter of this.waitingByAdapter.keys()) if (this.slots.get(adapter) === undefined) wanted += 1
     return wanted
@@ -128,7 +128,7 @@
       if (slot === undefined) throw new Error('The queue gave a request whose adapter is not loaded.')
       slot.pins += 1
       slot.lastUsedAt = now
-      this.noLongerWaits(request, now)
+      this.recordDequeued(request, now)
       request.state = 'running'
       this.running.push(request)
     }
@@ -136,9 +136,9 @@
 
   private generate (request: SimulatedRequest, now: number): void {
     if (request.firstTokenAt < 0) request.firstTokenAt = now
-    request.outputLeft -= 1
-    this.serve(request, OUTPUT_WEIGHT, now)
-    if (request.outputLeft > 0) return
+    request.outputTokensLeft -= 1
+    this.serve(request, OUTPUT_TOKEN_WEIGHT, now)
+    if (request.outputTokensLeft > 0) return
     this.running.splice(this.running.indexOf(request), 1)
     const slot = this.slots.get(request.adapter)
     if (slot !== undefined) slot.pins -= 1
@@ -149,12 +149,12 @@
 
   /** The queue charged what was expected; what came is known now. */
   private settle (request: SimulatedRequest): void {
-    this.queue.charge(request.team, request.charged - request.cost)
-    request.charged = 0
+    this.queue.charge(request.team, request.chargedTokens - request.cost)
+    request.chargedTokens = 0
   }
 
   private serve (request: SimulatedRequest, tokens: number, now: number): void {
-    request.charged += tokens
+    request.chargedTokens += tokens
     this.listener.served(request, tokens, now)
   }
 
--- a/packages/load/src/policy/simulation/simulation.ts
+++ b/packages/load/src/policy/simulation/simulation.ts
@@ -11,7 +11,7 @@
 import { ServiceRecord } from './service-record.js'
 import { SimulatedEngine } from './simulated-engine.js'
 import type { StepCounts } from './simulated-engine.js'
-import { OUTPUT_WEIGHT, SimulatedRequest } from './simulated-request.js'
+import { OUTPUT_TOKEN_WEIGHT, SimulatedRequest } from './simulated-request.js'
 
 /** Everything counted in one run. */
 export interface SimulationResult {
@@ -31,13 +31,13 @@
   readonly requests?: readonly TraceRequest[]
 }
 
-const REPORT_MILLISECONDS = 200
+const REPORT_INTERVAL_MILLISECONDS = 200
 /** Time after the last arrival in which what waits may still be served, milliseconds. */
 const DRAIN_MILLISECONDS = 10_000
 /** The plain bound on a queue without a guard. */
-const MOST_QUEUED = 500
+const MAXIMUM_QUEUED_REQUESTS = 500
 const RATE_MEMORY_MILLISECONDS = 10_000
-const FULL_BATCH_RATE = BATCH_CAPACITY * OUTPUT_WEIGHT / stepMilliseconds(BATCH_CAPACITY, 0)
+const FULL_BATCH_RATE = BATCH_CAPACITY * OUTPUT_TOKEN_WEIGHT / stepMilliseconds(BATCH_CAPACITY, 0)
 
 /** One run. */
 export class Simulation {
@@ -51,7 +51,7 @@
   private readonly endsAt: number
   private now = 0
   /** Loads wanted or under way at the last report. */
-  private loadsAhead = 0
+  private pendingLoads = 0
 
   constructor (private readonly trace: Trace, private readonly policy: PolicyBundle, options: SimulationOptions = {}) {
     const arrivals = options.requests ?? trace.requests
@@ -68,18 +68,18 @@
     this.rates = this.engines.map(() => new ServiceRate(FULL_BATCH_RATE, RATE_MEMORY_MILLISECONDS))
     this.service = new ServiceRecord(trace.weights)
     this.loads = new LoadPipeline(this.engines, policy, this.events, {
-      loaded: (engine, now) => this.wake(engine, now)
+      loaded: (engine, now) => this.beginStepIfIdle(engine, now)
     }, trace.size.loadsPerSecond, options.loadFails ?? (() => false))
     for (const [team, weight] of trace.weights) this.setWeight(team, weight)
   }
 
   /** @returns what was counted */
   run (): SimulationResult {
-    for (const request of this.requests) this.events.at(request.enqueuedAt, (now) => this.arrives(request, now))
+    for (const request of this.requests) this.events.at(request.enqueuedAt, (now) => this.handleArrival(request, now))
     for (const { atMilliseconds, engine } of this.trace.restarts) {
       this.events.at(atMilliseconds, (now) => this.restart(this.engines[engine], now))
     }
-    this.events.at(0, (now) => this.report(now))
+    this.events.at(0, (now) => this.refreshReports(now))
     this.events.runUntil(this.endsAt)
     return {
       requests: this.requests,
@@ -92,10 +92,10 @@
 
   private setWeight (team: string, weight: number): void {
     for (const engine of this.engines) engine.queue.setWeight(team, weight)
-    this.policy.loadLedger?.setWeight(team, weight)
+    this.policy.loadAccounting?.setWeight(team, weight)
   }
 
-  private arrives (request: SimulatedRequest, now: number): void {
+  private handleArrival (request: SimulatedRequest, now: number): void {
     this.policy.loadAhead?.recordUse(request.adapter, now)
     this.route(request, now)
     this.loads.run(now)
@@ -111,8 +111,8 @@
       promptTokens: request.trace.promptTokens,
       maximumTokens: request.maximumTokens,
       priority: request.priority,
-      shareUsed: this.policy.ledger?.shareUsedAmongActive(request.team) ?? 1,
-      avoid: NONE
+      shareUsed: this.policy.accounting?.shareUsedAmongActive(request.team) ?? 1,
+      avoid: NO_ENDPOINTS
     }, this.views, now)
     const index = this.views.findIndex((view) => view.endpoint === chosen)
     const engine = this.engines[index]
@@ -124,16 +124,16 @@
   }
 
   private admit (request: SimulatedRequest, engine: SimulatedEngine, now: number): boolean {
-    if (this.policy.guard === undefined) return engine.queue.size < MOST_QUEUED
-    const decision = this.policy.guard.admit(request, engine.queue, this.forecast(request, engine), now)
-    if (decision.admitted && decision.shed !== undefined) this.giveUp(engine, decision.shed, now)
+    if (this.policy.overloadGuard === undefined) return engine.queue.size < MAXIMUM_QUEUED_REQUESTS
+    const decision = this.policy.overloadGuard.admit(request, engine.queue, this.forecast(request, engine), now)
+    if (decision.admitted && decision.shed !== undefined) this.refuseQueued(engine, decision.shed, now)
     return decision.admitted
   }
 
   private enqueue (request: SimulatedRequest, engine: SimulatedEngine, now: number): void {
     engine.enqueue(request, now)
-    this.service.waits(request.team, 1)
-    if (engine.slots.get(request.adapter)?.state === 'loaded') this.wake(engine, now)
+    this.service.addWaiting(request.team, 1)
+    if (engine.slots.get(request.adapter)?.state === 'loaded') this.beginStepIfIdle(engine, now)
     else this.loads.changed()
   }
 
@@ -143,13 +143,13 @@
     const ahead = engine.queue.tokensAhead?.(request) ?? 0
     const serviceMilliseconds = request.maximumTokens / 2 * stepMilliseconds(BATCH_CAPACITY, 0)
     const held = engine.slots.get(request.adapter)?.state === 'loaded'
-    const load = held ? 0 : (this.loadsAhead + 1) * 1_000 / this.trace.size.loadsPerSecond
+    const load = held ? 0 : (this.pendingLoads + 1) * 1_000 / this.trace.size.loadsPerSecond
     return { firstTokenMilliseconds: Math.max(load, ahead / rate), serviceMilliseconds }
   }
 
-  private giveUp (engine: SimulatedEngine, given: { readonly item: SimulatedRequest, readonly refusal: Refusal }, now: number): void {
-    engine.noLongerWaits(given.item, now)
-    this.service.waits(given.item.team, -1)
+  private refuseQueued (engine: SimulatedEngine, given: { readonly item: SimulatedRequest, readonly refusal: Refusal }, now: number): void {
+    engine.recordDequeued(given.item, now)
+    this.service.addWaiting(given.item.team, -1)
     this.refuse(given.item, now)
   }
 
@@ -165,36 +165,36 @@
   }
 
   /** Begins a step on an engine that rests. */
-  private wake (engine: SimulatedEngine, now: number): void {
+  private beginStepIfIdle (engine: SimulatedEngine, now: number): void {
     if (engine.stepping) return
     const before = engine.running.length
     const length = engine.beginStep(now)
-    this.startedRunning(engine, before)
+    this.recordStarted(engine, before)
     if (length === undefined) return
     engine.stepping = true
     const epoch = engine.epoch
-    this.events.at(now + length, (at) => this.stepEnds(engine, epoch, at))
+    this.events.at(now + length, (at) => this.handleStepEnd(engine, epoch, at))
   }
 
-  private stepEnds (engine: SimulatedEngine, epoch: number, now: number): void {
+  private handleStepEnd (engine: SimulatedEngine, epoch: number, now: number): void {
     if (engine.epoch !== epoch) return
     const before = this.service.total
     const full = engine.running.length >= BATCH_CAPACITY
     engine.endStep(now)
     this.rates[engine.index]?.served(this.service.total - before, full, now)
     engine.stepping = false
-    this.wake(engine, now)
+    this.beginStepIfIdle(engine, now)
     this.loads.run(now)
   }
 
-  private startedRunning (engine: SimulatedEngine, before: number): void {
-    for (const request of engine.running.slice(before)) this.service.waits(request.team, -1)
+  private recordStarted (engine: SimulatedEngine, before: number): void {
+    for (const request of engine.running.slice(before)) this.service.addWaiting(request.team, -1)
   }
 
   private restart (engine: SimulatedEngine | undefined, now: number): void {
     if (engine === undefined) return
     for (const request of engine.restart(now)) {
-      if (request.trace.idempotent) this.enqueueAgain(request, now)
+      if (request.trace.idempotent) this.resumeStream(request, now)
       else request.state = 'lost'
     }
     this.loads.changed()
@@ -202,42 +202,42 @@
   }
 
   /** A stream that was cut off goes on elsewhere from its last token. */
-  private enqueueAgain (request: SimulatedRequest, now: number): void {
-    request.promptLeft = request.trace.promptTokens
+  private resumeStream (request: SimulatedRequest, now: number): void {
+    request.promptTokensLeft = request.trace.promptTokens
     this.route(request, now, true)
   }
 
-  private report (now: number): void {
-    this.loadsAhead = 0
+  private refreshReports (now: number): void {
+    this.pendingLoads = 0
     this.views.forEach((view, index) => {
       const engine = this.engines[index]
-      if (engine !== undefined) view.refresh(this.loads.ahead(engine))
-      this.loadsAhead += view.pendingLoads
+      if (engine !== undefined) view.refresh(this.loads.pendingLoads(engine))
+      this.pendingLoads += view.pendingLoads
     })
-    for (const engine of this.engines) this.expire(engine, now)
+    for (const engine of this.engines) this.refuseExpired(engine, now)
     this.service.sample(now)
     this.loads.run(now)
-    if (now < this.endsAt) this.events.at(now + REPORT_MILLISECONDS, (at) => this.report(at))
+    if (now < this.endsAt) this.events.at(now + REPORT_INTERVAL_MILLISECONDS, (at) => this.refreshReports(at))
   }
 
-  private expire (engine: SimulatedEngine, now: number): void {
-    const { guard } = this.policy
+  private refuseExpired (engine: SimulatedEngine, now: number): void {
+    const { overloadGuard: guard } = this.policy
     if (guard !== undefined) {
       const service = (request: SimulatedRequest) => ({
         firstTokenMilliseconds: 0,
         serviceMilliseconds: request.maximumTokens / 2 * stepMilliseconds(BATCH_CAPACITY, 0)
       })
-      for (const given of guard.expire(engine.queue, service, now)) this.giveUp(engine, given, now)
+      for (const given of guard.expire(engine.queue, service, now)) this.refuseQueued(engine, given, now)
       return
     }
     for (const request of [...engine.queue.items()]) {
       if (request.deadlineAt > now) continue
       engine.queue.remove(request.requestId)
-      engine.noLongerWaits(request, now)
-      this.service.waits(request.team, -1)
+      engine.recordDequeued(request, now)
+      this.service.addWaiting(request.team, -1)
       this.refuse(request, now)
     }
   }
 }
 
-const NONE: ReadonlySet<never> = new Set<never>()
+const NO_ENDPOINTS: ReadonlySet<never> = new Set<never>()
--- a/packages/load/src/policy/simulation/weight-store.ts
+++ b/packages/load/src/policy/simulation/weight-store.ts
@@ -42,7 +42,7 @@
     const ended: Transfer[] = []
     for (const transfer of this.transfers) {
       transfer.left -= done
-      if (transfer.left <= ROUNDING) ended.push(transfer)
+      if (transfer.left <= ROUNDING_TOLERANCE_MILLISECONDS) ended.push(transfer)
     }
     for (const transfer of ended) this.transfers.delete(transfer)
     for (const transfer of ended) transfer.finish(now)
@@ -54,4 +54,4 @@
   }
 }
 
-const ROUNDING = 1e-6
+const ROUNDING_TOLERANCE_MILLISECONDS = 1e-6
--- a/packages/load/src/trace/trace.ts
+++ b/packages/load/src/trace/trace.ts
@@ -21,7 +21,7 @@
 export type TraceLine = z.infer<typeof traceLineSchema>
 
 /** What a trace is drawn from. */
-export interface TraceDraw {
+export interface TraceDrawOptions {
   readonly seed: number
   readonly requestsPerSecond: number
   readonly seconds: number
@@ -36,7 +36,7 @@
   readonly priorityClass: string
 }
 
-const MILLISECONDS = 1000
+const MILLISECONDS_PER_SECOND = 1000
 
 /**
  * Reads a trace.
@@ -70,13 +70,13 @@
 }
 
 /** @returns a trace drawn from a seed: Poisson arrivals, skewed popularity; the same seed gives the same trace */
-export function drawTrace (draw: TraceDraw): TraceLine[] {
+export function drawTrace (draw: TraceDrawOptions): TraceLine[] {
   const random = new Random(draw.seed, 'load')
   const ranks = new ZipfRanks(draw.models.length, draw.skew)
-  const meanGap = MILLISECONDS / draw.requestsPerSecond
+  const meanGap = MILLISECONDS_PER_SECOND / draw.requestsPerSecond
   const lines: TraceLine[] = []
   let at = random.exponential(meanGap)
-  while (at < draw.seconds * MILLISECONDS) {
+  while (at < draw.seconds * MILLISECONDS_PER_SECOND) {
     const [team = '', adapter = '', version] = (draw.models[ranks.draw(random)] ?? '').split(/[/@]/)
     lines.push({
       at_ms: at,
--- a/packages/load/test/driving/driving.test.ts
+++ b/packages/load/test/driving/driving.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it, vi } from 'vitest'
 import { runClosedLoop } from '../../src/driving/closed-loop.js'
-import { LoadMeasures } from '../../src/driving/load-measures.js'
+import { LoadMetrics } from '../../src/driving/load-metrics.js'
 import { runOpenLoop } from '../../src/driving/open-loop.js'
 import { RequestDriver } from '../../src/driving/request-driver.js'
 import type { HistoryEvent } from '../../src/history/index.js'
@@ -37,7 +37,7 @@
   // tool that waited would send less during the stall and so hide it.
   it('sends on while earlier requests stall, and writes what it saw', async () => {
     const target = new HeldTarget()
-    const measures = new LoadMeasures()
+    const measures = new LoadMetrics()
     const events: HistoryEvent[] = []
     const done = runOpenLoop([line(0), line(1), line(2, 'failing')], [target], new RequestDriver(measures, (event) => events.push(event)))
     await vi.waitFor(() => expect(target.release).toHaveLength(3))
@@ -57,7 +57,7 @@
 
   it('counts times from when a request was due', async () => {
     const target = new HeldTarget()
-    const measures = new LoadMeasures()
+    const measures = new LoadMetrics()
     const driver = new RequestDriver(measures, undefined)
     const done = driver.drive(target, { id: 'r', team: 't', adapter: 'a', version: undefined, priorityClass: 'normal', prompt: '', maximumTokens: 2, seed: 1, idempotent: true, key: undefined }, performance.now() - 60_000)
     target.release[0]?.()
@@ -70,7 +70,7 @@
 describe('closed loop', () => {
   it('keeps as many requests open as there are callers', async () => {
     const target = new HeldTarget()
-    const done = runClosedLoop({ callers: 4, seconds: 0.2, lines: [line(0)] }, target, new RequestDriver(new LoadMeasures(), undefined))
+    const done = runClosedLoop({ callers: 4, seconds: 0.2, lines: [line(0)] }, target, new RequestDriver(new LoadMetrics(), undefined))
     await vi.waitFor(() => expect(target.release.length).toBeGreaterThanOrEqual(4))
     const releasing = setInterval(() => target.release.splice(0).forEach((release) => release()), 1)
     await done
--- a/packages/load/test/policy/simulation.test.ts
+++ b/packages/load/test/policy/simulation.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { BASELINE_POLICIES, PRODUCT_POLICIES } from '../../src/policy/policies/policies-under-test.js'
-import { makeTraces, runPolicy } from '../../src/policy/policy-experiment.js'
-import { optimumOf } from '../../src/policy/results/clairvoyant.js'
+import { generateTraces, runPolicy } from '../../src/policy/policy-experiment.js'
+import { clairvoyantReferenceOf } from '../../src/policy/results/clairvoyant.js'
 import { reportOf } from '../../src/policy/results/run-report.js'
 import { Simulation } from '../../src/policy/simulation/simulation.js'
 import type { PolicyUnderTest } from '../../src/policy/simulation/policy-bundle.js'
@@ -38,7 +38,7 @@
 describe('simulation', () => {
   it('gives the same figures for the same seed and others for another', () => {
     const size = { engines: 3, slots: 4, loadsPerSecond: 4 }
-    const run = (seed: number) => makeTraces(seed, size, 15).map((made) => runPolicy(made, product))
+    const run = (seed: number) => generateTraces(seed, size, 15).map((made) => runPolicy(made, product))
     const first = run(SEED)
     expect(run(SEED)).toEqual(first)
     expect(run(SEED + 1)).not.toEqual(first)
@@ -46,7 +46,7 @@
 
   it('accounts for every request of every trace', () => {
     const size = { engines: 3, slots: 4, loadsPerSecond: 4 }
-    for (const made of makeTraces(SEED, size, 15)) {
+    for (const made of generateTraces(SEED, size, 15)) {
       for (const policy of [product, sticky]) {
         const report = runPolicy(made, policy)
         const known = report.completed + report.refused + report.waiting_at_end + report.lost
@@ -64,8 +64,8 @@
   })
 
   it('gives the clairvoyant reference no more stall than the policies', () => {
-    const [panel] = makeTraces(SEED, undefined, 60) as [Trace]
-    expect(optimumOf(panel).load_stall_ms.p95).toBeLessThanOrEqual(runPolicy(panel, product).load_stall_ms.p95)
+    const [panel] = generateTraces(SEED, undefined, 60) as [Trace]
+    expect(clairvoyantReferenceOf(panel).load_stall_ms.p95).toBeLessThanOrEqual(runPolicy(panel, product).load_stall_ms.p95)
   })
 })
 
@@ -79,7 +79,7 @@
     const result = new Simulation(test, product.make(test.size), { loadFails: (adapter) => adapter.includes('/bad@') }).run()
     const good = result.requests.filter((item) => item.adapter.includes('/good-'))
     expect(good.every((item) => item.state === 'completed')).toBe(true)
-    expect(Math.max(...good.map((item) => item.stall))).toBeLessThanOrEqual(1_000)
+    expect(Math.max(...good.map((item) => item.endedStallMilliseconds))).toBeLessThanOrEqual(1_000)
     expect(result.loads.failedLoads).toBeGreaterThan(0)
     expect(result.loads.failedLoads).toBeLessThan(12)
   })
@@ -111,7 +111,7 @@
     const result = new Simulation(test, product.make(test.size)).run()
     expect(result.requests.map((item) => item.state)).toEqual(['completed', 'completed', 'completed'])
     const [first, , last] = result.requests
-    expect(last?.stall).toBeGreaterThan((first?.endedAt ?? 0) - 1_500)
+    expect(last?.endedStallMilliseconds).toBeGreaterThan((first?.endedAt ?? 0) - 1_500)
   })
 
   // One team sends far more than all engines can serve. The others are hardly slower: their turn comes first by virtual
--- a/packages/load/test/trace/trace.test.ts
+++ b/packages/load/test/trace/trace.test.ts
@@ -2,9 +2,9 @@
 import { describe, expect, it } from 'vitest'
 import { promptText } from '../../src/trace/prompt-text.js'
 import { drawTrace, parseLine } from '../../src/trace/trace.js'
-import type { TraceDraw } from '../../src/trace/trace.js'
+import type { TraceDrawOptions } from '../../src/trace/trace.js'
 
-const DRAW: TraceDraw = {
+const DRAW: TraceDrawOptions = {
   seed: 7,
   requestsPerSecond: 100,
   seconds: 20,
