--- a/packages/soak/src/bin/limpetwinch-soak.ts
+++ b/packages/soak/src/bin/limpetwinch-soak.ts
@@ -8,8 +8,8 @@
 import { SoakRun } from '../soak-run.js'
 import type { SoakOutcome } from '../soak-run.js'
 
-const LARGEST_SEED = 2 ** 30
-const EXIT_VIOLATION = 1
+const MAXIMUM_SEED = 2 ** 30
+const VIOLATION_EXIT_CODE = 1
 
 class SoakCommand extends Command {
   static override description = 'Runs deployments of real processes under faults and checks the promises; exits 1 on a violation.'
@@ -29,25 +29,25 @@
 
   override async run (): Promise<void> {
     const { flags } = await this.parse(SoakCommand)
-    const first = flags.seed ?? 1 + Math.floor(Math.random() * LARGEST_SEED)
+    const first = flags.seed ?? 1 + Math.floor(Math.random() * MAXIMUM_SEED)
     const seeds = Array.from({ length: flags.runs }, (_, index) => first + index)
     const faults = SOAK_FAULTS.filter(({ kind }) => flags.fault === undefined || flags.fault.includes(kind))
     const outcomes: SoakOutcome[] = []
     const work = async (): Promise<void> => {
       for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
         const size = { instances: flags.instances, engines: flags.engines, webServers: 2, adapterSlots: flags.slots }
-        const outcome = await new SoakRun({ seed, seconds: flags.seconds, size, faults, faultCount: flags.faults, onLog: logTo(flags.keep, seed) }).run()
+        const outcome = await new SoakRun({ seed, seconds: flags.seconds, size, faults, faultCount: flags.faults, onLog: createLogWriter(flags.keep, seed) }).run()
         outcomes.push(outcome)
-        this.print(outcome)
+        this.printOutcome(outcome)
       }
     }
     await Promise.all(Array.from({ length: flags.concurrency }, work))
     const sum = (figure: (outcome: SoakOutcome) => number): number => outcomes.reduce((total, outcome) => total + figure(outcome), 0)
     this.log(`${outcomes.length} runs, ${sum(({ faults: made }) => made.length)} faults, ${sum(({ requests }) => requests)} requests, ${sum(({ served }) => served)} served, ${sum(({ violations }) => violations.length)} violations`)
-    process.exitCode = outcomes.some(({ violations }) => violations.length > 0) ? EXIT_VIOLATION : 0
+    process.exitCode = outcomes.some(({ violations }) => violations.length > 0) ? VIOLATION_EXIT_CODE : 0
   }
 
-  private print ({ seed, requests, served, faults, lateMilliseconds, violations }: SoakOutcome): void {
+  private printOutcome ({ seed, requests, served, faults, lateMilliseconds, violations }: SoakOutcome): void {
     this.log(`seed ${seed}: ${served} of ${requests} served; ${faults.join(', ')}; timers late by ${lateMilliseconds} ms at most`)
     for (const { promise, message, account } of violations) {
       this.log(`seed ${seed}: BROKEN ${promise}: ${message}`)
@@ -57,7 +57,7 @@
 }
 
 /** @returns where the lines of a run go */
-function logTo (folder: string | undefined, seed: number): (instance: string, line: string) => void {
+function createLogWriter (folder: string | undefined, seed: number): (instance: string, line: string) => void {
   if (folder === undefined) return () => {}
   mkdirSync(folder, { recursive: true })
   const file = createWriteStream(join(folder, `soak-${seed}.log`))
--- a/packages/soak/src/checks/endpoint-checks.ts
+++ b/packages/soak/src/checks/endpoint-checks.ts
@@ -3,15 +3,15 @@
 import { SoakCheck } from './soak-check.js'
 import type { SoakEvidence, Violation } from './soak-check.js'
 
-const ONCE_ONLY: ReadonlySet<SampleRoute> = new Set(['once', 'enter'])
+const AT_MOST_ONCE_ROUTES: ReadonlySet<SampleRoute> = new Set(['once', 'enter'])
 /** New work on a leaving endpoint ends within so long of the store's word. */
-const LEAVING_MILLISECONDS = 2_000
+const LEAVING_PROPAGATION_MILLISECONDS = 2_000
 /** What instances and the store were through shortly before still tells. */
-const DISTURBED_MILLISECONDS = 3_000
+const FAULT_MARGIN_MILLISECONDS = 3_000
 /** Two instances that order one engine are so far apart. */
 const LEASE_MILLISECONDS = 3_000
 
-function runsOf ({ deployment }: SoakEvidence): Map<string, StandInRun[]> {
+function runsByRequest ({ deployment }: SoakEvidence): Map<string, StandInRun[]> {
   const runs = new Map<string, StandInRun[]>()
   for (const server of [...deployment.engines, ...deployment.webServers]) {
     for (const run of server.runs) runs.set(run.request, [...runs.get(run.request) ?? [], run])
@@ -19,7 +19,7 @@
   return runs
 }
 
-function runBy ({ request, at }: StandInRun, message: string): Violation {
+function violationOfRun ({ request, at }: StandInRun, message: string): Violation {
   return { message, from: at, to: at, request }
 }
 
@@ -28,22 +28,22 @@
   override readonly promise = 'at-most-once'
 
   override violations (evidence: SoakEvidence): Violation[] {
-    const runs = runsOf(evidence)
+    const runs = runsByRequest(evidence)
     return evidence.record.requests
-      .filter(({ request }) => ONCE_ONLY.has(request.route) && (runs.get(request.id)?.length ?? 0) > 1)
-      .map((seen) => this.seenBy(seen, `${seen.request.id} ran ${runs.get(seen.request.id)?.length} times`))
+      .filter(({ request }) => AT_MOST_ONCE_ROUTES.has(request.route) && (runs.get(request.id)?.length ?? 0) > 1)
+      .map((seen) => this.violationOf(seen, `${seen.request.id} ran ${runs.get(seen.request.id)?.length} times`))
   }
 }
 
 /** Who is told that a request has not run can rely on it. */
-export class NotRunCheck extends SoakCheck {
+export class NotRunClaimCheck extends SoakCheck {
   override readonly promise = 'not-run'
 
   override violations (evidence: SoakEvidence): Violation[] {
-    const runs = runsOf(evidence)
+    const runs = runsByRequest(evidence)
     return evidence.record.requests
-      .filter(({ request, answer }) => answer.saysNotRun && ONCE_ONLY.has(request.route) && runs.has(request.id))
-      .map((seen) => this.seenBy(seen, `${seen.request.id} was answered ${seen.answer.status} and ran`))
+      .filter(({ request, answer }) => answer.saysNotRun && AT_MOST_ONCE_ROUTES.has(request.route) && runs.has(request.id))
+      .map((seen) => this.violationOf(seen, `${seen.request.id} was answered ${seen.answer.status} and ran`))
   }
 }
 
@@ -53,9 +53,9 @@
 
   override violations (evidence: SoakEvidence): Violation[] {
     const sent = new Map([...evidence.record.requests, ...evidence.record.probes].map(({ request }) => [request.id, request]))
-    return [...runsOf(evidence)].flatMap(([id, runs]) => runs
+    return [...runsByRequest(evidence)].flatMap(([id, runs]) => runs
       .filter((run) => run.adapter !== sent.get(id)?.adapter || !sent.has(id))
-      .map((run) => runBy(run, `${id} asked for ${sent.get(id)?.adapter ?? 'nothing'} and ran by ${run.adapter ?? 'nothing'}`)))
+      .map((run) => violationOfRun(run, `${id} asked for ${sent.get(id)?.adapter ?? 'nothing'} and ran by ${run.adapter ?? 'nothing'}`)))
   }
 }
 
@@ -67,14 +67,14 @@
     return record.leavings.flatMap(({ endpoint, at }) => {
       const runs = deployment.engines.find(({ options }) => options.id === endpoint)?.runs ?? []
       return runs
-        .filter((run) => run.at > at + LEAVING_MILLISECONDS && record.during(at, run.at, DISTURBED_MILLISECONDS).every(({ target }) => target === endpoint))
-        .map((run) => runBy(run, `${endpoint} was given ${run.request} ${run.at - at} ms after it was leaving`))
+        .filter((run) => run.at > at + LEAVING_PROPAGATION_MILLISECONDS && record.faultsDuring(at, run.at, FAULT_MARGIN_MILLISECONDS).every(({ target }) => target === endpoint))
+        .map((run) => violationOfRun(run, `${endpoint} was given ${run.request} ${run.at - at} ms after it was leaving`))
     })
   }
 }
 
 /** An engine is never ordered to hold more adapters than it has slots. */
-export class SlotsCheck extends SoakCheck {
+export class SlotCapacityCheck extends SoakCheck {
   override readonly promise = 'slots'
 
   override violations ({ deployment, adapterSlots }: SoakEvidence): Violation[] {
@@ -87,13 +87,13 @@
 }
 
 /** Two instances do not order one engine within a lease; orders that the engine refused by their token do not count. */
-export class OneHolderCheck extends SoakCheck {
+export class SingleLoadOwnerCheck extends SoakCheck {
   override readonly promise = 'one-holder'
-  private readonly staleToken = 412
+  private readonly staleTokenStatus = 412
 
   override violations ({ deployment }: SoakEvidence): Violation[] {
     return deployment.engines.flatMap(({ options, orders }) => {
-      const taken = orders.filter(({ status }) => status !== this.staleToken)
+      const taken = orders.filter(({ status }) => status !== this.staleTokenStatus)
       return taken.flatMap((order, index) => {
         const before = taken[index - 1]
         if (before === undefined || before.holder === order.holder || order.at - before.at >= LEASE_MILLISECONDS) return []
--- a/packages/soak/src/checks/soak-check.ts
+++ b/packages/soak/src/checks/soak-check.ts
@@ -1,6 +1,6 @@
 /** A promise, checked over one run. */
 import type { PlatformDeployment } from '@limpetwinch/platform'
-import type { SeenRequest, SoakRecord } from '../soak-record.js'
+import type { ObservedRequest, SoakRecord } from '../soak-record.js'
 
 /** What a check looks at: what callers saw, and what the stand-ins ran and were ordered. */
 export interface SoakEvidence {
@@ -28,7 +28,7 @@
   abstract violations (evidence: SoakEvidence): Violation[]
 
   /** @returns the violation that a request saw */
-  protected seenBy ({ request, instance, sentAt, endedAt }: SeenRequest, message: string): Violation {
+  protected violationOf ({ request, instance, sentAt, endedAt }: ObservedRequest, message: string): Violation {
     return { message, from: sentAt, to: endedAt, instance, request: request.id }
   }
 }
--- a/packages/soak/src/faults/instance-faults.ts
+++ b/packages/soak/src/faults/instance-faults.ts
@@ -1,19 +1,19 @@
 /** Faults of ingress instances: signals from outside, and their link to the store. */
-import type { SoakSite } from '../soak-site.js'
+import type { SoakEnvironment } from '../soak-environment.js'
 import { SoakFault } from './soak-fault.js'
 
 /** How long a process takes to end by itself after SIGTERM, and then some. */
-const STOP_MILLISECONDS = 12_000
-const LOOK_MILLISECONDS = 50
+const STOP_TIMEOUT_MILLISECONDS = 12_000
+const EXIT_CHECK_INTERVAL_MILLISECONDS = 50
 
 /** Killed and started again. */
 export class KillInstance extends SoakFault {
   override readonly kind = 'kill-instance'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     if (found === undefined) return
-    await this.lasting(site, found.instance.name, async () => {
+    await this.recordWhile(site, found.instance.name, async () => {
       site.signal(found.instance, 'SIGKILL')
       await site.wait(300, 2_000)
       await site.relaunch(found.index, found.instance)
@@ -25,8 +25,8 @@
 export class KillAllInstances extends SoakFault {
   override readonly kind = 'kill-all-instances'
 
-  override async run (site: SoakSite): Promise<void> {
-    await this.lasting(site, undefined, async () => {
+  override async run (site: SoakEnvironment): Promise<void> {
+    await this.recordWhile(site, undefined, async () => {
       const killed = [...site.instances]
       for (const instance of killed) site.signal(instance, 'SIGKILL')
       await site.wait(300, 1_500)
@@ -39,15 +39,15 @@
 export class StopInstance extends SoakFault {
   override readonly kind = 'stop-instance'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     if (found === undefined) return
     const { instance, index } = found
-    await this.lasting(site, instance.name, async () => {
+    await this.recordWhile(site, instance.name, async () => {
       site.signal(instance, 'SIGTERM')
-      const end = performance.now() + STOP_MILLISECONDS
-      while (!instance.process.hasEnded && performance.now() < end) await site.wait(LOOK_MILLISECONDS, LOOK_MILLISECONDS)
-      if (!instance.process.hasEnded) site.record.lose(instance.name, `it did not end within ${STOP_MILLISECONDS} ms of SIGTERM`)
+      const end = performance.now() + STOP_TIMEOUT_MILLISECONDS
+      while (!instance.process.hasEnded && performance.now() < end) await site.wait(EXIT_CHECK_INTERVAL_MILLISECONDS, EXIT_CHECK_INTERVAL_MILLISECONDS)
+      if (!instance.process.hasEnded) site.record.addLostInstance(instance.name, `it did not end within ${STOP_TIMEOUT_MILLISECONDS} ms of SIGTERM`)
       site.signal(instance, 'SIGKILL')
       await site.relaunch(index, instance)
     })
@@ -58,10 +58,10 @@
 export class PauseInstance extends SoakFault {
   override readonly kind = 'pause-instance'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     if (found === undefined) return
-    await this.lasting(site, found.instance.name, async () => {
+    await this.recordWhile(site, found.instance.name, async () => {
       site.signal(found.instance, 'SIGSTOP')
       await site.wait(300, 4_000)
       site.signal(found.instance, 'SIGCONT')
@@ -73,8 +73,8 @@
 export class ReloadInstance extends SoakFault {
   override readonly kind = 'reload-instance'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     if (found === undefined) return
     const { processId } = found.instance.process
     if (processId !== undefined) process.kill(processId, 'SIGHUP')
@@ -83,14 +83,14 @@
 }
 
 /** Its connections to the store fall silent; later they are reset and new ones work. */
-export class CutFromStore extends SoakFault {
+export class StallStoreLink extends SoakFault {
   override readonly kind = 'cut-from-store'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     const link = found === undefined ? undefined : site.linkOf(found.index)
     if (found === undefined || link === undefined) return
-    await this.lasting(site, found.instance.name, async () => {
+    await this.recordWhile(site, found.instance.name, async () => {
       link.cut()
       await site.wait(500, 5_000)
       link.restore()
@@ -99,13 +99,13 @@
 }
 
 /** Its connections to the store are reset. */
-export class ResetFromStore extends SoakFault {
+export class ResetStoreLink extends SoakFault {
   override readonly kind = 'reset-from-store'
 
-  override async run (site: SoakSite): Promise<void> {
-    const found = this.anyInstance(site)
+  override async run (site: SoakEnvironment): Promise<void> {
+    const found = this.pickRunningInstance(site)
     if (found === undefined) return
-    await this.lasting(site, found.instance.name, async () => {
+    await this.recordWhile(site, found.instance.name, async () => {
       site.linkOf(found.index)?.reset()
       await site.wait(50, 300)
     })
--- a/packages/soak/src/faults/request-faults.ts
+++ b/packages/soak/src/faults/request-faults.ts
@@ -1,15 +1,15 @@
 /** Faults that come with a request. */
 import { crashingBody } from '@limpetwinch/platform'
 import type { SampleRequest, SampleRoute } from '@limpetwinch/platform'
-import type { SoakSite } from '../soak-site.js'
+import type { SoakEnvironment } from '../soak-environment.js'
 import { SoakFault } from './soak-fault.js'
 
 /** Some crash a server before their first event, some in the midst of their stream; milliseconds. */
-const CRASHES_AFTER = { least: 5, most: 300 }
+const ENGINE_CRASH_DELAY_MILLISECONDS = { least: 5, most: 300 }
 /** Plain servers answer within 20 ms; a request that was answered has crashed nothing. */
-const CRASHES_PLAIN_AFTER = { least: 1, most: 12 }
-const ARRIVALS = { least: 15, most: 30 }
-const BETWEEN_ARRIVALS = { least: 100, most: 600 }
+const WEB_SERVER_CRASH_DELAY_MILLISECONDS = { least: 1, most: 12 }
+const ARRIVAL_COUNT = { minimum: 15, maximum: 30 }
+const ARRIVAL_INTERVAL_MILLISECONDS = { minimum: 100, maximum: 600 }
 const DEADLINE_MILLISECONDS = 4_000
 const EVENTS = 30
 
@@ -20,21 +20,21 @@
 export class CrashingRequest extends SoakFault {
   override readonly kind = 'crashing-request'
 
-  override async run (site: SoakSite): Promise<void> {
+  override async run (site: SoakEnvironment): Promise<void> {
     const { random, record } = site
     const route = random.pick<SampleRoute>(['draft', 'once', 'once', 'enter'])
-    const span = route === 'enter' ? CRASHES_PLAIN_AFTER : CRASHES_AFTER
-    const path = `crashing-${record.crashing.length}`
+    const span = route === 'enter' ? WEB_SERVER_CRASH_DELAY_MILLISECONDS : ENGINE_CRASH_DELAY_MILLISECONDS
+    const path = `crashing-${record.crashingPaths.length}`
     const crashesAfterMilliseconds = random.between(span.least, span.most)
-    record.crashing.push({ path, crashesAfterMilliseconds })
+    record.crashingPaths.push({ path, crashesAfterMilliseconds })
     const common: Omit<SampleRequest, 'id'> = {
       route, path, deadlineMilliseconds: DEADLINE_MILLISECONDS, ...(route === 'enter' ? {} : { adapter: 'a1', events: EVENTS })
     }
-    await this.lasting(site, undefined, async () => {
+    await this.recordWhile(site, undefined, async () => {
       const answers: Promise<void>[] = []
-      for (let arrival = random.between(ARRIVALS.least, ARRIVALS.most); arrival > 0; arrival -= 1) {
-        answers.push(site.ask({ ...common, body: crashingBody(crashesAfterMilliseconds) }), site.ask({ ...common, body: 'harmless' }))
-        await site.wait(BETWEEN_ARRIVALS.least, BETWEEN_ARRIVALS.most)
+      for (let arrival = random.between(ARRIVAL_COUNT.minimum, ARRIVAL_COUNT.maximum); arrival > 0; arrival -= 1) {
+        answers.push(site.sendRequest({ ...common, body: crashingBody(crashesAfterMilliseconds) }), site.sendRequest({ ...common, body: 'harmless' }))
+        await site.wait(ARRIVAL_INTERVAL_MILLISECONDS.minimum, ARRIVAL_INTERVAL_MILLISECONDS.maximum)
       }
       await Promise.all(answers)
     })
--- a/packages/soak/src/faults/soak-fault.ts
+++ b/packages/soak/src/faults/soak-fault.ts
@@ -1,7 +1,7 @@
 /** A fault of a soak run. */
 import type { LaunchedInstance } from '@limpetwinch/platform'
 import type { FaultSpan } from '../soak-record.js'
-import type { SoakSite } from '../soak-site.js'
+import type { SoakEnvironment } from '../soak-environment.js'
 
 /** Something that goes wrong for a while. */
 export abstract class SoakFault {
@@ -9,11 +9,11 @@
   abstract readonly kind: string
 
   /** Lets it happen; ends when everything is as before, or the next thing has taken its place. */
-  abstract run (site: SoakSite): Promise<void>
+  abstract run (site: SoakEnvironment): Promise<void>
 
   /** Notes it while it lasts. */
-  protected async lasting (site: SoakSite, target: string | undefined, what: (span: FaultSpan) => Promise<void>): Promise<void> {
-    const span = site.record.begin(this.kind, target)
+  protected async recordWhile (site: SoakEnvironment, target: string | undefined, what: (span: FaultSpan) => Promise<void>): Promise<void> {
+    const span = site.record.beginFault(this.kind, target)
     try {
       await what(span)
     } finally {
@@ -22,7 +22,7 @@
   }
 
   /** @returns an instance that runs, with its number; undefined when all are down */
-  protected anyInstance (site: SoakSite): { readonly index: number, readonly instance: LaunchedInstance } | undefined {
+  protected pickRunningInstance (site: SoakEnvironment): { readonly index: number, readonly instance: LaunchedInstance } | undefined {
     const running = site.instances.flatMap((instance, index) => instance.process.hasEnded ? [] : [{ index, instance }])
     return running.length === 0 ? undefined : site.random.pick(running)
   }
--- a/packages/soak/src/observation/processor-watch.ts
+++ b/packages/soak/src/observation/processor-monitor.ts
@@ -1,8 +1,8 @@
 /** Who had a processor: how late this process's own timers were, and how long each process ran and waited to run. */
 import { readFileSync } from 'node:fs'
 
-const SAMPLE_MILLISECONDS = 100
-const NANOSECONDS_OF_MILLISECOND = 1_000_000
+const SAMPLE_INTERVAL_MILLISECONDS = 100
+const NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 /** What the system tells of a process's main thread since its start, milliseconds. */
 interface ProcessorTimes {
@@ -14,34 +14,34 @@
   readonly at: number
 }
 
-interface Lateness {
+interface TimerDelay {
   readonly at: number
   readonly milliseconds: number
 }
 
 /** A process to look at. */
-export interface WatchedProcess {
+export interface MonitoredProcess {
   readonly name: string
   readonly processId: number | undefined
 }
 
 /** Takes samples while a run lasts. */
-export class ProcessorWatch {
-  private readonly processes: () => readonly WatchedProcess[]
+export class ProcessorMonitor {
+  private readonly processes: () => readonly MonitoredProcess[]
   private readonly samples = new Map<string, Sample[]>()
-  private readonly lateness: Lateness[] = []
+  private readonly lateness: TimerDelay[] = []
   private timer: NodeJS.Timeout | undefined
   private plannedAt = 0
 
   /** @param processes - those to look at now */
-  constructor (processes: () => readonly WatchedProcess[]) {
+  constructor (processes: () => readonly MonitoredProcess[]) {
     this.processes = processes
   }
 
   /** Begins to look. */
   start (): void {
-    this.plannedAt = performance.now() + SAMPLE_MILLISECONDS
-    this.timer = setInterval(() => this.look(), SAMPLE_MILLISECONDS)
+    this.plannedAt = performance.now() + SAMPLE_INTERVAL_MILLISECONDS
+    this.timer = setInterval(() => this.takeSample(), SAMPLE_INTERVAL_MILLISECONDS)
   }
 
   /** Looks no more. */
@@ -50,28 +50,28 @@
   }
 
   /** @returns how late this process's own timers were at most, milliseconds */
-  latestBetween (from: number, to: number): number {
-    return Math.round(Math.max(0, ...this.lateness.filter((look) => isWithin(look, from, to)).map(({ milliseconds }) => milliseconds)))
+  maximumTimerDelay (from: number, to: number): number {
+    return Math.round(Math.max(0, ...this.lateness.filter((takeSample) => isWithin(takeSample, from, to)).map(({ milliseconds }) => milliseconds)))
   }
 
   /** @returns a sentence on this process's timers, and one for each process that was seen in the time */
-  during (from: number, to: number): string[] {
-    const sentences = [...this.samples].flatMap(([process, samples]) => sentenceOf(process, samples.filter((sample) => isWithin(sample, from, to))))
-    return [`timers of the soak were late by up to ${this.latestBetween(from, to)} ms`, ...sentences]
+  describe (from: number, to: number): string[] {
+    const sentences = [...this.samples].flatMap(([process, samples]) => describeProcess(process, samples.filter((sample) => isWithin(sample, from, to))))
+    return [`timers of the soak were late by up to ${this.maximumTimerDelay(from, to)} ms`, ...sentences]
   }
 
-  private look (): void {
+  private takeSample (): void {
     const now = performance.now()
     const at = Date.now()
     this.lateness.push({ at, milliseconds: Math.max(0, now - this.plannedAt) })
-    this.plannedAt = now + SAMPLE_MILLISECONDS
+    this.plannedAt = now + SAMPLE_INTERVAL_MILLISECONDS
     for (const { name, processId } of [{ name: 'the soak', processId: process.pid }, ...this.processes()]) {
       const times = processId === undefined ? undefined : timesOf(processId)
-      if (times !== undefined) this.note(`${name} (process ${processId})`, { at, ...times })
+      if (times !== undefined) this.addSample(`${name} (process ${processId})`, { at, ...times })
     }
   }
 
-  private note (process: string, sample: Sample): void {
+  private addSample (process: string, sample: Sample): void {
     const samples = this.samples.get(process) ?? []
     this.samples.set(process, samples)
     samples.push(sample)
@@ -80,20 +80,20 @@
 
 /** @returns whether a look belongs to a time; one just before and after tell what passed in it */
 function isWithin ({ at }: { readonly at: number }, from: number, to: number): boolean {
-  return at >= from - SAMPLE_MILLISECONDS && at <= to + SAMPLE_MILLISECONDS
+  return at >= from - SAMPLE_INTERVAL_MILLISECONDS && at <= to + SAMPLE_INTERVAL_MILLISECONDS
 }
 
 /** @returns the times; undefined where the process has ended, or on systems that do not tell them */
 function timesOf (processId: number): ProcessorTimes | undefined {
   try {
-    const [ran, waited] = readFileSync(`/proc/${processId}/schedstat`, 'utf8').split(' ').map((nanoseconds) => Number(nanoseconds) / NANOSECONDS_OF_MILLISECOND)
+    const [ran, waited] = readFileSync(`/proc/${processId}/schedstat`, 'utf8').split(' ').map((nanoseconds) => Number(nanoseconds) / NANOSECONDS_PER_MILLISECOND)
     return ran === undefined || waited === undefined ? undefined : { ran, waited }
   } catch {
     return undefined
   }
 }
 
-function sentenceOf (process: string, samples: readonly Sample[]): string[] {
+function describeProcess (process: string, samples: readonly Sample[]): string[] {
   const [first, last] = [samples[0], samples.at(-1)]
   if (first === undefined || last === undefined) return []
   return [`${process} ran ${Math.round(last.ran - first.ran)} ms and waited ${Math.round(last.waited - first.waited)} ms for a processor in ${last.at - first.at} ms`]
--- a/packages/soak/src/observation/request-watch.ts
+++ b/packages/soak/src/observation/request-monitor.ts
@@ -20,7 +20,7 @@
 const REQUEST_ID = /^x-request-id: (\S+)/im
 
 /** Hears of the HTTP client's steps; a client that sends a request again by itself shows as a second one. */
-export class RequestWatch {
+export class RequestMonitor {
   private readonly prefix: string
   private readonly steps = new Map<string, RequestStep[]>()
   private readonly connectedAt = new WeakMap<object, number>()
@@ -59,15 +59,15 @@
     const id = REQUEST_ID.exec(headers)?.[1]
     if (id === undefined || !id.startsWith(this.prefix)) return
     this.ids.set(request, id)
-    this.note(id, `written on port ${socket.localPort}, connected at ${this.connectedAt.get(socket) ?? 'an unknown time'}`)
+    this.addStep(id, `written on port ${socket.localPort}, connected at ${this.connectedAt.get(socket) ?? 'an unknown time'}`)
   }
 
   private readonly onAnswered = (message: unknown): void => {
     const id = this.ids.get((message as ClientMessage).request)
-    if (id !== undefined) this.note(id, 'the answer began')
+    if (id !== undefined) this.addStep(id, 'the answer began')
   }
 
-  private note (id: string, what: string): void {
+  private addStep (id: string, what: string): void {
     const steps = this.steps.get(id) ?? []
     this.steps.set(id, steps)
     steps.push({ at: Date.now(), what })
--- a/packages/soak/src/soak-site.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -9,7 +9,7 @@
 /** Signals sent to an instance. */
 export type InstanceSignal = 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT'
 
-const HUNG_UP = 'signal SIGHUP'
+const HANGUP_REASON = 'signal SIGHUP'
 
 /** How large a run is. */
 export interface SoakSize {
@@ -20,14 +20,14 @@
 }
 
 /** One deployment in one run. */
-export class SoakSite {
+export class SoakEnvironment {
   readonly record = new SoakRecord()
   readonly deployment: PlatformDeployment
   readonly random: SeededRandom
   private readonly links = new Map<number, CuttableLink>()
-  private readonly endedByUs = new Set<string>()
+  private readonly intentionallyEnded = new Set<string>()
   /** Instances that have written a line in their present life. */
-  private readonly speaking = new Set<string>()
+  private readonly instancesWithOutput = new Set<string>()
   private readonly relaunches = new Map<number, Promise<void>>()
   private readonly seed: number
   private version = 1
@@ -46,7 +46,7 @@
       ...size,
       keepsIds: seed % 2 === 0,
       onLog: (name, line) => {
-        this.speaking.add(name)
+        this.instancesWithOutput.add(name)
         onLog(name, line)
       },
       onUnexpectedEnd: (name, reason) => this.lost(name, reason),
@@ -72,7 +72,7 @@
   /** Sends a signal to an instance that this run started. */
   signal (instance: LaunchedInstance, signal: InstanceSignal): void {
     const { processId } = instance.process
-    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.endedByUs.add(instance.name)
+    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.intentionallyEnded.add(instance.name)
     if (processId !== undefined && !instance.process.hasEnded) process.kill(processId, signal)
   }
 
@@ -86,19 +86,19 @@
       if (this.instances[index] !== ended) return
       // Every way here has sent SIGKILL, or the process has ended: the wait is the kernel's own.
       await ended.process.untilEnded()
-      this.endedByUs.delete(ended.name)
-      this.speaking.delete(ended.name)
+      this.intentionallyEnded.delete(ended.name)
+      this.instancesWithOutput.delete(ended.name)
       const launched = await this.deployment.launch(index)
       this.deployment.instances[index] = launched
       // The next fault may end it before it is ready, and starts it again.
-      await this.deployment.untilReady(launched).catch((cause: unknown) => { if (!this.endedByUs.has(ended.name)) this.record.lose(ended.name, String(cause)) })
+      await this.deployment.untilReady(launched).catch((cause: unknown) => { if (!this.intentionallyEnded.has(ended.name)) this.record.addLostInstance(ended.name, String(cause)) })
     })
     this.relaunches.set(index, relaunched)
     await relaunched
   }
 
   /** Sends a request to some instance on a connection of its own, and notes what came of it. */
-  async ask (request: Omit<SampleRequest, 'id'>): Promise<void> {
+  async sendRequest (request: Omit<SampleRequest, 'id'>): Promise<void> {
     const instance = this.random.pick(this.instances)
     const caller = new SampleCaller(instance.url)
     const identified = { ...request, id: `s${this.seed}-f${this.asked++}` }
@@ -117,7 +117,7 @@
   /** Ends all that this run started. @returns names of instances that had to be killed */
   async stop (): Promise<string[]> {
     for (const instance of this.instances) this.signal(instance, 'SIGCONT')
-    for (const { name } of this.instances) this.endedByUs.add(name)
+    for (const { name } of this.instances) this.intentionallyEnded.add(name)
     const killed = await this.deployment.stop()
     await Promise.all([...this.links.values()].map(async (link) => await link.close()))
     return killed
@@ -128,14 +128,14 @@
    * again, as it does here. From the program's first line on it is a loss.
    */
   private lost (name: string, reason: string): void {
-    if (this.endedByUs.has(name)) return
+    if (this.intentionallyEnded.has(name)) return
     const index = this.instances.findIndex((instance) => instance.name === name)
     const ended = this.instances[index]
-    if (reason !== HUNG_UP || this.speaking.has(name) || ended === undefined) {
-      this.record.lose(name, reason)
+    if (reason !== HANGUP_REASON || this.instancesWithOutput.has(name) || ended === undefined) {
+      this.record.addLostInstance(name, reason)
       return
     }
-    this.endedByUs.add(name)
+    this.intentionallyEnded.add(name)
     void this.relaunch(index, ended)
   }
 
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -12,7 +12,7 @@
 }
 
 /** A request and its answer. */
-export interface SeenRequest {
+export interface ObservedRequest {
   readonly instance: string
   readonly request: SampleRequest
   readonly answer: SampleAnswer
@@ -21,7 +21,7 @@
 }
 
 /** An endpoint that began to leave. */
-export interface SeenLeaving {
+export interface ObservedLeaving {
   readonly endpoint: string
   readonly at: number
 }
@@ -44,28 +44,28 @@
 /** One run's record. */
 export class SoakRecord {
   readonly faults: FaultSpan[] = []
-  readonly requests: SeenRequest[] = []
-  readonly leavings: SeenLeaving[] = []
-  readonly crashing: CrashingPath[] = []
+  readonly requests: ObservedRequest[] = []
+  readonly leavings: ObservedLeaving[] = []
+  readonly crashingPaths: CrashingPath[] = []
   /** Instances that ended though nothing ended them, or not when they were ended. */
   readonly lost: LostInstance[] = []
   /** Answers to requests sent when all faults were long over. */
-  readonly probes: SeenRequest[] = []
+  readonly probes: ObservedRequest[] = []
 
   /** Notes the start of a fault. @returns the span, to be ended */
-  begin (kind: string, target?: string): FaultSpan {
+  beginFault (kind: string, target?: string): FaultSpan {
     const span: FaultSpan = { kind, target, from: Date.now(), to: Infinity }
     this.faults.push(span)
     return span
   }
 
   /** Notes an instance that was lost. */
-  lose (instance: string, reason: string): void {
+  addLostInstance (instance: string, reason: string): void {
     this.lost.push({ instance, reason, at: Date.now() })
   }
 
   /** @returns faults that overlap a time, widened by a margin on both sides */
-  during (from: number, to: number, marginMilliseconds: number): FaultSpan[] {
+  faultsDuring (from: number, to: number, marginMilliseconds: number): FaultSpan[] {
     return this.faults.filter((fault) => fault.from <= to + marginMilliseconds && fault.to >= from - marginMilliseconds)
   }
 }
--- a/packages/soak/test/checks.test.ts
+++ b/packages/soak/test/checks.test.ts
@@ -5,7 +5,7 @@
 import { SOAK_CHECKS } from '../src/checks/index.js'
 import type { SoakEvidence } from '../src/checks/soak-check.js'
 import { SoakRecord } from '../src/soak-record.js'
-import type { SeenRequest } from '../src/soak-record.js'
+import type { ObservedRequest } from '../src/soak-record.js'
 
 const AT = 1_000_000
 const CRASHING_BODY = 'crash after 80 ms'
@@ -15,7 +15,7 @@
   return { status: 200, saysNotRun: false, whole: true, events: [], text: '', retryAfterSeconds: undefined, milliseconds: 40, failure: undefined, ...change }
 }
 
-function seen (request: Partial<SampleRequest>, change: Partial<SampleAnswer> = {}, at = AT): SeenRequest {
+function seen (request: Partial<SampleRequest>, change: Partial<SampleAnswer> = {}, at = AT): ObservedRequest {
   const asked: SampleRequest = { id: 'r', route: 'list', deadlineMilliseconds: 1_000, ...request }
   return { instance: 'one', request: asked, answer: answer(change), sentAt: at, endedAt: at + (change.milliseconds ?? 40) }
 }
@@ -51,7 +51,7 @@
 function crashing (late: number, target?: string): Made {
   const begins = [0, 500, 1_000, ...Array.from({ length: late }, (_, index) => 10_000 + index * 10)]
   const record = recordOf((made) => {
-    made.crashing.push({ path: 'crashing', crashesAfterMilliseconds: 80 })
+    made.crashingPaths.push({ path: 'crashing', crashesAfterMilliseconds: 80 })
     for (const [index] of begins.entries()) made.requests.push(seen({ id: `r${index}`, route: 'list', body: CRASHING_BODY }, { status: 502 }))
     if (target !== undefined) made.faults.push({ kind: 'pause-instance', target, from: AT + 5_000, to: AT + 9_000 })
   })
@@ -83,7 +83,7 @@
       })
     }],
     ['callers that are not served when all is over', 'recovery', { record: recordOf((record) => record.probes.push(seen({}, { status: 503, saysNotRun: true }))) }],
-    ['an instance that ended by itself', 'no-lost-instance', { record: recordOf((record) => record.lose('one', 'exit code 1')) }],
+    ['an instance that ended by itself', 'no-lost-instance', { record: recordOf((record) => record.addLostInstance('one', 'exit code 1')) }],
     ['a second run of what may run once', 'at-most-once', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }))), runs: [run(), run()] }],
     ['a run of what was said not to have run', 'not-run', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }, { status: 503, saysNotRun: true }))), runs: [run()] }],
     ['a run that nobody sent', 'right-adapter', { runs: [run({ request: 'unknown' })] }],
--- a/packages/soak/test/run-witness.test.ts
+++ b/packages/soak/test/run-monitor.test.ts
@@ -7,7 +7,7 @@
 import { SampleCaller } from '@limpetwinch/platform'
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import type { Violation } from '../src/checks/soak-check.js'
-import { RunWitness } from '../src/observation/run-witness.js'
+import { RunMonitor } from '../src/observation/run-monitor.js'
 import { SoakRecord } from '../src/soak-record.js'
 
 const HELD_UP_MILLISECONDS = 400
@@ -16,13 +16,13 @@
 
 let server: Server
 let caller: SampleCaller
-let witness: RunWitness
+let witness: RunMonitor
 
 beforeEach(async () => {
   server = createServer((_incoming, outgoing) => { outgoing.end('yes') })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   caller = new SampleCaller(`http://127.0.0.1:${(server.address() as AddressInfo).port}`)
-  witness = new RunWitness('s1-', () => [])
+  witness = new RunMonitor('s1-', () => [])
   witness.start()
 })
 
@@ -38,7 +38,7 @@
   await caller.send({ id: 's1-1', route: 'list', deadlineMilliseconds: 5_000 })
   await meanwhile()
   const violation: Violation = { message: 'late', from, to: Date.now(), request: 's1-1', ...(instance === undefined ? {} : { instance }) }
-  return witness.accountOf(violation, new SoakRecord())
+  return witness.describeViolation(violation, new SoakRecord())
 }
 
 describe('the account of a violation', () => {
@@ -60,10 +60,10 @@
 
   it('holds what instances logged of the request, and what else the instance itself told', async () => {
     const account = await accountOf(async () => {
-      witness.hear('two', '{"request":"s1-1","label":"relay","level":"debug"}')
-      witness.hear('one', '{"request":"s1-10","label":"relay","level":"info"}')
-      witness.hear('one', '{"label":"clock","level":"warn"}')
-      witness.hear('two', '{"label":"store","level":"warn"}')
+      witness.addLine('two', '{"request":"s1-1","label":"relay","level":"debug"}')
+      witness.addLine('one', '{"request":"s1-10","label":"relay","level":"info"}')
+      witness.addLine('one', '{"label":"clock","level":"warn"}')
+      witness.addLine('two', '{"label":"store","level":"warn"}')
       await Promise.resolve()
     }, 'one')
     const lines = account.filter((line) => line.includes('label')).map((line) => line.slice(line.indexOf(' ') + 1))
@@ -71,11 +71,11 @@
   })
 
   it('forgets what other runs of the process sent', async () => {
-    const others = new RunWitness('s2-', () => [])
+    const others = new RunMonitor('s2-', () => [])
     others.start()
     await caller.send({ id: 's1-2', route: 'list', deadlineMilliseconds: 5_000 })
     others.stop()
-    const account = others.accountOf({ message: '', from: 0, to: Date.now(), request: 's1-2' }, new SoakRecord())
+    const account = others.describeViolation({ message: '', from: 0, to: Date.now(), request: 's1-2' }, new SoakRecord())
     expect(account.filter((line) => line.includes('written'))).toEqual([])
   })
 })
--- a/packages/stand-ins/src/bin/limpetwinch-develop.ts
+++ b/packages/stand-ins/src/bin/limpetwinch-develop.ts
@@ -48,7 +48,7 @@
 
   private explain (problem: string, deployment: Deployment): void {
     this.logToStderr(problem)
-    for (const line of deployment.written()) this.logToStderr(line)
+    for (const line of deployment.recentLines()) this.logToStderr(line)
   }
 
   private directions ({ platform, engines, services, entries }: RunningDeployment, deployment: Deployment): string {
--- a/packages/stand-ins/src/develop/command-line.ts
+++ b/packages/stand-ins/src/develop/command-line.ts
@@ -26,7 +26,7 @@
  * @param files - settings of paths that are not set yet
  * @returns nothing, or what the command line said to the first refusal
  */
-export async function putByCommandLine (access: CommandLineAccess, folder: string, files: readonly SettingsFile[]): Promise<Result<void, LimpetwinchError>> {
+export async function putSettingsByCommandLine (access: CommandLineAccess, folder: string, files: readonly SettingsFile[]): Promise<Result<void, LimpetwinchError>> {
   for (const { path, text } of files) {
     const file = join(folder, `${path.slice(1).replaceAll('/', '-')}.jsonc`)
     await writeFile(file, text)
--- a/packages/stand-ins/src/develop/deployment.ts
+++ b/packages/stand-ins/src/develop/deployment.ts
@@ -8,12 +8,12 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 import type { Logger } from '@limpetwinch/core'
 import { z } from 'zod'
-import { putByCommandLine } from './command-line.js'
+import { putSettingsByCommandLine } from './command-line.js'
 import { LaunchedProcess } from './launched-process.js'
 import { registerInstance } from './register-instance.js'
 import { BASE_MODEL, ENGINE_BATCH_CAPACITY, ENGINE_SLOTS, makeKey, sampleSettings } from './sample-settings.js'
 import type { DevelopmentKey, SampleEngine, SampleService, SettingsFile } from './sample-settings.js'
-import { untilInForce, untilReady } from './until-ready.js'
+import { untilSettingsInForce, untilReady } from './until-ready.js'
 
 /** An entry instance that listens. */
 export interface RunningEntry {
@@ -53,17 +53,17 @@
   readonly lost: string[] = []
   private readonly processes: LaunchedProcess[] = []
   private readonly logger: Logger
-  private readonly showLines: boolean
+  private readonly forwardsLines: boolean
   private folder: string | undefined
   private stopping = false
 
   /**
    * @param logger - where to report
-   * @param showLines - whether to pass on what the processes write
+   * @param forwardsLines - whether to pass on what the processes write
    */
-  constructor (logger: Logger, showLines: boolean) {
+  constructor (logger: Logger, forwardsLines: boolean) {
     this.logger = logger
-    this.showLines = showLines
+    this.forwardsLines = forwardsLines
   }
 
   /** @returns what runs, or the first failure; {@link Deployment.stop} is needed in both cases */
@@ -97,8 +97,8 @@
   }
 
   /** @returns the newest lines of all processes, each with the process's name */
-  written (): string[] {
-    return this.processes.flatMap((launched) => launched.written.map((line) => `[${launched.name}] ${line}`))
+  recentLines (): string[] {
+    return this.processes.flatMap((launched) => launched.recentLines.map((line) => `[${launched.name}] ${line}`))
   }
 
   /** Puts settings in at one instance and waits until they are in force at all. */
@@ -109,10 +109,10 @@
       if (ready.isErr()) return err(ready.error)
     }
     const { key } = this.administratorKey
-    const put = await putByCommandLine({ server: entries[0]?.admin ?? '', key }, this.folder ?? tmpdir(), files)
+    const put = await putSettingsByCommandLine({ server: entries[0]?.admin ?? '', key }, this.folder ?? tmpdir(), files)
     if (put.isErr()) return err(put.error)
     for (const entry of entries) {
-      const inForce = await untilInForce(entry.name, entry.admin, key, files.length, hopeless)
+      const inForce = await untilSettingsInForce(entry.name, entry.admin, key, files.length, hopeless)
       if (inForce.isErr()) return err(inForce.error)
     }
     return ok()
@@ -177,7 +177,7 @@
     // A start that is still under way when the deployment is stopped would leave its process behind.
     if (this.stopping) return err(new LimpetwinchError('process-failed', { name, reason: 'the deployment is being stopped' }))
     const launch = { name, script: fileURLToPath(new URL(script, import.meta.url)), scriptArguments }
-    const launched = new LaunchedProcess(launch, (reason) => this.reportLost(name, reason), (line) => this.passOn(name, line))
+    const launched = new LaunchedProcess(launch, (reason) => this.reportLost(name, reason), (line) => this.forwardLine(name, line))
     this.processes.push(launched)
     const line = await launched.untilReady()
     if (line.isErr()) return err(line.error)
@@ -197,7 +197,7 @@
     this.logger.error(`Process '${name}' ended unexpectedly with ${reason}.`)
   }
 
-  private passOn (name: string, line: string): void {
-    if (this.showLines) process.stderr.write(`[${name}] ${line}\n`)
+  private forwardLine (name: string, line: string): void {
+    if (this.forwardsLines) process.stderr.write(`[${name}] ${line}\n`)
   }
 }
--- a/packages/stand-ins/src/develop/launched-process.ts
+++ b/packages/stand-ins/src/develop/launched-process.ts
@@ -8,7 +8,7 @@
 import { LimpetwinchError } from '@limpetwinch/core'
 
 /** What to start. */
-export interface Launch {
+export interface LaunchOptions {
   /** The name in reports. */
   readonly name: string
   /** Path of the script that Node.js runs. */
@@ -18,9 +18,9 @@
   readonly environment?: Readonly<Record<string, string>>
 }
 
-const START_MILLISECONDS = 60_000
-const STOP_MILLISECONDS = 30_000
-const KEPT_LINES = 40
+const START_TIMEOUT_MILLISECONDS = 60_000
+const STOP_TIMEOUT_MILLISECONDS = 30_000
+const MAXIMUM_KEPT_LINES = 40
 
 /** A running process; its first line on standard output is JSON and tells where it listens. */
 export class LaunchedProcess {
@@ -28,7 +28,7 @@
   /** What the first line said; undefined before that. */
   ready: unknown
   private readonly child: ChildProcess
-  private readonly lastLines: string[] = []
+  private readonly keptLines: string[] = []
   private readonly ended: Promise<void>
   private readonly output: Promise<string | undefined>
   private stopping = false
@@ -41,7 +41,7 @@
    * @param onLine - gets what it writes on standard error
    * @param onOutput - gets what it writes on standard output, its first line included
    */
-  constructor (launch: Launch, onUnexpectedEnd: (reason: string) => void, onLine: (line: string) => void, onOutput: (line: string) => void = () => {}) {
+  constructor (launch: LaunchOptions, onUnexpectedEnd: (reason: string) => void, onLine: (line: string) => void, onOutput: (line: string) => void = () => {}) {
     this.name = launch.name
     this.child = spawn(process.execPath, [launch.script, ...launch.scriptArguments], { stdio: ['ignore', 'pipe', 'pipe'], env: { ...process.env, ...launch.environment } })
     this.ended = new Promise((resolve) => {
@@ -62,8 +62,8 @@
   }
 
   /** @returns the newest lines that it wrote on standard error */
-  get written (): readonly string[] {
-    return this.lastLines
+  get recentLines (): readonly string[] {
+    return this.keptLines
   }
 
   /**
@@ -72,7 +72,7 @@
    * @param milliseconds - how long it may take
    * @returns what it says, or `process-failed`
    */
-  async untilReady (milliseconds = START_MILLISECONDS): Promise<Result<unknown, LimpetwinchError>> {
+  async untilReady (milliseconds = START_TIMEOUT_MILLISECONDS): Promise<Result<unknown, LimpetwinchError>> {
     const timeout = new AbortController()
     const line = await Promise.race([
       this.output,
@@ -104,7 +104,7 @@
     if (this.hasEnded) return true
     this.child.kill('SIGTERM')
     const timeout = new AbortController()
-    await Promise.race([this.ended, sleep(STOP_MILLISECONDS, undefined, { signal: timeout.signal }).catch(() => undefined)])
+    await Promise.race([this.ended, sleep(STOP_TIMEOUT_MILLISECONDS, undefined, { signal: timeout.signal }).catch(() => undefined)])
     timeout.abort()
     const endedItself = this.hasEnded
     if (!endedItself) this.child.kill('SIGKILL')
@@ -131,8 +131,8 @@
   }
 
   private keep (line: string): void {
-    this.lastLines.push(line)
-    if (this.lastLines.length > KEPT_LINES) this.lastLines.shift()
+    this.keptLines.push(line)
+    if (this.keptLines.length > MAXIMUM_KEPT_LINES) this.keptLines.shift()
   }
 
   private failure (reason: string): LimpetwinchError {
--- a/packages/stand-ins/src/develop/register-instance.ts
+++ b/packages/stand-ins/src/develop/register-instance.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 
 /** One line of the list. */
-export interface Registration {
+export interface InstanceRegistration {
   readonly id: string
   readonly kind: 'entry' | 'endpoint'
   readonly address: string
@@ -10,7 +10,7 @@
 }
 
 /** Does what a real platform does by itself: puts one line, as live, on the list of instances. */
-export async function registerInstance (platform: string, line: Registration): Promise<void> {
+export async function registerInstance (platform: string, line: InstanceRegistration): Promise<void> {
   const answer = await request(`${platform}/control/instances`, { method: 'PUT', body: JSON.stringify({ ...line, state: 'live' }) })
   await answer.body.dump()
 }
--- a/packages/stand-ins/src/develop/sample-requests.ts
+++ b/packages/stand-ins/src/develop/sample-requests.ts
@@ -4,7 +4,7 @@
 import { SERVICE_NAME } from './sample-settings.js'
 
 /** An entry instance to ask. */
-export interface CallerAddress {
+export interface SampleTarget {
   readonly name: string
   readonly url: string
   readonly key: string
@@ -35,10 +35,10 @@
   readonly problem: string
 }
 
-const TOKENS = 8
+const MAXIMUM_TOKENS = 8
 /** Without a seed in the request its answer would be another one each time. */
 const SEED = 7
-const ANSWER_MILLISECONDS = 30_000
+const RESPONSE_TIMEOUT_MILLISECONDS = 30_000
 
 const QUESTIONS: readonly SampleQuestion[] = [
   { form: 'chat', stream: false, model: 'athletics/justification@1', servedBy: 'athletics/justification@1', prompt: 'Rank the 800 m.' },
@@ -53,14 +53,14 @@
  * @param instance - where to send them
  * @returns how each went
  */
-export async function sendSamples (instance: CallerAddress): Promise<SampleOutcome[]> {
+export async function sendSamples (instance: SampleTarget): Promise<SampleOutcome[]> {
   const outcomes: SampleOutcome[] = []
-  for (const question of QUESTIONS) outcomes.push(await caught(instance, labelOf(question), () => askModel(instance, question)))
-  outcomes.push(await caught(instance, 'plain service', () => askService(instance)))
+  for (const question of QUESTIONS) outcomes.push(await catchFailure(instance, labelOf(question), () => askModel(instance, question)))
+  outcomes.push(await catchFailure(instance, 'plain service', () => askService(instance)))
   return outcomes
 }
 
-async function caught (instance: CallerAddress, label: string, ask: () => Promise<SampleOutcome>): Promise<SampleOutcome> {
+async function catchFailure (instance: SampleTarget, label: string, ask: () => Promise<SampleOutcome>): Promise<SampleOutcome> {
   try {
     return await ask()
   } catch (problem) {
@@ -68,11 +68,11 @@
   }
 }
 
-async function askModel (instance: CallerAddress, question: SampleQuestion): Promise<SampleOutcome> {
+async function askModel (instance: SampleTarget, question: SampleQuestion): Promise<SampleOutcome> {
   const answer = await send(instance, question)
   const adapter = question.servedBy
   const prompt = question.form === 'chat' ? `user: ${question.prompt}\nassistant:` : question.prompt
-  const expected = expectedAnswer({ adapter, prompt, seed: SEED }, TOKENS)
+  const expected = expectedAnswer({ adapter, prompt, seed: SEED }, MAXIMUM_TOKENS)
   const passed = answer.status === 200 && answer.whole && answer.servedBy === adapter && answer.text === expected
   const detail = answer.status === 200
     ? `served by ${answer.servedBy}: "${answer.text}"${passed ? '' : ` (expected ${adapter}: "${expected}")`}`
@@ -80,25 +80,25 @@
   return outcomeOf(instance, labelOf(question), passed, detail)
 }
 
-async function send (instance: CallerAddress, { form, stream, model, prompt }: SampleQuestion): Promise<Answer> {
+async function send (instance: SampleTarget, { form, stream, model, prompt }: SampleQuestion): Promise<Answer> {
   const content = form === 'chat' ? { messages: [{ role: 'user', content: prompt }] } : { prompt }
   const path = form === 'chat' ? '/v1/chat/completions' : '/v1/completions'
   const response = await request(instance.url + path, {
     method: 'POST',
     headers: { authorization: `Bearer ${instance.key}`, 'content-type': 'application/json' },
-    body: JSON.stringify({ model, max_tokens: TOKENS, seed: SEED, stream, ...content }),
-    signal: AbortSignal.timeout(ANSWER_MILLISECONDS)
+    body: JSON.stringify({ model, max_tokens: MAXIMUM_TOKENS, seed: SEED, stream, ...content }),
+    signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MILLISECONDS)
   })
   const body = await response.body.text()
   if (response.statusCode !== 200) return { status: response.statusCode, servedBy: '', text: '', whole: false, problem: body }
   const { 'x-limpetwinch-team': team, 'x-limpetwinch-adapter': adapter, 'x-limpetwinch-version': version } = response.headers
   const servedBy = `${String(team)}/${String(adapter)}@${String(version)}`
-  const documents = stream ? streamed(body) : [body]
+  const documents = stream ? streamDocuments(body) : [body]
   return { status: 200, servedBy, text: documents.map(textOf).join(''), whole: !stream || body.endsWith('data: [DONE]\n\n'), problem: '' }
 }
 
 /** @returns the JSON documents of a stream without its end mark */
-function streamed (body: string): string[] {
+function streamDocuments (body: string): string[] {
   return body.split('\n\n')
     .filter((event) => event.startsWith('data: {'))
     .map((event) => event.slice('data: '.length))
@@ -115,10 +115,10 @@
   return choice?.text ?? choice?.message?.content ?? choice?.delta?.content ?? ''
 }
 
-async function askService (instance: CallerAddress): Promise<SampleOutcome> {
+async function askService (instance: SampleTarget): Promise<SampleOutcome> {
   const response = await request(`${instance.url}/services/${SERVICE_NAME}/schedule?day=1`, {
     headers: { authorization: `Bearer ${instance.key}`, 'x-limpetwinch-team': 'listings' },
-    signal: AbortSignal.timeout(ANSWER_MILLISECONDS)
+    signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MILLISECONDS)
   })
   const body = await response.body.text()
   if (response.statusCode !== 200) return outcomeOf(instance, 'plain service', false, `status ${response.statusCode}: ${body}`)
@@ -131,6 +131,6 @@
   return `${form}, ${stream ? 'streamed' : 'whole'}, ${model}`
 }
 
-function outcomeOf (instance: CallerAddress, label: string, passed: boolean, detail: string): SampleOutcome {
+function outcomeOf (instance: SampleTarget, label: string, passed: boolean, detail: string): SampleOutcome {
   return { passed, line: `${passed ? 'ok    ' : 'FAILED'} ${instance.name} | ${label} | ${detail}` }
 }
--- a/packages/stand-ins/src/develop/until-ready.ts
+++ b/packages/stand-ins/src/develop/until-ready.ts
@@ -8,12 +8,12 @@
 
 const READY_PATH = '/ready'
 const STATUS_PATH = '/admin/status'
-const WAIT_MILLISECONDS = 60_000
-const PAUSE_MILLISECONDS = 50
+const READY_TIMEOUT_MILLISECONDS = 60_000
+const POLL_INTERVAL_MILLISECONDS = 50
 
 const statusSchema = z.object({ settings: z.object({ paths: z.number() }) })
 
-interface Said {
+interface PolledResponse {
   readonly status: number
   readonly text: string
 }
@@ -36,28 +36,28 @@
  * @param hopeless - whether waiting on makes no sense
  * @returns nothing, or `process-failed` with what it said last
  */
-export async function untilInForce (name: string, admin: string, key: string, paths: number, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
-  const inForce = (said: Said): boolean => {
+export async function untilSettingsInForce (name: string, admin: string, key: string, paths: number, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
+  const inForce = (said: PolledResponse): boolean => {
     const status = statusSchema.safeParse(said.status === 200 ? JSON.parse(said.text) : undefined)
     return status.success && status.data.settings.paths >= paths
   }
   return await until(name, 'the settings are not in force', async () => await ask(admin + STATUS_PATH, key), inForce, hopeless)
 }
 
-async function until (name: string, complaint: string, look: () => Promise<Said>, enough: (said: Said) => boolean, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
-  const deadline = performance.now() + WAIT_MILLISECONDS
-  let said: Said = { status: 0, text: 'no answer' }
+async function until (name: string, complaint: string, look: () => Promise<PolledResponse>, enough: (said: PolledResponse) => boolean, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
+  const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS
+  let said: PolledResponse = { status: 0, text: 'no answer' }
   while (performance.now() < deadline && !hopeless()) {
     said = await look()
     if (enough(said)) return ok()
-    await sleep(PAUSE_MILLISECONDS)
+    await sleep(POLL_INTERVAL_MILLISECONDS)
   }
   return err(new LimpetwinchError('process-failed', { name, reason: `${complaint}: status ${said.status} ${said.text.slice(0, 300)}` }))
 }
 
-async function ask (url: string, key = ''): Promise<Said> {
+async function ask (url: string, key = ''): Promise<PolledResponse> {
   try {
-    const answer = await request(url, { headers: { authorization: `Bearer ${key}` }, signal: AbortSignal.timeout(WAIT_MILLISECONDS) })
+    const answer = await request(url, { headers: { authorization: `Bearer ${key}` }, signal: AbortSignal.timeout(READY_TIMEOUT_MILLISECONDS) })
     return { status: answer.statusCode, text: await answer.body.text() }
   } catch (problem) {
     return { status: 0, text: problem instanceof Error ? problem.message : String(problem) }
--- a/packages/stand-ins/src/engine/adapter-slots.ts
+++ b/packages/stand-ins/src/engine/adapter-slots.ts
@@ -20,7 +20,7 @@
 
 type LoadResult = Result<void, SlotRefusal>
 
-interface Loading {
+interface LoadInProgress {
   readonly result: Promise<LoadResult>
   readonly abandon: AbortController
 }
@@ -37,7 +37,7 @@
   readonly size: number
   private readonly source: WeightSource
   private readonly held = new Set<string>()
-  private readonly loading = new Map<string, Loading>()
+  private readonly loadsInProgress = new Map<string, LoadInProgress>()
 
   /**
    * @param size - number of slots
@@ -61,32 +61,32 @@
   /** Loads an adapter; a second order for the same name waits for the first. */
   async load (order: LoadBody): Promise<LoadResult> {
     if (this.held.has(order.name)) return ok()
-    const underWay = this.loading.get(order.name)
+    const underWay = this.loadsInProgress.get(order.name)
     if (underWay !== undefined) return await underWay.result
-    if (this.held.size + this.loading.size >= this.size) return err(refusal(409, 'no-free-slot', `All ${this.size} slots are taken.`))
+    if (this.held.size + this.loadsInProgress.size >= this.size) return err(refusal(409, 'no-free-slot', `All ${this.size} slots are taken.`))
     const abandon = new AbortController()
     const result = this.transfer(order, abandon.signal)
-    this.loading.set(order.name, { result, abandon })
+    this.loadsInProgress.set(order.name, { result, abandon })
     return await result
   }
 
   /** Takes an adapter out, also one that is still loading. */
   unload (name: string): void {
     this.held.delete(name)
-    this.loading.get(name)?.abandon.abort()
+    this.loadsInProgress.get(name)?.abandon.abort()
   }
 
   /** Empties all slots. */
   clear (): void {
     this.held.clear()
-    for (const { abandon } of this.loading.values()) abandon.abort()
+    for (const { abandon } of this.loadsInProgress.values()) abandon.abort()
   }
 
   private async transfer (order: LoadBody, signal: AbortSignal): Promise<LoadResult> {
     const adapter = `${order.source.team}/${order.source.adapter}@${order.source.version}`
     const fails = this.failsByFault(adapter)
     const problem = await this.fetchWeights(adapter, signal)
-    this.loading.delete(order.name)
+    this.loadsInProgress.delete(order.name)
     if (signal.aborted) return err(refusal(502, 'load-failed', `The load of '${adapter}' was given up.`))
     if (fails) return err(refusal(502, 'load-failed', `The load of '${adapter}' fails by fault.`))
     if (problem !== undefined) return err(refusal(502, 'load-failed', problem))
--- a/packages/stand-ins/src/engine/answer-text.ts
+++ b/packages/stand-ins/src/engine/answer-text.ts
@@ -11,8 +11,8 @@
 
 const CONSONANTS = 'bdfghjklmnprstvz'
 const VOWELS = 'aeiou'
-const SYLLABLES_IN_TOKEN = 3
-const CHARACTERS_IN_PROMPT_TOKEN = 4
+const SYLLABLES_PER_TOKEN = 3
+const CHARACTERS_PER_PROMPT_TOKEN = 4
 
 /** The words of one answer, computed from its question. */
 export class AnswerText {
@@ -34,7 +34,7 @@
   token (position: number): string {
     let state = mix(this.base ^ mix((position + this.salt) >>> 0))
     let word = position === 0 ? '' : ' '
-    for (let syllable = 0; syllable < SYLLABLES_IN_TOKEN; syllable += 1) {
+    for (let syllable = 0; syllable < SYLLABLES_PER_TOKEN; syllable += 1) {
       word += CONSONANTS.charAt(state % CONSONANTS.length) + VOWELS.charAt((state >>> 8) % VOWELS.length)
       state = mix(state)
     }
@@ -62,7 +62,7 @@
 
 /** @returns how many tokens the stand-in engine counts in a prompt */
 export function countPromptTokens (prompt: string): number {
-  return Math.max(1, Math.ceil(prompt.length / CHARACTERS_IN_PROMPT_TOKEN))
+  return Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_PROMPT_TOKEN))
 }
 
 /** Spreads 32 bits. */
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -30,7 +30,7 @@
   private readonly waiting: Sequence[] = []
   private timer: NodeJS.Timeout | undefined
   private steps = 0
-  private filled = 0
+  private usedPlaces = 0
 
   /**
    * @param options - step, capacity, queue
@@ -81,9 +81,9 @@
 
   /** @returns the mean share of a step that was used since the last call, 0 to 1 */
   takeFill (): number {
-    const fill = this.steps === 0 ? 0 : this.filled / (this.steps * this.capacity)
+    const fill = this.steps === 0 ? 0 : this.usedPlaces / (this.steps * this.capacity)
     this.steps = 0
-    this.filled = 0
+    this.usedPlaces = 0
     return fill
   }
 
@@ -97,7 +97,7 @@
     const began = performance.now()
     this.admit()
     this.steps += 1
-    this.filled += this.active.size
+    this.usedPlaces += this.active.size
     for (const sequence of this.active) this.advance(sequence)
     const idle = this.active.size === 0 && this.waiting.length === 0
     const rest = Math.max(0, this.stepMilliseconds - (performance.now() - began))
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -18,8 +18,8 @@
 
 /** Characters in one step of a prefix. */
 export const PREFIX_BLOCK_CHARACTERS = 256
-const MOST_KEPT_EVENTS = 4096
-const MOST_EVENTS_IN_ANSWER = 1024
+const MAXIMUM_KEPT_EVENTS = 4096
+const MAXIMUM_EVENTS_PER_RESPONSE = 1024
 const HASH_CHARACTERS = 16
 
 /**
@@ -63,7 +63,7 @@
     const visible = performance.now() - this.options.cacheEventLag
     return this.events
       .filter((event) => event.sequence > sequence && event.at <= visible)
-      .slice(0, MOST_EVENTS_IN_ANSWER)
+      .slice(0, MAXIMUM_EVENTS_PER_RESPONSE)
       .map(({ at, ...event }) => event)
   }
 
@@ -91,7 +91,7 @@
     const { cacheGapEvery } = this.options
     if (cacheGapEvery > 0 && this.sequence % cacheGapEvery === 0) return
     this.events.push({ sequence: this.sequence, kind, prefix, at: performance.now() })
-    if (this.events.length > 2 * MOST_KEPT_EVENTS) this.events = this.events.slice(-MOST_KEPT_EVENTS)
+    if (this.events.length > 2 * MAXIMUM_KEPT_EVENTS) this.events = this.events.slice(-MAXIMUM_KEPT_EVENTS)
   }
 }
 
--- a/packages/stand-ins/src/engine/sequence.ts
+++ b/packages/stand-ins/src/engine/sequence.ts
@@ -53,11 +53,11 @@
       this.readers.add(reader)
       return
     }
-    this.tell(reader)
+    this.notifyEnd(reader)
   }
 
   /** Takes a stream away. */
-  leave (reader: SequenceReader): void {
+  removeReader (reader: SequenceReader): void {
     this.readers.delete(reader)
   }
 
@@ -74,11 +74,11 @@
     this.result = result
     this.reason = reason
     this.endedAt = performance.now()
-    for (const reader of this.readers) this.tell(reader)
+    for (const reader of this.readers) this.notifyEnd(reader)
     this.readers.clear()
   }
 
-  private tell (reader: SequenceReader): void {
+  private notifyEnd (reader: SequenceReader): void {
     if (this.result === 'lost') {
       reader.fail(this.reason)
       return
--- a/packages/stand-ins/src/engine/stand-in-engine.ts
+++ b/packages/stand-ins/src/engine/stand-in-engine.ts
@@ -159,7 +159,7 @@
   private stream (context: Context<StandInEnvironment>, sequence: Sequence, from: number): Response {
     const { incoming, outgoing } = context.env
     const stream = new EventStream(outgoing as never, this.takeStreamFaults(), () => this.isSilent(incoming.socket))
-    outgoing.once('close', () => sequence.leave(stream))
+    outgoing.once('close', () => sequence.removeReader(stream))
     sequence.read(stream, from)
     return RESPONSE_ALREADY_SENT
   }
--- a/packages/stand-ins/src/history/history-recorder.ts
+++ b/packages/stand-ins/src/history/history-recorder.ts
@@ -45,7 +45,7 @@
 /** An event with the wall time at which it happened, milliseconds. */
 export type HistoryLine = StandInEvent & { readonly at: number }
 
-const MOST_KEPT_LINES = 200_000
+const MAXIMUM_KEPT_LINES = 200_000
 
 /** Records events in their order. */
 export class HistoryRecorder {
@@ -62,7 +62,7 @@
     const line = { at: Date.now(), ...event }
     this.lines.push(line)
     this.file?.write(`${JSON.stringify(line)}\n`)
-    if (this.lines.length > 2 * MOST_KEPT_LINES) this.lines = this.lines.slice(-MOST_KEPT_LINES)
+    if (this.lines.length > 2 * MAXIMUM_KEPT_LINES) this.lines = this.lines.slice(-MAXIMUM_KEPT_LINES)
   }
 
   /** @returns the newest events in memory, oldest first */
--- a/packages/stand-ins/src/http/stand-in-server.ts
+++ b/packages/stand-ins/src/http/stand-in-server.ts
@@ -25,7 +25,7 @@
   private server: Server | undefined
   private readonly sockets = new Set<Socket>()
   private readonly silent = new WeakSet<Socket>()
-  private silentConnectionsToCome = 0
+  private remainingSilentConnections = 0
 
   /** @returns the URL, once it listens */
   get url (): string {
@@ -43,7 +43,7 @@
    */
   async listen (port = 0, host = '127.0.0.1'): Promise<string> {
     const application = new Hono<StandInEnvironment>()
-    application.use(this.silence())
+    application.use(this.silenceMiddleware())
     this.routes(application)
     const server = createAdaptorServer({ fetch: application.fetch }) as Server
     server.on('connection', (socket) => this.accept(socket))
@@ -75,7 +75,7 @@
 
   /** Accepts so many of the next connections and says nothing on them. */
   protected silenceNextConnections (count: number): void {
-    this.silentConnectionsToCome = count
+    this.remainingSilentConnections = count
   }
 
   /** @returns whether nothing passes on a connection */
@@ -87,12 +87,12 @@
     socket.setNoDelay(true)
     this.sockets.add(socket)
     socket.on('close', () => this.sockets.delete(socket))
-    if (this.silentConnectionsToCome === 0) return
-    this.silentConnectionsToCome -= 1
+    if (this.remainingSilentConnections === 0) return
+    this.remainingSilentConnections -= 1
     this.silent.add(socket)
   }
 
-  private silence (): MiddlewareHandler<StandInEnvironment> {
+  private silenceMiddleware (): MiddlewareHandler<StandInEnvironment> {
     return async (context, next) => {
       const control = context.req.path.startsWith('/control/')
       const socket = context.env.incoming.socket
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -14,7 +14,7 @@
 export type { StandInApplication, StandInContext, StandInEnvironment } from './http/stand-in-server.js'
 export { runBinary } from './bin/serve-stand-in.js'
 export { LaunchedProcess } from './develop/launched-process.js'
-export type { Launch } from './develop/launched-process.js'
+export type { LaunchOptions as Launch } from './develop/launched-process.js'
 export { putSettings } from './develop/put-settings.js'
 export { registerInstance } from './develop/register-instance.js'
 export { makeKey } from './develop/sample-settings.js'
--- a/packages/stand-ins/src/platform/rate-limit.ts
+++ b/packages/stand-ins/src/platform/call-rate-limiter.ts
@@ -1,7 +1,7 @@
 /** The platform's rates, counted by call. */
 
 /** Allows so many calls in each second. */
-export class CallRate {
+export class CallRateLimiter {
   private readonly perSecond: number
   private windowStart = 0
   private used = 0
--- a/packages/stand-ins/src/platform/memory-object-store.ts
+++ b/packages/stand-ins/src/platform/memory-object-store.ts
@@ -31,7 +31,7 @@
   readonly before: Entry | undefined
 }
 
-const MOST_EARLIER_STATES = 8
+const MAXIMUM_EARLIER_STATES = 8
 
 /** Objects with versions; one instance stands for the whole platform service. */
 export class MemoryObjectStore extends ObjectStore {
@@ -43,17 +43,17 @@
 
   override get (path: string): ResultAsync<StoredObject | undefined, LimpetwinchError> {
     this.calls.reads += 1
-    return this.reach().map(() => this.visible(this.entries.get(path))?.object)
+    return this.applyCallFaults().map(() => this.visible(this.entries.get(path))?.object)
   }
 
   override list (prefix: string): ResultAsync<{ objects: readonly StoredObject[], cursor: number }, LimpetwinchError> {
     this.calls.reads += 1
-    return this.reach().map(() => this.page(prefix))
+    return this.applyCallFaults().map(() => this.page(prefix))
   }
 
   override put (write: ConditionalWrite): ResultAsync<number, LimpetwinchError> {
     this.calls.writes += 1
-    return this.reach().andThen(() => {
+    return this.applyCallFaults().andThen(() => {
       const present = this.entries.get(write.path)?.object
       const version = present?.version ?? 0
       if (version !== write.ifVersion) {
@@ -70,7 +70,7 @@
 
   override watch (prefix: string, cursor: number, waitMilliseconds: number, signal?: AbortSignal): ResultAsync<WatchStep, LimpetwinchError> {
     this.calls.watches += 1
-    return this.reach().andThen(() => ResultAsync.fromSafePromise<WatchStep, LimpetwinchError>(this.waitForChanges(prefix, cursor, waitMilliseconds, signal)))
+    return this.applyCallFaults().andThen(() => ResultAsync.fromSafePromise<WatchStep, LimpetwinchError>(this.waitForChanges(prefix, cursor, waitMilliseconds, signal)))
   }
 
   /** Puts back an earlier state, as a store restored from a copy would; versions go back with it. */
@@ -86,7 +86,7 @@
 
   private set (path: string, version: number, value: unknown): void {
     this.cursor += 1
-    const before = withoutStatesBefore(this.entries.get(path), MOST_EARLIER_STATES)
+    const before = limitEarlierStates(this.entries.get(path), MAXIMUM_EARLIER_STATES)
     const object = { path, version, value: structuredClone(value) }
     this.entries.set(path, { object, cursor: this.cursor, writtenAt: performance.now(), before })
     for (const wake of this.waiting) wake()
@@ -141,14 +141,14 @@
     })
   }
 
-  private reach (): ResultAsync<void, LimpetwinchError> {
+  private applyCallFaults (): ResultAsync<void, LimpetwinchError> {
     if (this.faults.outage) return errAsync(new LimpetwinchError('store-unavailable', { reason: 'outage' }))
     if (this.faults.slowness === 0) return okAsync(undefined)
     return ResultAsync.fromSafePromise(sleep(this.faults.slowness))
   }
 }
 
-function withoutStatesBefore (entry: Entry | undefined, kept: number): Entry | undefined {
+function limitEarlierStates (entry: Entry | undefined, kept: number): Entry | undefined {
   if (entry === undefined || kept === 0) return undefined
-  return { ...entry, before: withoutStatesBefore(entry.before, kept - 1) }
+  return { ...entry, before: limitEarlierStates(entry.before, kept - 1) }
 }
--- a/packages/stand-ins/src/platform/stand-in-platform.ts
+++ b/packages/stand-ins/src/platform/stand-in-platform.ts
@@ -9,7 +9,7 @@
 import { MemoryObjectStore } from './memory-object-store.js'
 import { instanceSchema, platformFaultsSchema, writeSchema } from './platform-bodies.js'
 import type { PlatformFaults } from './platform-bodies.js'
-import { CallRate } from './rate-limit.js'
+import { CallRateLimiter } from './call-rate-limiter.js'
 import { WeightStore } from './weight-store.js'
 
 /** How the stand-in platform behaves. */
@@ -34,8 +34,8 @@
   listLag: 500
 }
 
-const MOST_VALUE_BYTES = 1024 * 1024
-const LONGEST_WATCH_MILLISECONDS = 60_000
+const MAXIMUM_VALUE_BYTES = 1024 * 1024
+const MAXIMUM_WATCH_MILLISECONDS = 60_000
 
 /** The platform of a whole deployment. */
 export class StandInPlatform extends StandInServer {
@@ -43,8 +43,8 @@
   readonly history: HistoryRecorder
   private readonly list: LaggingList
   private readonly weights: WeightStore
-  private readonly reads: CallRate
-  private readonly writes: CallRate
+  private readonly reads: CallRateLimiter
+  private readonly writes: CallRateLimiter
   private refusedCalls = 0
   private loads = 0
   private weightsOutage = false
@@ -57,8 +57,8 @@
     this.history = new HistoryRecorder(all.history)
     this.list = new LaggingList(all.listLag)
     this.weights = new WeightStore(all)
-    this.reads = new CallRate(all.readsPerSecond)
-    this.writes = new CallRate(all.writesPerSecond)
+    this.reads = new CallRateLimiter(all.readsPerSecond)
+    this.writes = new CallRateLimiter(all.writesPerSecond)
     if (all.faults !== undefined) this.setFaults(all.faults)
   }
 
@@ -101,7 +101,7 @@
   }
 
   private async readObjects (context: Context<StandInEnvironment>): Promise<Response> {
-    if (!this.reads.take(performance.now())) return this.overRate(context)
+    if (!this.reads.take(performance.now())) return this.refuseOverRate(context)
     const path = context.req.query('path')
     if (path === undefined) {
       return (await this.store.list(context.req.query('prefix') ?? '')).match((page) => context.json(page), (error) => failed(context, error))
@@ -112,25 +112,25 @@
   }
 
   private async writeObject (context: Context<StandInEnvironment>): Promise<Response> {
-    if (!this.writes.take(performance.now())) return this.overRate(context)
+    if (!this.writes.take(performance.now())) return this.refuseOverRate(context)
     const body = await readBody(context, writeSchema)
     if (body.isErr()) return body.error
-    if (Buffer.byteLength(JSON.stringify(body.value.value ?? null)) > MOST_VALUE_BYTES) {
-      return refuse(context, 413, 'value-too-large', `A value may have up to ${MOST_VALUE_BYTES} bytes; split it over several objects.`)
+    if (Buffer.byteLength(JSON.stringify(body.value.value ?? null)) > MAXIMUM_VALUE_BYTES) {
+      return refuse(context, 413, 'value-too-large', `A value may have up to ${MAXIMUM_VALUE_BYTES} bytes; split it over several objects.`)
     }
     return (await this.store.put(body.value)).match((version) => context.json({ version }), (error) => failed(context, error))
   }
 
   private async watchObjects (context: Context<StandInEnvironment>): Promise<Response> {
-    if (!this.reads.take(performance.now())) return this.overRate(context)
+    if (!this.reads.take(performance.now())) return this.refuseOverRate(context)
     const { prefix = '', cursor = '0', wait = '0' } = context.req.query()
-    const milliseconds = Math.min(Number(wait) || 0, LONGEST_WATCH_MILLISECONDS)
-    const step = await this.store.watch(prefix, Number(cursor) || 0, milliseconds, goneSignal(context))
+    const milliseconds = Math.min(Number(wait) || 0, MAXIMUM_WATCH_MILLISECONDS)
+    const step = await this.store.watch(prefix, Number(cursor) || 0, milliseconds, disconnectSignal(context))
     return step.match((changes) => context.json(changes), (error) => failed(context, error))
   }
 
   private readInstances (context: Context<StandInEnvironment>): Response {
-    if (!this.reads.take(performance.now())) return this.overRate(context)
+    if (!this.reads.take(performance.now())) return this.refuseOverRate(context)
     this.store.calls.reads += 1
     if (this.store.faults.outage) return refuse(context, 503, 'outage', 'The platform is out.')
     return context.json({ instances: this.list.read() })
@@ -142,7 +142,7 @@
     if (adapter === '' || this.missingWeights.has(adapter)) {
       return refuse(context, 404, 'unknown-weights', `There are no weights for '${adapter}'.`)
     }
-    await this.weights.transfer(goneSignal(context))
+    await this.weights.transfer(disconnectSignal(context))
     this.loads += 1
     return context.json({ adapter })
   }
@@ -157,7 +157,7 @@
     return context.json({})
   }
 
-  private overRate (context: Context<StandInEnvironment>): Response {
+  private refuseOverRate (context: Context<StandInEnvironment>): Response {
     this.refusedCalls += 1
     context.header('Retry-After', '1')
     return refuse(context, 429, 'over-rate', 'The rate of calls is used up; come back after the time in Retry-After.')
@@ -173,7 +173,7 @@
 }
 
 /** @returns a signal that ends when the caller has gone */
-function goneSignal (context: Context<StandInEnvironment>): AbortSignal {
+function disconnectSignal (context: Context<StandInEnvironment>): AbortSignal {
   const controller = new AbortController()
   context.env.outgoing.once('close', () => controller.abort())
   return controller.signal
--- a/packages/stand-ins/test/binaries.test.ts
+++ b/packages/stand-ins/test/binaries.test.ts
@@ -44,6 +44,6 @@
     const { launched, ends } = launch('service', ['--faults', '{"unknown": 1}'])
     expect((await launched.untilReady())._unsafeUnwrapErr().message).toContain('ended before it listened')
     expect(ends).toEqual(['exit code 2'])
-    expect(launched.written.join()).toContain('unknown')
+    expect(launched.recentLines.join()).toContain('unknown')
   })
 })
