--- a/packages/core/src/clock/clock.ts
+++ b/packages/core/src/clock/clock.ts
@@ -6,7 +6,7 @@
   /** @returns milliseconds since the Unix epoch, for times that are compared between instances */
   abstract wallTime (): number
 
-  /** @returns monotonic milliseconds, for measuring durations; changes of the wall clock do not affect them */
+  /** @returns monotonic milliseconds, for measuring durations; changes of the wall clock do not affect this time */
   abstract now (): number
 
   /**
--- a/packages/core/src/endpoints/engine-client.ts
+++ b/packages/core/src/endpoints/engine-client.ts
@@ -35,13 +35,13 @@
 /** An event of a response stream: any number of parts, followed by exactly one end. */
 export type GenerationEvent = { readonly kind: 'part', readonly part: GeneratedPart } | { readonly kind: 'end', readonly end: GenerationEnd }
 
-/** An order to load or unload an adapter. It carries the owner's fencing token; some engines refuse an old token, others ignore tokens. */
+/** An order to load or unload an adapter. The order carries the owner's fencing token. Some engines refuse an old token, others ignore tokens. */
 export interface AdapterOrder {
   readonly name: LoadedName
   readonly token: FencingToken
 }
 
-/** The state of an engine as the engine reports it. A report is already out of date when it arrives. */
+/** The state that an engine reports. The state may have changed again before the report arrives. */
 export interface EngineReport {
   /** Wall time at which the engine made the report, in milliseconds. */
   readonly madeAt: number
@@ -55,11 +55,14 @@
   readonly queued: number
   /** Maximum number of sequences in one step of the engine. */
   readonly batchCapacity: number
-  /** Mean share of the batch capacity that was used since the previous report, from 0 to 1. */
+  /** Mean fraction of the batch capacity that was used per step since the previous report, from 0 to 1. */
   readonly batchFill: number
 }
 
-/** One event of the engine's prefix cache. A gap in the sequence numbers shows that events were lost. */
+/**
+ * One event of the engine's prefix cache, the cache of already processed prompt prefixes. A gap in the sequence numbers shows that
+ * events were lost.
+ */
 export interface CacheEvent {
   readonly sequence: number
   readonly kind: 'stored' | 'evicted'
@@ -72,11 +75,11 @@
  *
  * Errors: `endpoint-refused`, `adapter-not-loaded` (outcome `not_run`), `endpoint-failed` (outcome `unknown`, or
  * `not_run` when no connection could be made), `stale-fencing-token`, `no-free-slot`, `load-failed`. The details of an
- * `endpoint-failed` hold `heard: false` if the connection failed or an intermediary responded, so that the failure does
- * not come from the engine itself. The engine may then still be running the request.
+ * `endpoint-failed` error contain `heard: false` if the connection failed or an intermediary responded. The failure was then not
+ * reported by the engine, which may still be running the request.
  */
 export abstract class EngineClient {
-  /** Starts a request. The client never retries by itself. If an event is an error, it is the last one. */
+  /** Starts a request. The client never retries by itself. An error is always the last event. */
   abstract generate (request: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult>
 
   /** Continues the stream of a running or finished request from a position, on a new connection. */
@@ -88,7 +91,7 @@
   /** Loads an adapter. The result arrives when the adapter can be used. */
   abstract load (order: AdapterOrder, source: AdapterReference): ResultAsync<void, LimpetwinchError>
 
-  /** Unloads an adapter even if requests use it: the owner of the engine must make sure that none does. */
+  /** Unloads an adapter even if requests use the adapter: the owner of the engine must make sure that no request does. */
   abstract unload (order: AdapterOrder): ResultAsync<void, LimpetwinchError>
 
   /** Switches the engine to another base model or role. */
--- a/packages/core/src/endpoints/http-engine-client.ts
+++ b/packages/core/src/endpoints/http-engine-client.ts
@@ -21,10 +21,13 @@
 const ORDER_TIMEOUT_MILLISECONDS = 60_000
 /** Timeout of all other calls without a stream. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000
+/** Maximum size in bytes (16 MiB) of the response to a call without a stream. */
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
+/** Maximum size in bytes (64 KiB) of an error response to a call with a stream. */
 const MAXIMUM_REFUSAL_BYTES = 64 * 1024
+/** Maximum number of characters of one event of a stream, because a longer event could fill the memory. */
 const MAXIMUM_EVENT_CHARACTERS = 1024 * 1024
-/** Codes of an engine's refusals that are reported as errors of the same kind. */
+/** Codes with which an engine refuses a call, and which are reported as errors of the same kind. Other codes become `endpoint-refused`. */
 const REFUSAL_CODES: ReadonlySet<string> = new Set(['adapter-not-loaded', 'stale-fencing-token', 'no-free-slot', 'load-failed'])
 
 const endSchema = z.object({
@@ -222,8 +225,9 @@
 }
 
 /**
- * Gives every error of a resume the outcome `unknown`. The request was sent earlier, so an engine that no longer knows it
- * or no longer accepts connections may have run it. With the outcome `not_run` the caller would run it twice.
+ * Gives every error of a resume the outcome `unknown`. The request was sent earlier, so an engine that no longer knows the request
+ * or no longer accepts connections may have run it. With the outcome `not_run`, the code that resumed the stream would run the
+ * request twice.
  */
 async function * withUnknownOutcome (results: AsyncIterable<GenerationEventResult>): AsyncIterable<GenerationEventResult> {
   for await (const result of results) {
@@ -235,7 +239,7 @@
 /**
  * Decodes server-sent events from the chunks of a stream. Bytes that are not valid UTF-8 end the stream, because with
  * replacement characters the caller would receive text that the engine never generated. An event above the size limit
- * ends the stream too, because it could fill the memory.
+ * also ends the stream, because such an event could fill the memory.
  */
 class EventStreamDecoder {
   private readonly decoder = new TextDecoder('utf-8', { fatal: true })
--- a/packages/core/src/endpoints/http-service-client.ts
+++ b/packages/core/src/endpoints/http-service-client.ts
@@ -1,4 +1,4 @@
-/** The client of a plain service over HTTP. */
+/** The client of an endpoint of a plain service over HTTP. */
 import { ResultAsync } from 'neverthrow'
 import { Agent, request } from 'undici'
 import type { Dispatcher } from 'undici'
@@ -8,7 +8,9 @@
 import { ServiceClient } from './service-client.js'
 import type { ServiceAnswer, ServiceCall } from './service-client.js'
 
+/** Maximum size of a response body in bytes (16 MiB). */
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
+/** Maximum number of simultaneous connections to one endpoint. */
 const MAXIMUM_CONNECTIONS = 256
 
 /** A {@link ServiceClient} over HTTP. */
--- a/packages/core/src/errors/errors-data.ts
+++ b/packages/core/src/errors/errors-data.ts
@@ -1,6 +1,6 @@
 /** The table of all errors: each has a stable kind, a title, an HTTP status, an outcome and a message that names the remedy. */
 
-/** Whether the request may have run: `not_run` means that it provably has not, `unknown` that it may have. */
+/** Whether an endpoint may have run the request: `not_run` means that the request provably did not run, `unknown` that it may have run. */
 export type Outcome = 'not_run' | 'unknown'
 
 /** One row of the table. */
--- a/packages/core/src/errors/limpetwinch-error.ts
+++ b/packages/core/src/errors/limpetwinch-error.ts
@@ -1,4 +1,4 @@
-/** The error class of the project. Titles, HTTP statuses and messages of the errors are in the error table. */
+/** The error class of the project. Titles, HTTP statuses and messages of the errors are in the error table in errors-data.ts. */
 import { ERRORS } from './errors-data.js'
 import type { ErrorName, Outcome } from './errors-data.js'
 
--- a/packages/core/src/frames/frames.ts
+++ b/packages/core/src/frames/frames.ts
@@ -1,4 +1,7 @@
-/** The frames that entry instances exchange over TCP: each is encoded as CBOR and preceded by its length. */
+/**
+ * The frames (messages) that instances exchange over TCP. Each frame is encoded as CBOR and preceded by its length. In a frame that
+ * starts or answers a call, `call` is the number by which the sender of the call matches the response.
+ */
 import type { ErrorName, Outcome } from '../errors/errors-data.js'
 import type { AdapterReference } from '../ids/adapter-reference.js'
 import type { DataCentreId, EndpointId, FencingToken, InstanceId, LoadedName, RequestId, Revision, SettingsPath } from '../ids/ids.js'
@@ -13,22 +16,29 @@
   readonly address: string
 }
 
-/** Sent at every heartbeat interval. A peer whose heartbeats are missing is suspected first and then considered gone. */
+/** Sent at every heartbeat interval. A peer whose heartbeats are missing is first suspected and then considered to have left. */
 export interface HeartbeatFrame {
   readonly kind: 'heartbeat'
   readonly sequence: number
-  /** Sequence of the receiver's last heartbeat that arrived on this connection, 0 for none. It proves that this one was made later. */
+  /**
+   * Sequence number of the receiver's last heartbeat that arrived on this connection, 0 for none. The echo proves that the sender made
+   * this heartbeat after the receiver had sent the echoed one.
+   */
   readonly echo: number
   readonly leaving: boolean
   /** Hash over all settings revisions in force at the sender; different hashes show that one side lacks a change. */
   readonly settingsHash: string
-  /** Sequence of the latest ownership object that the sender knows, or of a write by the sender whose result is unknown. */
+  /**
+   * Sequence number of the latest ownership object (the stored record of which instance owns which endpoint) that the sender knows.
+   * While the response to a write by the sender is missing, this is the sequence number of that write if it is higher, because
+   * the write may have taken effect.
+   */
   readonly ownershipVersion: number
   /** Whether the sender's last call to the object API got a response. */
   readonly storeReachable: boolean
 }
 
-/** The sender's last frame: the sender runs no more requests, sends no more orders and ends. */
+/** The sender's last frame: the sender runs no more requests, sends no more orders to endpoints and then exits. */
 export interface GoodbyeFrame {
   readonly kind: 'goodbye'
 }
@@ -47,27 +57,29 @@
   readonly call: number
   readonly requestId: RequestId
   readonly endpoint: EndpointId
-  /** Undefined for the base model alone. */
+  /** The adapter that the request uses; undefined for the base model alone. */
   readonly adapter: AdapterReference | undefined
   readonly team: string
   readonly priority: number
   readonly promptTokens: number
   readonly maximumTokens: number
-  /** Remaining time that the caller will wait, in milliseconds. A duration does not depend on synchronised clocks. */
+  /** How much longer the caller will wait for the complete response, in milliseconds. A duration does not depend on synchronised clocks. */
   readonly patience: number
 }
 
-/** Admits a request: its adapter is loaded and stays pinned until `admission-done`. */
+/** Admits a request: its adapter is loaded and stays pinned, that is, protected from eviction, until `admission-done`. */
 export interface AdmissionGrantedFrame {
   readonly kind: 'admission-granted'
   readonly call: number
   readonly token: FencingToken
   readonly loadedName: LoadedName | undefined
+  /** Time that the request waited until its adapter was found loaded, in milliseconds. */
   readonly loadStall: number
+  /** Total time that the request waited for admission, in milliseconds. */
   readonly queueWait: number
 }
 
-/** Refuses a request, of which nothing was sent to the endpoint. */
+/** Refuses an `admission-ask`. Nothing of the request was sent to the endpoint. */
 export interface AdmissionRefusedFrame extends ErrorFrameBody {
   readonly kind: 'admission-refused'
   readonly call: number
@@ -82,7 +94,10 @@
   readonly outcome: 'answered' | 'not-run' | 'failed' | 'withdrawn'
 }
 
-/** Sent by a new owner to each member: asks which of its requests use the endpoint and tells it to accept no older token from then on. */
+/**
+ * Sent by a new owner of an endpoint to each member. The owner asks which of the member's requests use the endpoint, and tells the
+ * member to accept no admission under an older token from then on.
+ */
 export interface PinsAskFrame {
   readonly kind: 'pins-ask'
   readonly call: number
@@ -110,43 +125,49 @@
   readonly batchCapacity: number
   readonly leaving: boolean
   readonly healthy: boolean
-  /** Whether `added` lists all adapters of the endpoint, as `team/adapter@version`. Otherwise `added` and `removed` are changes since the last digest. */
+  /**
+   * If true, `added` lists all adapters loaded on the endpoint, as `team/adapter@version`. Otherwise `added` and `removed` are the
+   * changes since the previous digest.
+   */
   readonly full: boolean
   readonly added: readonly string[]
   readonly removed: readonly string[]
-  /** Number of requests that one more load is expected to stall because of the eviction it needs. */
+  /** Number of requests that one more load is expected to stall, because this load must evict an adapter that they need. */
   readonly evictionCost: number
 }
 
-/** A settings document, sent as a change of its previous text. */
+/** A settings document whose text is sent as a change of the previous text. */
 export interface SettingsEdit extends Omit<SettingsDocument, 'text'>, TextEdit {
   /** Write id of the document to which the change applies. */
   readonly base: string
 }
 
-/** Settings documents that the receiver may lack or know only in an older state. */
+/** Sends settings documents of which the receiver may have no state or only an older one. */
 export interface SettingsChangeFrame {
   readonly kind: 'settings-change'
   readonly documents: readonly SettingsDocument[]
   /**
-   * In a response to `settings-revisions`: `whole` for all newer documents, `more` for a part of them, `unready` if the sender
-   * does not have a complete state yet.
+   * Set only in a response to `settings-revisions`. `whole`: the response contains all newer documents. `more`: it contains a part
+   * of them, and the rest needs another request. `unready`: the sender does not have a complete state yet.
    */
   readonly answer?: 'whole' | 'more' | 'unready' | undefined
   /** Changes of documents whose previous text the receiver is expected to have. */
   readonly edits?: readonly SettingsEdit[] | undefined
 }
 
-/** The sender's settings revisions, sent when the settings hashes differ. The receiver responds with the documents that are newer on its side. */
+/** The sender's settings revisions, sent when the settings hashes differ. The receiver responds with the documents of which it has a newer state. */
 export interface SettingsRevisionsFrame {
   readonly kind: 'settings-revisions'
   readonly revisions: readonly { readonly path: SettingsPath, readonly revision: Revision, readonly writeId: string, readonly acceptedAt: number }[]
 }
 
-/** The latest ownership object that the sender knows, forwarded so that peers need not wait until they read it themselves. */
+/** The latest ownership object that the sender knows, forwarded so that peers need not wait until they read the object themselves. */
 export interface OwnershipFrame {
   readonly kind: 'ownership'
-  /** Sequence number in the object's value. The version in the store is not used, since it may decrease when the store is restored. */
+  /**
+   * Sequence number in the value of the ownership object. The version that the store gives the object is not used, since that version
+   * may decrease when the store is restored.
+   */
   readonly version: number
   readonly value: unknown
 }
@@ -157,40 +178,46 @@
   readonly call: number
   readonly endpoint: EndpointId
   readonly token: FencingToken
-  /** Whether the sender knew all earlier pins. If not, the receiver asks all members for their pins, as it does after the loss of an owner. */
+  /** Whether the sender knew all pins of earlier owners. If not, the receiver asks all members for their pins, as after the loss of an owner. */
   readonly recovered: boolean
   readonly loaded: readonly LoadedName[]
   readonly pins: readonly { readonly requestId: RequestId, readonly instance: InstanceId, readonly loadedName: LoadedName | undefined, readonly team: string }[]
 }
 
-/** Requests a turn to load from the weight store. */
+/** Requests a load turn, which is the right to load one adapter from the weight store. The receiver coordinates the turns of all instances. */
 export interface LoadTurnAskFrame {
   readonly kind: 'load-turn-ask'
   readonly call: number
   /** Id of the turn, chosen by the sender and repeated in `load-turn-done`. */
   readonly turn: string
-  /** Expected stall that the load ends; the largest value is granted first. */
+  /**
+   * How long requests have been stalled by the missing adapter, in milliseconds, weighted by the load ordering policy, plus the
+   * milliseconds that the sender has already waited for the turn. Of all waiting turns, the one with the highest urgency is granted first.
+   */
   readonly urgency: number
 }
 
-/** Releases a turn. */
+/** Releases a granted load turn, or withdraws a `load-turn-ask` that has not been granted yet. */
 export interface LoadTurnDoneFrame {
   readonly kind: 'load-turn-done'
   readonly turn: string
 }
 
-/** Weighted tokens that teams have used on the sender's endpoints since its previous frame of this kind, so that fairness holds across owners. */
+/**
+ * The tokens that each team has used on the sender's endpoints since the sender's previous frame of this kind, so that fair queueing
+ * counts the use at all owners. Tokens are weighted: an output token counts more than a prompt token.
+ */
 export interface TeamServiceFrame {
   readonly kind: 'team-service'
   readonly tokens: readonly { readonly team: string, readonly tokens: number }[]
 }
 
-/** Revisions of the parts of the cluster state that an instance knows. Each number only increases. */
+/** Revisions of the parts of the cluster state that an instance knows. The revision of a part never decreases. */
 export interface ClusterStateRevisions {
   readonly configuration: number
   readonly endpoints: number
   readonly announcements: number
-  /** Revision of the objects that limpetwinch itself keeps in the store; absent in frames of an older release. */
+  /** Revision of the objects that limpetwinch itself stores; absent in frames of an older release. */
   readonly cluster?: number | undefined
 }
 
@@ -198,29 +225,35 @@
 export interface BeliefsOfferFrame extends ClusterStateRevisions {
   readonly kind: 'beliefs-offer'
   /**
-   * Age, in milliseconds, of the latest read of the store from which the sender has received state, directly or through other
-   * instances; absent if there was none. A duration does not depend on synchronised clocks.
+   * Time in milliseconds since the latest read of the store that the sender knows of, by itself or by another instance; absent if
+   * the sender knows of none. A duration does not depend on synchronised clocks.
    */
   readonly readMillisecondsAgo?: number | undefined
 }
 
-/** Asks for the cluster state that is newer than these revisions. */
+/** Asks the receiver for all parts of the cluster state that are newer than the revisions in this frame. */
 export interface BeliefsAskFrame extends ClusterStateRevisions {
   readonly kind: 'beliefs-ask'
 }
 
-/** Changes of a collection of the store since the revision named in the request. */
+/** Changes of one collection of stored objects (endpoints, or limpetwinch's own objects) since the revision in the `beliefs-ask`. */
 export interface ChangedObjects {
   readonly revision: number
-  /** The changed objects, decoded. */
+  /**
+   * Array of the objects of the collection that changed, in the form in which instances keep them after decoding. The ingress package
+   * defines the types of these objects.
+   */
   readonly value: unknown
-  /** Names of all existing objects; the receiver removes objects with other names. */
+  /** Names of all existing objects of the collection; the receiver removes objects with other names. */
   readonly present?: readonly string[] | undefined
   /** Names of objects that the store lost in an outage and that may be written again within moments. */
   readonly lapsed?: readonly string[] | undefined
 }
 
-/** Decoded state of the store at a revision. A part is absent if the sender has no newer state of it. */
+/**
+ * Response to `beliefs-ask`: parts of the cluster state, decoded from the store, each with its revision. A part is absent if the sender's
+ * revision of the part is not higher than the revision in the `beliefs-ask`.
+ */
 export interface BeliefsFrame {
   readonly kind: 'beliefs'
   readonly configuration?: { readonly revision: number, readonly value: unknown } | undefined
@@ -235,7 +268,7 @@
   readonly role: 'hub' | 'leaf'
 }
 
-/** The instances to which a hub is connected. All instances receive it, so that an instance learns that another one is alive without a connection to it. */
+/** The instances to which a hub is connected. All instances receive this frame, and so learn which instances are alive without connecting to them. */
 export interface OverlayPresenceFrame {
   readonly kind: 'overlay-presence'
   readonly connected: readonly InstanceId[]
@@ -243,14 +276,14 @@
   readonly leaving: readonly InstanceId[]
 }
 
-/** A forwarded frame. An empty `to` addresses all instances. */
+/** A forwarded frame, still encoded, and the number of hops that the frame has made. An empty `to` addresses all instances. */
 export type OverlayItem = readonly [origin: InstanceId, to: InstanceId | '', hops: number, frame: Uint8Array]
 
-/** Forwarded frames of other instances or for other instances, still in the encoding of their origin. */
+/** Frames that the overlay forwards between instances. Each is still encoded as its origin encoded it. */
 export interface OverlayBatchFrame {
   readonly kind: 'overlay-batch'
   readonly items: readonly OverlayItem[]
-  /** Indexes in `items` of frames whose forwarding may be delayed; absent in frames of an older release. */
+  /** Indexes in `items` of the frames that may be delayed to be batched with later ones; absent in frames of an older release. */
   readonly patient?: readonly number[] | undefined
 }
 
@@ -260,12 +293,13 @@
   readonly requests: number
   /** Prompt tokens of requests to the endpoint that have not received a first event yet. */
   readonly prefillTokens: number
+  /** Engine memory used by the prompts and outputs of the requests, in tokens. */
   readonly memoryTokens: number
-  /** For each adapter key the number of running requests and the number of requests sent since the last digest. */
+  /** For each adapter key: the number of running requests, and the number of requests sent since the previous `relay-load` frame. */
   readonly adapters: readonly (readonly [key: string, running: number, sent: number])[]
 }
 
-/** The sender's work on all endpoints. Endpoints that are not listed have none. */
+/** The sender's work on all endpoints. The sender has no work on an endpoint that is not listed. */
 export interface RelayLoadFrame {
   readonly kind: 'relay-load'
   readonly loads: readonly RelayedLoad[]
@@ -275,26 +309,34 @@
 export interface AdaptersHeldFrame {
   readonly kind: 'adapters-held'
   readonly endpoint: EndpointId
-  /** Identifies the incarnation of the endpoint. */
+  /**
+   * Start time of the endpoint's current incarnation as its entry in the store states it, in Unix milliseconds; 0 if not stated. An
+   * endpoint that restarts under the same id has a later time, so a notice with a lower value is outdated.
+   */
   readonly born: number
   readonly token: FencingToken
-  /** Increases with each frame under one token. */
+  /** Increases with each frame that the sender sends about the endpoint under one token. */
   readonly sequence: number
+  /** Loaded adapters. */
   readonly held: readonly (readonly [key: string, version: number])[]
+  /** Keys of the adapters whose load is in progress. */
   readonly inFlight: readonly string[]
-  /** Adapters with a pending load, in no particular order; absent in frames of an older release. */
+  /** Keys of the adapters with a pending load, in no particular order; absent in frames of an older release. */
   readonly waiting?: readonly string[] | undefined
   /** Expected wait of one more load for its turn, in milliseconds; absent in frames of an older release. */
   readonly waitMilliseconds?: number | undefined
 }
 
-/** Changes of an endpoint's adapters since the load owner's previous frame about them. Usually only one of many adapters has changed. */
+/**
+ * Changes of an endpoint's adapters since the previous frame in which the load owner described them. Usually only one of many adapters
+ * has changed.
+ */
 export interface AdaptersChangedFrame {
   readonly kind: 'adapters-changed'
   readonly endpoint: EndpointId
   readonly born: number
   readonly token: FencingToken
-  /** One more than the sequence of the previous frame, to which these changes apply. */
+  /** One more than the sequence number of the previous frame. The changes apply to the state after that frame. */
   readonly sequence: number
   /** Added adapters, and adapters that are now loaded in another version. */
   readonly added: readonly (readonly [key: string, version: number])[]
@@ -312,15 +354,18 @@
   readonly key: string
   /** The minimum version that is useful to the sender. */
   readonly version: number
-  /** Whether requests wait for the adapter. Otherwise the load makes an additional copy. */
+  /** Whether a request waits for the adapter. If false, the adapter is loaded elsewhere already, and this load makes an additional copy. */
   readonly waiting: boolean
-  /** The waiting request, so that a request whose load is asked for repeatedly counts once; absent in frames of an older release. */
+  /** Id of the waiting request, so that a request that asks for the same load repeatedly counts once; absent in frames of an older release. */
   readonly request?: string | undefined
-  /** Time until a response to the request is late, in milliseconds; negative if it is late already. Absent in frames of an older release. */
+  /**
+   * Time left until the response to the waiting request is late by its latency objective, in milliseconds; negative if the response is
+   * late already. Absent in frames of an older release.
+   */
   readonly onTimeMilliseconds?: number | undefined
 }
 
-/** Tells the instance that sent a `load-ask` that the load was not ordered, so that it chooses another endpoint. */
+/** Tells the instance that sent a `load-ask` that the load was not ordered, so that this instance chooses another endpoint. */
 export interface LoadRefusedFrame {
   readonly kind: 'load-refused'
   readonly endpoint: EndpointId
@@ -331,45 +376,57 @@
 /** Reports that an endpoint crashed, and which requests of the sender were in flight on it. */
 export interface EndpointCrashFrame {
   readonly kind: 'endpoint-crash'
-  /** The endpoint and its incarnation. */
+  /** Id of the endpoint and start time of the crashed incarnation, as `id/born`. */
   readonly life: string
   readonly service: string
+  /** Time since the crash when this frame was sent, in milliseconds. */
   readonly millisecondsAgo: number
-  /** For each request in flight how long it had been on the endpoint, and whether it ran in isolation from other suspected requests. */
+  /**
+   * The requests in flight. For each: how long the request had been on the endpoint, in milliseconds, and whether the request ran in
+   * isolation from other suspected requests.
+   */
   readonly aboard: readonly (readonly [fingerprint: string, milliseconds: number, isolated: boolean])[]
 }
 
-/** Coordinates isolated runs: only one instance at a time runs a suspected request, isolated from other suspected requests. */
+/**
+ * Coordinates isolated runs of requests that are suspected of crashing endpoints. Only one instance at a time runs a suspected request,
+ * on an endpoint that runs no other suspected request.
+ */
 export interface RequestTrialFrame {
   readonly kind: 'request-trial'
   readonly fingerprint: string
   /**
-   * `claimed` asks peers for objections, `running` is such an objection, `sent` tells peers to count this run, `over` ends it, and
-   * `completed` clears the request of all suspicion.
+   * `claimed`: the sender wants to run the request and asks peers for objections. `running`: such an objection, because a claim of
+   * the sender conflicts. `sent`: the request was sent to the endpoint, and peers count the run. `over`: the run ended.
+   * `completed`: the run completed without a crash, which clears the request of all suspicion.
    */
   readonly state: 'claimed' | 'running' | 'sent' | 'over' | 'completed'
-  /** The endpoint on which the request runs; absent when it no longer runs. */
+  /** The endpoint on which the request runs; absent when the request no longer runs. */
   readonly endpoint?: EndpointId | undefined
-  /** Maximum duration of the request in milliseconds. */
+  /** Time after which the sender's claim to run the request lapses, in milliseconds; 0 when the run is over. */
   readonly milliseconds: number
 }
 
-/** Reports the quarantine of a request, which is not sent to endpoints because it crashes them. */
+/** Reports the quarantine of a request: no instance sends the request to endpoints, because the request is held responsible for crashes. */
 export interface RequestVerdictFrame {
   readonly kind: 'request-verdict'
   readonly fingerprint: string
+  /** Number of crashes that are attributed to the request. */
   readonly crashes: number
+  /** Number of quarantines in a row without a completed run between them. */
   readonly strikes: number
+  /** Whether it is ruled out that the request was in flight at the crashes by coincidence. */
   readonly certain: boolean
+  /** Time in milliseconds until one trial run of the request is allowed. */
   readonly remainingMilliseconds: number
 }
 
-/** Endpoints that the platform lists as leaving, for peers whose own copy of the list is older or who cannot reach the platform. */
+/** Endpoints that the platform lists as leaving. Sent for peers whose copy of the platform's list is older, or that cannot reach the platform. */
 export interface EndpointsLeavingFrame {
   readonly kind: 'endpoints-leaving'
   /** All leaving endpoints, so that receivers also learn that an endpoint is no longer leaving. */
   readonly leaving: readonly string[]
-  /** Age of the read of the list when this frame was sent. A duration does not depend on synchronised clocks. */
+  /** Time in milliseconds from the read of the list until this frame was sent. A duration does not depend on synchronised clocks. */
   readonly readMillisecondsAgo: number
 }
 
--- a/packages/core/src/http/bounded-text.ts
+++ b/packages/core/src/http/bounded-text.ts
@@ -1,4 +1,4 @@
-/** Reads HTTP bodies up to a maximum size. */
+/** Reads HTTP response bodies, as text or bytes, up to a maximum size. */
 
 /** The error for a response that exceeds its maximum size. */
 export class OversizedResponseError extends Error {
@@ -10,12 +10,12 @@
 
 /**
  * Reads a complete body as text. Without the limit, an endless body would use up the memory of the instance and end every
- * request on it. Leaving the loop early closes the connection, so the sender stops as well.
+ * request on it. When the limit is exceeded, the read ends early, which closes the connection, so the sender stops as well.
  *
  * @param body - the chunks of the body
  * @param maximumBytes - the maximum size of the body in bytes
  * @returns the decoded text
- * @throws OversizedResponseError if the body is larger, TypeError if it is not UTF-8
+ * @throws OversizedResponseError if the body is larger, TypeError if the body is not UTF-8
  */
 export async function readBoundedText (body: AsyncIterable<Uint8Array>, maximumBytes: number): Promise<string> {
   return new TextDecoder('utf-8', { fatal: true }).decode(await readBoundedBytes(body, maximumBytes))
--- a/packages/core/src/ids/adapter-reference.ts
+++ b/packages/core/src/ids/adapter-reference.ts
@@ -12,7 +12,7 @@
   readonly version: AdapterVersion
 }
 
-/** The `model` of a caller's request. Without a version it means the adapter's current version. */
+/** The `model` of a caller's request. Without a version, the name means the adapter's current version. */
 export interface ModelName {
   readonly team: TeamId
   readonly adapter: AdapterName
@@ -50,8 +50,8 @@
  * Builds the name under which an adapter is loaded on an engine.
  *
  * An engine that ignores fencing tokens would carry out a late unload order of an earlier owner. With the token in the
- * name, that order names an adapter which requests of the current owner do not use. Likewise, the generation protects an
- * owner's requests from a late unload order of the same owner whose response was lost.
+ * name, that order names an adapter that no request of the current owner uses. The current owner's own unload order can arrive late
+ * as well, if the response to the order was lost. The generation in the name protects the owner's later requests from that order.
  *
  * @param reference - the adapter to load
  * @param token - the owner's fencing token if the engine ignores fencing, else undefined
--- a/packages/core/src/ids/ids.ts
+++ b/packages/core/src/ids/ids.ts
@@ -6,14 +6,14 @@
 
 declare const brand: unique symbol
 
-/** A value with a compile-time tag, so that it cannot be confused with other values of the same type. */
+/** A value with a compile-time tag, so that the compiler rejects it where a differently tagged value of the same type is expected. */
 export type Branded<Value, Name extends string> = Value & { readonly [brand]: Name }
 
-/** One run of an entry instance. An instance that replaces it at the same address has another id. */
+/** Identifies one run of an instance's process. A later process at the same address has another id. */
 export type InstanceId = Branded<string, 'InstanceId'>
 /** A data centre, which has its own instances and endpoints. */
 export type DataCentreId = Branded<string, 'DataCentreId'>
-/** A team. Adapters belong to teams; limits and fair shares apply to teams. */
+/** A team. Adapters belong to teams. Limits apply to teams, and fair queueing divides the use of engines between teams. */
 export type TeamId = Branded<string, 'TeamId'>
 /** An endpoint: a model engine or an endpoint of a plain service. */
 export type EndpointId = Branded<string, 'EndpointId'>
@@ -23,7 +23,7 @@
 export type AdapterVersion = Branded<string, 'AdapterVersion'>
 /** The name under which an adapter is loaded on an engine: `team/adapter@version`, followed by `~token` if the engine ignores fencing. */
 export type LoadedName = Branded<string, 'LoadedName'>
-/** The id of one request of a caller: a UUIDv7, which contains the time of its creation. */
+/** The id of one request of a caller: a UUIDv7, which contains the time at which the id was created. */
 export type RequestId = Branded<string, 'RequestId'>
 /** A key chosen by the caller for a request that must not run twice. */
 export type IdempotencyKey = Branded<string, 'IdempotencyKey'>
--- a/packages/core/src/logger/line-sink.ts
+++ b/packages/core/src/logger/line-sink.ts
@@ -1,4 +1,4 @@
-/** Writes log lines without blocking when their reader is slow or has stopped reading. */
+/** Writes log lines without blocking the process when the reader of the lines is slow or has stopped reading. */
 import { write } from 'node:fs'
 
 /**
@@ -7,13 +7,13 @@
  */
 export type LinePriority = 'step' | 'outcome' | 'fault'
 
-/** Maximum size of the buffer: it holds some seconds of lines at full load and is small enough for a small instance. */
+/** Maximum size of the buffer in bytes (2 MiB): the buffer holds some seconds of lines at full load and is small enough for a small instance. */
 const MAXIMUM_BUFFERED_BYTES = 2 * 1024 * 1024
-/** Share of the buffer up to which lines of a priority are accepted. */
+/** For each priority, how full the buffer may become, as a fraction of its maximum size, before further lines of this priority are dropped. */
 const BUFFER_SHARE_OF_PRIORITY: Readonly<Record<LinePriority, number>> = { step: 0.5, outcome: 0.9, fault: 1 }
-/** Maximum size of one write, since the lines of a write are copied into a second buffer. */
+/** Maximum size of one write in bytes. The lines of a write are copied into a second buffer, so this also bounds that buffer. */
 const MAXIMUM_WRITE_BYTES = 64 * 1024
-/** Delay before a write, so that lines are batched: a write wakes a worker thread and then this thread, which costs more than the line itself. */
+/** Delay before a write, so that lines are batched: a write wakes a worker thread and then this thread, which costs more than a line itself. */
 const WRITE_DELAY_MILLISECONDS = 25
 /** Delay before a retry when a non-blocking pipe is full. */
 const FULL_PIPE_RETRY_MILLISECONDS = 50
--- a/packages/core/src/logger/logger.ts
+++ b/packages/core/src/logger/logger.ts
@@ -3,7 +3,7 @@
 import Transport from 'winston-transport'
 import type { LinePriority, LineSink } from './line-sink.js'
 
-/** The format of log lines. */
+/** The format of log lines: a readable line of text, or one JSON object for each line. */
 export type LogFormat = 'text' | 'json'
 
 /** The severities of log lines, most severe first. */
@@ -25,7 +25,7 @@
   return `${timestamp} ${level} [${label}] ${message}${fieldsText}`
 })
 
-/** Uses JSON.stringify, which suffices because all fields are plain values; winston's own JSON format checks each value in turn. */
+/** Formats a line with JSON.stringify, which suffices because all fields are plain values. The JSON format of winston checks each value in turn. */
 const jsonLine = winston.format.printf((entry) => JSON.stringify(entry))
 
 /** Wraps a winston logger, which has no labels of its own, and adds the label to each line. */
@@ -37,7 +37,7 @@
 }
 
 /**
- * Creates the logger of a process. It writes to standard error, since standard output is reserved for results.
+ * Creates the logger of a process. The logger writes to standard error, since standard output is reserved for results.
  *
  * @param format - text or JSON lines
  * @param level - the least severe level that is written
@@ -53,6 +53,7 @@
   return labelledLogger(target, 'process')
 }
 
+/** The priority with which a {@link LineSink} keeps the lines of each level when its buffer is nearly full. */
 const PRIORITY_OF_LEVEL: Readonly<Record<string, LinePriority>> = { error: 'fault', warn: 'fault', info: 'outcome', debug: 'step' }
 /** The key under which winston stores the formatted line. */
 const MESSAGE = Symbol.for('message')
@@ -73,7 +74,7 @@
 }
 
 /**
- * Creates the logger of a process whose failures are investigated from its log alone. It writes JSON lines without blocking.
+ * Creates the logger of a process whose failures are investigated from its log alone. The logger writes JSON lines without blocking.
  *
  * @param sink - receives the lines
  * @param level - the least severe level that is written
--- a/packages/core/src/platform/http-instance-list.ts
+++ b/packages/core/src/platform/http-instance-list.ts
@@ -1,4 +1,4 @@
-/** The platform's instance list over HTTP. */
+/** The client that reads the platform's list of instances and endpoints over HTTP. */
 import { ResultAsync } from 'neverthrow'
 import { Agent, request } from 'undici'
 import { z } from 'zod'
@@ -7,6 +7,7 @@
 import { InstanceList } from './instance-list.js'
 import type { ListedInstance } from './instance-list.js'
 
+/** Timeout of one read of the list. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000
 
 const listSchema = z.object({
--- a/packages/core/src/platform/http-object-store.ts
+++ b/packages/core/src/platform/http-object-store.ts
@@ -8,9 +8,11 @@
 import { isRefusedStatus, neverConnected, reasonOf, StoreConnection, storeUnavailableError } from './store-connection.js'
 import type { StoreAnswer } from './store-connection.js'
 
+/** Timeout of each call except a watch. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000
-/** Time beyond the requested wait after which a watch call times out. */
+/** How much longer than the requested wait a watch call may take before it times out. */
 const WATCH_GRACE_MILLISECONDS = 2_000
+/** Maximum number of simultaneous connections to the platform; each waiting watch occupies one. */
 const MAXIMUM_CONNECTIONS = 16
 
 const storedObjectSchema = z.object({ path: z.string(), version: z.number(), value: z.unknown() })
@@ -19,7 +21,7 @@
 const versionSchema = z.object({ version: z.number() })
 const conflictSchema = z.object({ version: z.number(), value: z.unknown().optional() })
 
-/** Numbers of calls made by this client, by the kinds that the platform counts, and of failed calls. */
+/** Number of calls that this client has made, for each kind of call that the platform counts, and number of calls that failed. */
 export interface ObjectStoreCalls {
   reads: number
   writes: number
@@ -27,7 +29,7 @@
   failed: number
 }
 
-/** An {@link ObjectStore} over HTTP. It never retries a call by itself. */
+/** An {@link ObjectStore} over HTTP. The client never retries a call by itself. */
 export class HttpObjectStore extends ObjectStore {
   readonly calls: ObjectStoreCalls = { reads: 0, writes: 0, watches: 0, failed: 0 }
   private readonly connection: StoreConnection
--- a/packages/core/src/platform/object-store.ts
+++ b/packages/core/src/platform/object-store.ts
@@ -20,7 +20,7 @@
   readonly changes: readonly StoredObject[]
 }
 
-/** A write that takes effect only if the object is at the version `ifVersion`; 0 means that the object must not exist. */
+/** A write that takes effect only if the object is at the version `ifVersion`. The version 0 means that the object must not exist. */
 export interface ConditionalWrite {
   readonly path: string
   readonly ifVersion: number
--- a/packages/core/src/platform/store-connection.ts
+++ b/packages/core/src/platform/store-connection.ts
@@ -6,7 +6,7 @@
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import { readBoundedBytes } from '../http/bounded-text.js'
 
-/** Maximum size of a response, large enough for a list of all objects of a deployment. */
+/** Default maximum size of a response body in bytes (64 MiB), large enough for a list of all objects of a deployment. */
 const MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024
 /** Statuses by which a store says that it did not carry out a write: it was too large, over the rate limit, or sent during an outage. */
 const REFUSED_STATUSES: ReadonlySet<number> = new Set([413, 429, 503])
@@ -18,7 +18,7 @@
   readonly target: string
   /** The request body, sent as JSON. */
   readonly body?: unknown
-  /** Timeout of the call. */
+  /** Timeout of the whole call, including the response body, in milliseconds. */
   readonly milliseconds: number
   /** Cancels the call. */
   readonly signal?: AbortSignal | undefined
@@ -27,7 +27,7 @@
 /** The response to a call. */
 export interface StoreAnswer {
   readonly status: number
-  /** The parsed JSON body, or undefined for any other body, such as an error page; the status then tells enough. */
+  /** The parsed JSON body, or undefined for any other body, such as an error page; callers then use the status alone. */
   readonly body: unknown
 }
 
@@ -35,9 +35,9 @@
 export interface StoreConnectionOptions {
   /** Maximum number of simultaneous connections; a waiting watch occupies one. */
   readonly connections: number
-  /** Timeout for opening a connection; a connection that takes longer counts as never made. */
+  /** Timeout for opening a connection, in milliseconds. A connection that takes longer counts as never made. */
   readonly connectMilliseconds?: number
-  /** Maximum size of a response body. */
+  /** Maximum size of a response body in bytes. */
   readonly maximumAnswerBytes?: number
 }
 
@@ -55,7 +55,7 @@
     const { connections, connectMilliseconds, maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = options
     this.base = base
     this.maximumAnswerBytes = maximumAnswerBytes
-    // undici closes the connection of a cancelled or timed out call, because it cannot be used after a lost response.
+    // A cancelled or timed out call needs no cleanup here: undici closes its connection, which cannot be reused after a lost response.
     this.agent = new Agent({ connections, pipelining: 1, ...(connectMilliseconds === undefined ? {} : { connect: { timeout: connectMilliseconds } }) })
   }
 
--- a/packages/core/src/settings/cross-checks.ts
+++ b/packages/core/src/settings/cross-checks.ts
@@ -1,13 +1,14 @@
 /**
- * Checks across several values, which a schema of single values cannot express. They read raw values, so that their problems
- * are also reported for documents that violate the schema.
+ * Checks that a schema cannot express, because they compare several values: fields of one settings document with each other, and a
+ * team's document with the limits that operators have set for the team. The checks read raw values, so that problems are also
+ * reported for a document that violates the schema.
  */
 import type { SettingsPath, TeamId } from '../ids/ids.js'
 import { nearestKey } from './nearest-key.js'
 import { grantedPriority } from './operator-settings.js'
 import type { OperatorSettings } from './operator-settings.js'
 
-/** A problem and its location in the document. */
+/** A problem found by a check, and the location of the problem in the document. */
 export interface PlacedProblem {
   /** Keys and list indexes from the root to the value. */
   readonly place: readonly (string | number)[]
@@ -15,7 +16,7 @@
 }
 
 /**
- * Checks a document for contradictions between its values and with the other settings.
+ * Checks a document for contradictions between the values in it, and for contradictions to the settings in force.
  *
  * @param path - path of the document
  * @param team - the team that owns the document, if any
--- a/packages/core/src/settings/instance-settings.ts
+++ b/packages/core/src/settings/instance-settings.ts
@@ -19,7 +19,7 @@
   dataCentre: z.string().regex(/^[a-z0-9][a-z0-9._-]{0,63}$/i, "use letters, digits, '.', '_' or '-'"),
   /** Base URL of the platform. */
   platform: z.url({ protocol: /^https?$/ }),
-  /** SHA-256 of the administrators' key. */
+  /** SHA-256 of the administrators' key, as 64 lower-case hex digits. */
   administratorKeySha256: z.string().regex(/^[0-9a-f]{64}$/, 'write the SHA-256 of the key as 64 hex digits'),
   logs: z.strictObject({
     format: z.enum(['text', 'json']).default('text'),
@@ -27,22 +27,27 @@
   }).prefault({}),
   /** Destination of metrics over DogStatsD; without it no metrics are sent. */
   metrics: z.strictObject({ host: z.string().min(1), port: z.int().min(1).max(65_535).default(8125) }).optional(),
+  /** Limits of the HTTP servers, and of the time that a stop may take. */
   limits: z.strictObject({
     bodyBytes: z.int().positive().default(1_048_576),
     headerBytes: z.int().positive().default(16_384),
     connections: z.int().positive().default(10_000),
     headerSeconds: seconds.default(10),
     bodySeconds: seconds.default(30),
-    /** Maximum time that a stop waits for requests in progress. */
+    /** Maximum time in seconds that a stopping instance waits for its requests in progress; the remaining ones are cut off. */
     stopSeconds: seconds.default(600)
   }).prefault({}),
   timing: z.strictObject({
-    /** Heartbeat interval. With 36 peers and 800 ms, heartbeats cost about 2.8 KB a second; a peer is suspected after three missed heartbeats. */
+    /**
+     * Interval between the heartbeats to each peer. With 36 peers and 800 ms, heartbeats cost about 2.8 KB a second. With the defaults,
+     * a peer is suspected after three missed heartbeats.
+     */
     heartbeatMilliseconds: milliseconds.default(800),
     /** Time without a heartbeat after which a peer is suspected. */
     suspectMilliseconds: milliseconds.default(2_400),
     /** Interval between reads of the instance list by each instance. Each read counts against the platform's rate limit. */
     instanceListMilliseconds: milliseconds.default(3_000),
+    /** Maximum time that the platform may hold one watch call for settings while nothing changes. */
     settingsWatchMilliseconds: milliseconds.default(5_000)
   }).prefault({})
 })
@@ -62,12 +67,13 @@
 }
 
 const VARIABLE_PREFIX = 'LIMPETWINCH_'
-/** Variables with the same prefix that override no setting: they belong to the command line client, or name the settings file. */
+/** Variables with the same prefix that override no setting: the command line client reads them, or they name the settings file. */
 const OTHER_VARIABLES: ReadonlySet<string> = new Set(['LIMPETWINCH_SERVER', 'LIMPETWINCH_KEY', 'LIMPETWINCH_SETTINGS'])
 
 /** All values that a command line flag or an environment variable may override. */
 export const INSTANCE_SETTINGS_OVERRIDES: readonly InstanceSettingsOverride[] = overridesOf(instanceSettingsSchema, [])
 
+/** One value to override, as read from a command line flag or an environment variable. */
 interface Override {
   readonly place: readonly string[]
   readonly value: string | number
--- a/packages/core/src/settings/line-diff.ts
+++ b/packages/core/src/settings/line-diff.ts
@@ -1,14 +1,19 @@
-/** Line-based differences between two texts. */
+/** Computes a line-based diff of two texts, to show what a change of settings did. */
 
+/** Number of unchanged lines shown before and after each change. */
 const CONTEXT_LINES = 3
-/** Maximum number of cells in the comparison table. Beyond it the middle is shown as replaced, since comparing two large texts would take minutes. */
+/**
+ * Maximum number of cells in the table with which two texts are compared. For larger texts, all lines between the common beginning and
+ * the common end are shown as replaced, since comparing them would take minutes.
+ */
 const MAXIMUM_TABLE_CELLS = 4_000_000
 
 interface DiffLine {
   readonly mark: ' ' | '-' | '+'
   readonly text: string
-  /** Line numbers, from 1, of the line's position in the earlier and in the later text. */
+  /** Line number, from 1, of the line's position in the earlier text. */
   readonly before: number
+  /** Line number, from 1, of the line's position in the later text. */
   readonly after: number
 }
 
--- a/packages/core/src/settings/nearest-key.ts
+++ b/packages/core/src/settings/nearest-key.ts
@@ -1,4 +1,4 @@
-/** Suggests the known word that is nearest to an unknown word. */
+/** Suggests the known word that is nearest to an unknown word, for error messages about misspelled names. */
 
 /** @returns the number of letters to insert, delete, replace or swap with a neighbour to turn one word into the other */
 export function editDistance (left: string, right: string): number {
@@ -19,7 +19,7 @@
   return last[right.length] ?? 0
 }
 
-/** Longer words are compared only up to this length. */
+/** Number of characters up to which an unknown word is compared, which bounds the work for a very long word. */
 const MAXIMUM_COMPARED_CHARACTERS = 80
 
 /**
--- a/packages/core/src/settings/operator-settings.ts
+++ b/packages/core/src/settings/operator-settings.ts
@@ -1,4 +1,4 @@
-/** Settings made by operators and by owners of teams. Each path is one document, stored in one object of the store. */
+/** The settings that operators and the owners of teams write. The settings under one path are one document, stored as one object. */
 import { z } from 'zod'
 import type { AdapterName, AdapterVersion, DataCentreId, EndpointId, PriorityClass, Revision, SettingsPath, TeamId } from '../ids/ids.js'
 
@@ -18,6 +18,7 @@
     sha256: z.string().regex(/^[0-9a-f]{64}$/, 'write the SHA-256 of the key as 64 hex digits'),
     role: z.enum(['caller', 'owner']).default('caller')
   })).default([]),
+  /** Limits of the team in the whole deployment; each instance enforces an equal part of them. */
   limits: z.strictObject({
     requestsPerSecond: positive.default(1000),
     tokensPerSecond: positive.default(200_000),
@@ -28,10 +29,13 @@
   priorityClasses: z.record(name, z.int().min(0).max(9)).default({ normal: 5 })
 })
 
-/** `/shares`: weights of teams; a team that is not listed has weight 1. Only operators may write it. */
+/**
+ * `/shares`: the weights of teams. A team's weight sets how large its part of the engines' use is compared to other teams. A team that
+ * is not listed has weight 1. Only operators may write this document.
+ */
 export const sharesSettingsSchema = z.strictObject({
   weights: z.record(name, positive).default({}),
-  /** The highest priority that each team may use; a team that is not listed may use up to 5. */
+  /** The highest priority that each team may use; a team that is not listed may use priorities up to 5. */
   highestPriority: z.record(name, z.int().min(0).max(9)).default({})
 })
 
@@ -53,11 +57,16 @@
   })).default({})
 })
 
-/** `/policy`: the weighting of decisions. */
+/** `/policy`: settings of the policies for routing, loads and the duration of requests. */
 export const policySettingsSchema = z.strictObject({
-  /** 0 puts load stalls first, 1 puts batch efficiency first. */
+  /** Trade-off between avoiding load stalls, which are waits for an adapter to be loaded (0), and filling the engines' batches (1). */
   batchEfficiencyWeight: z.number().min(0).max(1).default(0.5),
+  /**
+   * Rate of adapter loads in the whole deployment. Each instance paces its loads at an equal part of this rate while no coordinator
+   * grants load turns, and policies estimate the duration of a load from this rate.
+   */
   loadsPerSecond: positive.default(4),
+  /** Maximum duration of a request, in seconds. */
   longestRequestSeconds: positive.default(600)
 })
 
@@ -67,18 +76,19 @@
 export type SharesSettings = z.infer<typeof sharesSettingsSchema>
 /** Engines and plain services. */
 export type EndpointsSettings = z.infer<typeof endpointsSettingsSchema>
-/** Weighting of the decisions. */
+/** Settings of the policies for routing, loads and the duration of requests. */
 export type PolicySettings = z.infer<typeof policySettingsSchema>
 
-/** One accepted state of the settings under one path, in the form that is stored and sent to peers. */
+/** One accepted state of the settings under one path, in the form in which instances store it and send it to peers. */
 export interface SettingsDocument {
   readonly path: SettingsPath
   /** Increases by one with each accepted change, including a deletion. */
   readonly revision: Revision
   /** JSON with comments as the operator wrote it; undefined when the path was deleted. */
   readonly text: string | undefined
-  /** Identifies the write, so that it can be recognised when its response was lost. */
+  /** Identifies the write that stored this state, so that the writer recognises its own write when the response was lost. */
   readonly writeId: string
+  /** Wall time at which the change was accepted, in Unix milliseconds. */
   readonly acceptedAt: number
   readonly author: string
 }
--- a/packages/core/src/settings/schema-problems.ts
+++ b/packages/core/src/settings/schema-problems.ts
@@ -13,7 +13,7 @@
  * @param schema - the schema
  * @param text - the text, used to determine lines and columns
  * @param parsed - the value and the syntax tree of the text
- * @returns the value with defaults filled in, or at most the first hundred problems
+ * @returns the value with defaults filled in, or the first problems, up to {@link MAXIMUM_PROBLEMS}
  */
 export function checkBySchema<Value> (schema: z.ZodType<Value>, text: string, parsed: ParsedText): { value: Value } | { problems: SettingsProblem[] } {
   const result = schema.safeParse(parsed.value, { reportInput: true })
@@ -35,7 +35,7 @@
   return [problemAt(text, offset, place.join('.'), messageOf(issue, parsed.value, place))]
 }
 
-/** @returns the message for an unknown key */
+/** @returns the message for an unknown key, which names the nearest known key or else lists all known keys */
 export function unknownKeyMessage (key: string, known: readonly string[]): string {
   const nearest = nearestKey(key, known)
   const choice = nearest === undefined ? `use one of ${known.map((word) => `'${word}'`).join(', ')}` : `write '${nearest}'`
--- a/packages/core/src/settings/settings-checks.ts
+++ b/packages/core/src/settings/settings-checks.ts
@@ -1,4 +1,4 @@
-/** Checks whether a text is acceptable as the settings of a path. */
+/** Checks whether a text is acceptable as the settings document of a path: its syntax, its schema and the checks across values. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { z } from 'zod'
@@ -45,7 +45,7 @@
 }
 
 /**
- * Reads a text that was accepted earlier, possibly by another release.
+ * Parses the text of a settings document that was accepted earlier, possibly by another release.
  *
  * @returns the value with defaults filled in, or undefined if this release cannot read the text
  */
--- a/packages/core/src/settings/settings-edits.ts
+++ b/packages/core/src/settings/settings-edits.ts
@@ -1,13 +1,13 @@
-/** Edits settings texts while keeping their comments and layout. */
+/** Applies patches to settings texts. The comments and the layout of the text are kept. */
 import { applyEdits, modify } from 'jsonc-parser'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
 import { parseSettingsText } from './settings-text.js'
 
-/** A value to write at one place in a document; the value undefined removes what is there. */
+/** A value to write at one place in a document. The value undefined removes the value at that place. */
 export interface PlacedValue {
-  /** Keys from the root. For a list the key is an index, or `-` to append at its end. */
+  /** Keys from the root. For a list the key is an index, or `-` to append at the end of the list. */
   readonly place: readonly string[]
   readonly value: unknown
 }
@@ -23,7 +23,7 @@
 const END_OF_LIST = -1
 
 /**
- * Applies a patch to a text. Everything that the patch does not name stays as it was written.
+ * Applies a patch to a text. Text that the patch does not name is not changed.
  *
  * @param text - JSON with comments, or undefined for an empty document
  * @param patch - the patch to apply
--- a/packages/core/src/settings/settings-paths.ts
+++ b/packages/core/src/settings/settings-paths.ts
@@ -1,4 +1,4 @@
-/** The paths of settings documents. */
+/** Validates and builds the paths of settings documents. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '../errors/limpetwinch-error.js'
@@ -10,8 +10,8 @@
 const TEAM_PATH = /^\/teams\/([a-z0-9][a-z0-9._-]{0,63})$/i
 
 /**
- * Validates a path from untrusted input. Only the exact form is accepted: with an encoded slash, `..` or a double slash the
- * check of the caller's key could see another document than the store.
+ * Validates a path from untrusted input. Only the exact form is accepted. With an encoded slash, `..` or a double slash, the
+ * check of the caller's key could refer to another document than the path in the store does.
  *
  * @param text - the path as written
  * @returns the path, or the error `unknown-settings-path`
--- a/packages/core/src/settings/settings-text.ts
+++ b/packages/core/src/settings/settings-text.ts
@@ -21,16 +21,19 @@
 }
 
 const PARSE_OPTIONS = { allowTrailingComma: true, allowEmptyContent: false }
+/** Maximum nesting depth of a text. The parser is recursive, so deep nesting could overflow the stack. */
 const MAXIMUM_DEPTH = 32
+/** Maximum number of reported syntax problems. */
 const MAXIMUM_SYNTAX_PROBLEMS = 20
 /**
  * Maximum number of reported problems. Finding the position of each problem takes a pass over the text. Without the limit, a
  * text of a hundred kilobytes with a problem in every line would block the instance for more than ten seconds.
  */
 export const MAXIMUM_PROBLEMS = 100
-/** Token numbers of jsonc-parser, whose own names for them exist only at compile time. */
+/** Token numbers of jsonc-parser. The names that jsonc-parser gives these numbers exist only at compile time. */
 const TOKEN = { openBrace: 1, closeBrace: 2, openBracket: 3, closeBracket: 4, end: 17 }
 
+/** For each syntax error of jsonc-parser, the message that tells the operator what to write instead. */
 const SYNTAX_REMEDIES: Readonly<Record<string, string>> = {
   InvalidSymbol: "this is not a JSON value; write text in double quotes, a number, true, false, null, '{' or '['",
   InvalidNumberFormat: 'this is not a number; write digits such as 12 or 0.5',
@@ -65,7 +68,7 @@
  * Parses JSON with comments and trailing commas.
  *
  * @param text - the document
- * @returns the value and the syntax tree, or the syntax problems, up to a limit
+ * @returns the value and the syntax tree, or the problems: bad syntax, too deep nesting or duplicate keys
  */
 export function parseSettingsText (text: string): { parsed: ParsedText } | { problems: readonly SettingsProblem[] } {
   const tooDeep = offsetDeeperThan(text, MAXIMUM_DEPTH)
@@ -85,7 +88,7 @@
  */
 export function parseAcceptedText (text: string): unknown {
   try {
-    // Many times faster than a parser that supports comments. Every instance parses each change while it relays tokens.
+    // JSON.parse is many times faster than a parser that supports comments. Every instance parses each change while it relays tokens.
     return JSON.parse(text)
   } catch {
     return parseWithComments(text)
@@ -109,7 +112,7 @@
 }
 
 /**
- * Finds the position of a value. For a missing value it is the position of the nearest enclosing value.
+ * Finds the position of a value. For a missing value, the result is the position of the nearest enclosing value.
  *
  * @param root - root of the syntax tree
  * @param path - keys and indexes from the root
@@ -126,8 +129,8 @@
 }
 
 /**
- * Checks the nesting depth with the scanner. The parser is recursive, so a text of brackets alone would crash the process by a
- * stack overflow.
+ * Finds the first place at which a text is nested too deeply, with the scanner instead of the parser. The parser is recursive, so
+ * a text of brackets alone would crash the process by a stack overflow.
  */
 function offsetDeeperThan (text: string, deepest: number): number | undefined {
   const scanner = createScanner(text, true)
--- a/packages/core/src/settings/text-edit.ts
+++ b/packages/core/src/settings/text-edit.ts
@@ -1,4 +1,4 @@
-/** Describes a change of a text as one replaced range, so that a large document need not be sent for a small change. */
+/** Describes a change of a text as one replaced range, so that a small change can be sent without the rest of a large document. */
 
 /** Replaces the characters from `start` up to, but not including, `end`. Offsets count UTF-16 code units. */
 export interface TextEdit {
--- a/packages/entry/src/bin/limpetwinch-entry.ts
+++ b/packages/entry/src/bin/limpetwinch-entry.ts
@@ -1,12 +1,14 @@
 #!/usr/bin/env node
-/** Runs one entry instance. */
+/** The program that runs one entry instance until it receives SIGTERM or SIGINT. */
 import { readFileSync } from 'node:fs'
 import { Command, flush, Flags, handle } from '@oclif/core'
 import { createLogger, INSTANCE_SETTINGS_OVERRIDES, LimpetwinchError, loadInstanceSettings } from '@limpetwinch/core'
 import type { InstanceSettings } from '@limpetwinch/core'
 import { EntryInstance } from '../entry-instance.js'
 
+/** Exit code when the settings or the environment are refused. */
 const EXIT_USAGE = 2
+/** Exit code when requests were cut off because the stop timeout had passed. */
 const EXIT_CUT_OFF = 3
 
 const overrideFlags = Object.fromEntries(INSTANCE_SETTINGS_OVERRIDES.map(({ flag, place }) =>
--- a/packages/entry/src/concurrency/backoff.ts
+++ b/packages/entry/src/concurrency/backoff.ts
@@ -1,8 +1,10 @@
-/** Increasing, jittered waits between attempts, so that many instances do not retry at the same moment. */
+/** Exponential backoff: increasing waits between attempts, with random jitter so that many instances do not retry at the same moment. */
 
-/** Bounds of the wait ceiling, in milliseconds. */
+/** Bounds of the ceiling in milliseconds. The ceiling is the longest that the next wait can be. */
 export interface BackoffBounds {
+  /** The ceiling of the first wait. */
   readonly first: number
+  /** The highest value to which the ceiling grows. */
   readonly largest: number
 }
 
@@ -22,7 +24,7 @@
     this.ceiling = bounds.first
   }
 
-  /** @returns the next wait in milliseconds, between half the ceiling and the ceiling; the ceiling then doubles, up to its bound */
+  /** @returns the next wait in milliseconds, between half the ceiling and the ceiling; the ceiling then doubles, up to the largest ceiling */
   next (): number {
     const wait = this.ceiling * (1 + this.random()) / 2
     this.ceiling = Math.min(this.ceiling * 2, this.bounds.largest)
--- a/packages/entry/src/concurrency/for-each-limited.ts
+++ b/packages/entry/src/concurrency/for-each-limited.ts
@@ -1,4 +1,4 @@
-/** Concurrent processing of many items with a limit. */
+/** Processes many items concurrently, with a limit on the number in progress. */
 
 /**
  * Processes all items, with a limited number in progress at the same time.
--- a/packages/entry/src/concurrency/task-group.ts
+++ b/packages/entry/src/concurrency/task-group.ts
@@ -11,7 +11,7 @@
     this.logger = logger
   }
 
-  /** Starts a task. Its failure is logged and reaches neither the caller nor the other tasks. */
+  /** Starts a task. If the task fails, the failure is logged and reaches neither the caller nor the other tasks. */
   spawn (label: string, task: () => Promise<void>): void {
     const running = task().catch((cause: unknown) => {
       const reason = cause instanceof Error ? cause.stack : String(cause)
--- a/packages/entry/src/concurrency/wake.ts
+++ b/packages/entry/src/concurrency/wake.ts
@@ -1,4 +1,4 @@
-/** Wakes tasks that wait for a change. */
+/** Lets tasks of one process wait for a change and be woken when it occurs. */
 
 /** A condition variable without a value: a waiting task checks its condition again after each wake. */
 export class Wake {
@@ -12,7 +12,7 @@
   }
 
   /**
-   * Waits for a wake.
+   * Waits until {@link Wake.notify} is called.
    *
    * @param milliseconds - maximum duration of the wait
    * @param signal - ends the wait early; the promise then resolves
--- a/packages/entry/src/endpoints/endpoint-clients.ts
+++ b/packages/entry/src/endpoints/endpoint-clients.ts
@@ -1,4 +1,4 @@
-/** The clients of endpoints, one for each URL. Each client keeps its connections open. */
+/** Keeps the clients with which an instance calls endpoints, one client for each URL. Each client keeps its connections open for reuse. */
 import { HttpServiceClient } from '@limpetwinch/core'
 import type { EndpointId, EngineClient, EngineSettings, HttpEngineClient, ServiceClient } from '@limpetwinch/core'
 
--- a/packages/entry/src/entry-components.ts
+++ b/packages/entry/src/entry-components.ts
@@ -15,7 +15,10 @@
 import { SettingsFollower } from './settings/settings-follower.js'
 import type { SettingsFollowerDependencies } from './settings/settings-follower.js'
 
-/** Creates the production components. The fault tests subclass it with faulty components to verify that their checks find the faults. */
+/**
+ * Creates the production components. Subclasses in the fault tests create faulty components instead, to verify that the checks of the
+ * tests find the faults.
+ */
 export class EntryComponents {
   /** @returns the client of an engine */
   engineClient (engine: EngineSettings): HttpEngineClient {
--- a/packages/entry/src/entry-instance.ts
+++ b/packages/entry/src/entry-instance.ts
@@ -1,4 +1,4 @@
-/** One entry instance: it connects all components and runs them under one supervisor tree. */
+/** One entry instance: creates all components, connects them and runs them under one supervisor tree. */
 import type { HttpBindings } from '@hono/node-server'
 import type { Hono } from 'hono'
 import { HttpInstanceList, HttpObjectStore, newInstanceId, SystemClock } from '@limpetwinch/core'
@@ -40,17 +40,23 @@
 import { SettingsHistory } from './settings/settings-history.js'
 import { SettingsWriter } from './settings/settings-writer.js'
 
-/** Time without an event after which a stream is resumed on a new connection. */
+/** Time without an event after which the response stream of an engine is resumed on a new connection. */
 const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5_000
-/** Maximum number of successive resumes of a stream that bring no further part of the response. */
+/**
+ * Maximum number of successive resumes of a response stream that bring no further part of the response. After more of them, the stream
+ * counts as stalled if connections failed, and the request fails if the engine itself reported the failures.
+ */
 const RESUMES_WITHOUT_PROGRESS = 3
-/** Time after which an instance becomes ready even if it has not received the digests of all owners. */
+/**
+ * Time after the first settings were applied at which an instance becomes ready even if it has not received the digests of all owners. A
+ * digest is the state of an endpoint for routing, sent by the owner of the endpoint.
+ */
 const OWNER_DIGESTS_TIMEOUT_MILLISECONDS = 10_000
-/** Time for the load balancer and the peers to notice that this instance is not ready, before it stops accepting connections. */
+/** How long a stopping instance still accepts connections, so that the load balancer and the peers can notice that the instance is not ready. */
 const LEAVING_ANNOUNCEMENT_MILLISECONDS = 1_000
-/** Time for the goodbye to reach the peers before the connections are closed. */
+/** Time between sending the goodbye frame and closing the peer connections, so that the frame can reach the peers. */
 const GOODBYE_DELIVERY_MILLISECONDS = 50
-/** Maximum time that an instance waits for its hand-overs after its last request has ended. */
+/** Maximum time that a stopping instance waits, after its last request has ended, until its endpoints are handed over to new owners. */
 const HAND_OVER_TIMEOUT_MILLISECONDS = 3_000
 
 /** The addresses on which an instance listens. */
@@ -224,13 +230,17 @@
     return cut
   }
 
-  /** Finishes all requests. New ones are accepted until the load balancer has had time to notice that this instance is no longer ready. */
+  /**
+   * Finishes all requests and hands over the owned endpoints. New requests are accepted until the load balancer has had time to notice
+   * that this instance is no longer ready.
+   */
   private async drain (): Promise<void> {
     const handOverTimeout = new AbortController()
     const handedOver = this.handOvers.handOverAll(AbortSignal.any([this.supervisor.signal, handOverTimeout.signal]))
     await this.clock.sleep(LEAVING_ANNOUNCEMENT_MILLISECONDS)
     await Promise.allSettled([this.callerServer.close(), this.work.finished()])
-    // If all instances stop, no instance is left to hand over to. Endpoints that are not handed over get new owners as after a crash.
+    // The wait is limited: if all instances stop, no instance is left to hand over to. Endpoints that are not handed over get new owners
+    // as after a crash.
     const timer = setTimeout(() => handOverTimeout.abort(), HAND_OVER_TIMEOUT_MILLISECONDS)
     const remaining = await handedOver
     clearTimeout(timer)
@@ -240,7 +250,7 @@
     await this.clock.sleep(GOODBYE_DELIVERY_MILLISECONDS)
   }
 
-  /** Ends at once, like a crash, for tests. */
+  /** Ends this instance without finishing its requests or announcing the end, like a crash. Used by tests. */
   async kill (): Promise<void> {
     this.callerServer.destroy()
     await this.end()
@@ -358,7 +368,10 @@
     return settingsRoutes({ follower, writer, history, administratorKeySha256, bodySeconds: limits.bodySeconds })
   }
 
-  /** Responds to a new owner with the requests of this instance that may still run on the endpoint, and refuses grants under older tokens from then on. */
+  /**
+   * Responds to the `pins-ask` of a new owner with the requests of this instance that may still run on the endpoint. From then on, this
+   * instance refuses admissions that were granted under older tokens.
+   */
   private handlePinsAsks (): void {
     this.network.onCall('pins-ask', async (_from, frame) => ({
       kind: 'pins-report',
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry instance and its components. */
+/** The exports of the package: the entry instance, and the components that other packages and tests use. */
 export * from './peers/peer-network.js'
 export * from './membership/membership.js'
 export * from './ownership/ownership.js'
--- a/packages/entry/src/runtime/linked-abort.ts
+++ b/packages/entry/src/runtime/linked-abort.ts
@@ -1,6 +1,10 @@
 /** An abort controller that also follows a parent signal and can be detached from it. */
 
-/** Adds only one listener to the parent signal, while AbortSignal.any keeps a list that only garbage collection clears. */
+/**
+ * An abort controller whose signal aborts when the parent signal aborts, or when {@link LinkedAbort.abort} is called. Each LinkedAbort
+ * adds one listener to the parent signal, and {@link LinkedAbort.unlink} removes this listener. AbortSignal.any offers no such removal:
+ * the parent signal keeps a list of the signals derived from it, which only garbage collection clears.
+ */
 export class LinkedAbort {
   private readonly controller = new AbortController()
   private readonly parent: AbortSignal
--- a/packages/entry/src/runtime/supervisor.ts
+++ b/packages/entry/src/runtime/supervisor.ts
@@ -1,10 +1,12 @@
 /** Supervision of long-lived tasks, which are restarted after a crash and stopped together. */
 import type { Clock, Logger } from '@limpetwinch/core'
 
+/** Delay before the first restart of a crashed task; the delay doubles with each further crash. */
 const INITIAL_RESTART_DELAY_MILLISECONDS = 50
+/** Maximum delay before a restart of a crashed task. */
 const MAXIMUM_RESTART_DELAY_MILLISECONDS = 5_000
 
-/** A long-lived task, which ends when its signal is aborted. */
+/** A long-lived task, which ends when the signal passed to it is aborted. */
 export type Task = (signal: AbortSignal) => Promise<void>
 
 /**
@@ -26,7 +28,7 @@
     this.clock = clock
   }
 
-  /** Aborted when this node is stopped. */
+  /** The signal of this node, aborted when the node is stopped. */
   get signal (): AbortSignal {
     return this.controller.signal
   }
@@ -40,7 +42,7 @@
    * @returns a promise that resolves when the task has ended and will not be restarted
    */
   start (name: string, task: Task, signal?: AbortSignal): Promise<void> {
-    // Each task gets its own signal. On a shared signal Node.js reports the listeners of a dozen healthy tasks as a leak,
+    // Each task gets its own signal. On a shared signal, Node.js would report the listeners of a dozen healthy tasks as a leak,
     // and a real leak in one task could not be distinguished from the listeners of the other tasks.
     const taskSignal = AbortSignal.any(signal === undefined ? [this.signal] : [this.signal, signal])
     const ended = this.runWithRestarts(name, task, taskSignal)
--- a/packages/entry/src/runtime/work-in-progress.ts
+++ b/packages/entry/src/runtime/work-in-progress.ts
@@ -1,4 +1,7 @@
-/** Tracks the requests in progress, so that a stopping instance can finish them. */
+/**
+ * Tracks the caller requests that an instance is processing. A stopping instance uses this to wait until these requests have ended, and to
+ * report how many are left.
+ */
 
 /** Counts the requests in progress and waits until none is left. */
 export class WorkInProgress {
