--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -3,7 +3,7 @@
 import { statusText } from '../show/status-tables.js'
 import { AdminCommand } from '../server/admin-command.js'
 
-/** Shows what an instance knows. */
+/** Shows the state of the deployment as one instance sees it. */
 export default class Status extends AdminCommand {
   static override description = 'Shows instances, endpoints, what is loaded where and in use, queues, teams and control traffic, as one instance sees them.'
 
--- a/packages/cli/src/logs/request-timeline.ts
+++ b/packages/cli/src/logs/request-timeline.ts
@@ -6,20 +6,22 @@
 export interface TimelineStep {
   /** Unix time in milliseconds, by the clock of the instance that wrote the line. */
   readonly at: number
+  /** Label of the component that wrote the line. */
   readonly part: string
+  /** Message of the line. */
   readonly what: string
   readonly fields: Readonly<Record<string, unknown>>
   /** Whether the line names the request itself; otherwise it concerns an endpoint or an adapter that the request used. */
   readonly own: boolean
 }
 
-/** Lines on endpoints and adapters are included from this long before the request, when the state that it met was decided. */
+/** Lines on endpoints and adapters are included from this long before the request's first line: the state that the request found was decided then. */
 const LOOKBACK_MILLISECONDS = 3_000
-/** A crash of an endpoint is detected up to this long after its responses were truncated. */
+/** Lines on crashes are included up to this long after the request's last line: a crash is detected at most this long after the endpoint's responses were truncated. */
 const CRASH_DETECTION_MILLISECONDS = 1_000
 /** Fields that are shown in other columns or are the same in all lines. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set(['timestamp', 'level', 'label', 'message', 'request'])
-/** Label of lines about requests; such lines of other requests do not concern this one. */
+/** Label of lines about requests. Lines with this label that name another request are not part of a request's timeline. */
 const REQUEST_LABEL = 'relay'
 
 /**
@@ -50,9 +52,10 @@
 }
 
 /**
- * Selects lines from any time on crashes during which the same request was in flight under another id, and on quarantine decisions about
- * the request and about requests that were in flight with it. The former show why a request is quarantined, the latter which request
- * crashed the endpoint of a truncated stream.
+ * Selects lines on crashes and on quarantine decisions, whatever their time. A crash is selected if the same request was in flight on the
+ * endpoint under another id: such lines show why the request is quarantined. A quarantine decision is selected if it is about the request
+ * or about a request that was in flight together with it: such lines show which request crashed the endpoint of a truncated stream.
+ * The same request under two ids is recognised by its fingerprint.
  */
 function crashLines (lines: readonly LogLine[], ownLines: readonly LogLine[], contextLines: readonly LogLine[]): LogLine[] {
   const ownFingerprints = fingerprintsOf(ownLines)
@@ -73,7 +76,7 @@
   return { at: line.at, part: line.part, what: line.message, fields, own }
 }
 
-/** Lines on requests name an adapter with its model, lines on orders without it. */
+/** @returns the name of an adapter without its model. Lines on requests contain `model/adapter`, lines on orders only the adapter */
 function nameOf (adapter: unknown): string | undefined {
   if (typeof adapter !== 'string') return undefined
   return adapter.slice(adapter.lastIndexOf('/') + 1)
--- a/packages/cli/src/report/adapter-tally.ts
+++ b/packages/cli/src/report/adapter-tally.ts
@@ -2,13 +2,13 @@
 import type { LogLine } from '../logs/log-line.js'
 import { endingOf, reasonOf } from './endings.js'
 
-/** An adapter counts as requested repeatedly from this number of requests on, if they span at least the time below. */
+/** An adapter with at least this number of requests counts as requested repeatedly, if the requests span at least `MINIMUM_SPAN_MILLISECONDS`. */
 const MINIMUM_REQUESTS = 4
 /** Minimum time between the first and the last request for an adapter that counts as requested repeatedly. */
 const MINIMUM_SPAN_MILLISECONDS = 8_000
 /** Maximum number of never served adapters that the report names, those with most requests first; the others are only counted. */
 const MAXIMUM_LISTED_ADAPTERS = 100
-/** Maximum number of engines and of request ends that are named for each of these adapters, the most frequent first. */
+/** Maximum number of engines, and of ways in which requests ended, that the report names for each never served adapter, the most frequent first. */
 const MAXIMUM_LISTED_COUNTS = 4
 
 /** Number of occurrences of a name. */
@@ -23,15 +23,17 @@
   readonly requests: number
   /** Time between the first and the last request for the adapter. */
   readonly spanMilliseconds: number
-  /** Engines that were asked to load the adapter, with the number of load requests. */
+  /** Engines from which a load of the adapter was requested for waiting requests, each with the number of these load requests. */
   readonly engines: readonly Count[]
-  /** How and why its requests ended, with the number of requests. */
+  /** How and why the requests for the adapter ended, with the number of requests. */
   readonly ends: readonly Count[]
 }
 
 /** Numbers of the adapters of a run, by whether they were served. */
 export interface AdapterReport {
+  /** Adapters that were requested at least once. */
   readonly asked: number
+  /** Adapters of which at least one request was answered completely with status 200. */
   readonly served: number
   /** Adapters that were requested repeatedly. */
   readonly askedAgain: number
@@ -91,7 +93,7 @@
     }
   }
 
-  /** The last log line of a request names its adapter in some releases only; earlier lines name it in all releases. */
+  /** Finds the adapter of a request. Only some releases name the adapter in the request's last log line; all releases name it in earlier lines. */
   private adapterOf (request: string, { fields }: LogLine): string | undefined {
     return typeof fields.adapter === 'string' ? fields.adapter : this.open.get(request)
   }
--- a/packages/cli/src/report/duration-histogram.ts
+++ b/packages/cli/src/report/duration-histogram.ts
@@ -2,7 +2,7 @@
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 
-/** Maximum recorded duration; longer than any request lasts. */
+/** Longest duration that the histogram can hold; longer than any request lasts. A longer duration is recorded as this value. */
 const MAXIMUM_MILLISECONDS = 600_000
 const SIGNIFICANT_DIGITS = 3
 
--- a/packages/cli/src/report/endings.ts
+++ b/packages/cli/src/report/endings.ts
@@ -1,7 +1,10 @@
 /** Finds out from log lines how and why requests ended. */
 import type { LogLine } from '../logs/log-line.js'
 
-/** How a request ended, according to the instance that handled it. */
+/**
+ * How a request ended, according to the instance that handled the request. `answered`: the response was complete. `refused`: the instance
+ * refused the request. `cut`: a response had begun and was truncated. `left`: the caller disconnected before the response was complete.
+ */
 export type Ending = 'answered' | 'refused' | 'cut' | 'left'
 
 const ENDINGS: ReadonlyMap<string, Ending> = new Map([
@@ -19,6 +22,6 @@
 /** @returns why a request ended without a complete response */
 export function reasonOf ({ fields }: LogLine): string {
   const { reason, error, status } = fields
-  // The line on an endpoint's error response that was passed on to the caller has neither `reason` nor `error`.
+  // When an endpoint's error response was passed on to the caller, the log line has neither `reason` nor `error`.
   return String(reason ?? error ?? (status === undefined ? 'the caller left' : `status ${String(status)}`))
 }
--- a/packages/cli/src/report/load-tally.ts
+++ b/packages/cli/src/report/load-tally.ts
@@ -1,14 +1,14 @@
-/** Counts adapter loads, what delayed them, and those of adapters that had been unloaded shortly before. */
+/** Counts adapter loads in log lines: load requests and load orders, what delayed loads, and reloads shortly after an unload. */
 import type { LogLine } from '../logs/log-line.js'
 import { DurationHistogram } from './duration-histogram.js'
 import type { DurationSummary } from './duration-histogram.js'
 
 const SECOND_MILLISECONDS = 1_000
-/** Within this time another order for the same adapter and engine only checks whether the load has completed. */
+/** Within this time after a load order, another load order for the same adapter and engine only checks whether the load has completed. */
 const SAME_LOAD_MILLISECONDS = 2_000
-/** An adapter that is loaded again within this time was evicted too early. */
+/** An adapter that an engine loads again within this time after an unload was evicted too early. */
 const EARLY_RELOAD_MILLISECONDS = 3_000
-/** An engine that received a load request and no order for this long has no load owner or no free slot. */
+/** Minimum idle time of a reported engine. An engine with a load request and no load order for this long has no load owner or no free slot. */
 const IDLE_MILLISECONDS = 1_000
 
 /** Loads that were delayed for the same reason. */
@@ -18,7 +18,7 @@
   readonly waited: DurationSummary
 }
 
-/** The longest time in which an engine had load requests and received no order. */
+/** An engine and the longest time in which it had load requests and received no load order. */
 export interface IdleEngine {
   readonly endpoint: string
   readonly milliseconds: number
@@ -26,15 +26,17 @@
 
 /** Numbers and delays of the loads of a run. */
 export interface LoadReport {
+  /** Number of load requests. */
   readonly asked: number
+  /** Number of load orders that engines accepted; a repeated order for the same load is not counted. */
   readonly ordered: number
-  /** Orders for each stream that was answered completely. */
+  /** Average number of load orders per completely answered stream. */
   readonly orderedForEachStream: number
-  /** Loads by an engine that had unloaded the same adapter less than three seconds before. */
+  /** Number of load orders to an engine that had unloaded the same adapter less than three seconds before. */
   readonly backSoon: number
   /** What delayed loads before they were ordered, the most frequent reason first. */
   readonly holdUps: readonly LoadDelay[]
-  /** The longest time of each engine with load requests and no order, the longest first. */
+  /** Engines that had load requests and no load order for at least one second, the longest time first. */
   readonly idleEngines: readonly IdleEngine[]
 }
 
@@ -44,11 +46,13 @@
   readonly loadsOrdered: number
 }
 
-/** Messages after which no load is requested from an engine. */
+/** Log messages that report that an engine leaves or has left; after them no load is requested from the engine. */
 const ENGINE_LEFT_MESSAGES: ReadonlySet<string> = new Set(['An endpoint is leaving.', 'An endpoint is gone.'])
 
 interface EngineTally {
+  /** Unix time in milliseconds of the first load request since the last load order; undefined when there is none. */
   askedSince: number | undefined
+  /** Longest time from such a request to the next load order or to the departure of the engine, in milliseconds. */
   longestIdle: number
 }
 
@@ -74,7 +78,7 @@
     else if (ENGINE_LEFT_MESSAGES.has(line.message)) this.recordDeparture(line)
   }
 
-  /** Counts a request that was answered completely. */
+  /** Counts a completely answered request if its response was a stream. */
   answered (isStream: boolean): void {
     if (isStream) this.streams += 1
   }
@@ -104,7 +108,12 @@
     }
   }
 
-  /** Includes the time up to the last log line for an engine that still waits for an order then. */
+  /**
+   * Finds the longest time in which an engine had load requests and received no load order. If load requests have been
+   * made since the last load order, the time from the first of these requests to the last recorded log line counts, too.
+   *
+   * @returns the time in milliseconds
+   */
   private longestIdle ({ askedSince, longestIdle }: EngineTally): number {
     return Math.max(longestIdle, askedSince === undefined ? 0 : this.lastAt - askedSince)
   }
--- a/packages/cli/src/report/run-report.ts
+++ b/packages/cli/src/report/run-report.ts
@@ -1,4 +1,7 @@
-/** Computes from the log lines of any number of instances how requests ended and how long their phases took. */
+/**
+ * Computes from the log lines of any number of instances how requests ended and how long their phases took. A run is the time from the
+ * first to the last of these lines.
+ */
 import type { LogLine } from '../logs/log-line.js'
 import { AdapterTally } from './adapter-tally.js'
 import type { AdapterReport } from './adapter-tally.js'
@@ -36,9 +39,9 @@
   readonly after: DurationSummary
 }
 
-/** Requests that ended and loads in one second of the run. */
+/** Ended requests, load requests and load orders in one second of the run. */
 export interface SecondReport {
-  /** Seconds since the first line. */
+  /** Number of the second, counted from 0 at the first log line. */
   readonly second: number
   readonly endings: EndingCounts
   readonly loadsAsked: number
@@ -47,7 +50,9 @@
 
 /** Report on a run. */
 export interface RunReport {
+  /** Number of log lines. */
   readonly lines: number
+  /** Number of clock seconds from the first to the last log line, both included. */
   readonly seconds: number
   readonly routes: readonly RouteReport[]
   /** Requests without a complete response by reason, the most frequent reason first. */
--- a/packages/cli/src/server/admin-client.ts
+++ b/packages/cli/src/server/admin-client.ts
@@ -19,7 +19,7 @@
   readonly target: string
   readonly body?: string
   readonly contentType?: string
-  /** The revision that a change is based on; sent as `if-match`. */
+  /** The revision that a change is based on; sent in the `if-match` header. */
   readonly revision?: number
 }
 
@@ -28,6 +28,7 @@
   readonly text: string
   /** The revision in the ETag header, if any. */
   readonly revision: number | undefined
+  /** The author of the revision, from the `x-limpetwinch-author` header. */
   readonly author: string | undefined
 }
 
@@ -44,11 +45,11 @@
   })
 })
 
-/** Calls the admin API of one instance; it never retries a call by itself. */
+/** Calls the admin API of one instance. The client never retries a call by itself. */
 export class AdminClient {
   private readonly server: AdminServer
 
-  /** @param server - the instance to call, and the key */
+  /** @param server - the instance to call, and the key to call it with */
   constructor (server: AdminServer) {
     this.server = server
   }
@@ -64,7 +65,7 @@
   }
 
   /**
-   * Opens a stream.
+   * Opens a stream of server-sent events.
    *
    * @param target - path and query string of the stream
    * @param signal - aborts the stream
--- a/packages/cli/src/server/admin-command.ts
+++ b/packages/cli/src/server/admin-command.ts
@@ -6,7 +6,7 @@
 import { AdminClient } from './admin-client.js'
 import type { AdminResponse } from './admin-client.js'
 
-/** Exit codes of the command line. */
+/** Exit codes of the command line. `unknown` means that it is unknown whether the call took effect. */
 export const EXIT_CODES = {
   refused: 1,
   usage: 2,
@@ -35,7 +35,7 @@
     key: Flags.string({ env: 'LIMPETWINCH_KEY', helpGroup: 'GLOBAL', description: "administrators' key, or the key of a team's owner; better set in the environment, because other users of the host can see a process's flags" })
   }
 
-  /** Sets the exit code of an error, so that it is the same with `--json`, where errors are written as JSON, as without. */
+  /** Sets the exit code of an error, so that a command has the same exit code with `--json`, where errors are written as JSON, and without. */
   protected override async catch (error: Error & { exitCode?: number, oclif?: { exit?: number } }): Promise<unknown> {
     error.exitCode ??= error.oclif?.exit ?? EXIT_CODES.refused
     return await super.catch(error)
@@ -75,7 +75,7 @@
     const lines = Array.isArray(problems) ? (problems as Problem[]).map((problem) => problemLine(problem, file)) : []
     const summary = lines.length === 0 ? error.message : 'The settings were refused; nothing was changed.'
     const message = this.jsonEnabled() ? [summary, ...lines].join('\n') : summary
-    // Not written through oclif, which wraps lines at the terminal's width: editors could not find file, line and column in them.
+    // Problems are not written through oclif, which wraps lines at the terminal's width: editors could not find file, line and column in wrapped lines.
     if (!this.jsonEnabled()) for (const line of lines) this.logToStderr(line)
     this.error(message, { exit: exitOf(error), code: String(error.details['code'] ?? error.code) })
   }
--- a/packages/cli/src/server/watch-stream.ts
+++ b/packages/cli/src/server/watch-stream.ts
@@ -7,16 +7,17 @@
 import { summarySchema } from './settings-command.js'
 import type { SettingsSummary } from './settings-command.js'
 
+/** Longest delay before the first reconnect; doubled before each further reconnect until a connection opens. */
 const INITIAL_RECONNECT_DELAY_MILLISECONDS = 200
 const MAXIMUM_RECONNECT_DELAY_MILLISECONDS = 5_000
-/** The server writes more often than this; a connection on which nothing arrives for longer is dead. */
+/** Maximum time without data on a connection. The server writes more often; a connection on which nothing arrives for longer is dead. */
 const IDLE_TIMEOUT_MILLISECONDS = 30_000
 
 /** Options of a watch of settings. */
 export interface WatchOptions {
-  /** Path under which all settings are watched. */
+  /** Settings path; the settings of this path and of all paths under it are watched. */
   readonly prefix: string
-  /** Revision up to which the initial state of each path is skipped. */
+  /** Revisions up to this one are skipped when a connection starts with the state of each path. */
   readonly after: number
   /** Called when a connection is lost or cannot be opened; without an error when an open connection was lost. */
   readonly onConnectionLost: (error: LimpetwinchError | undefined) => void
--- a/packages/cli/src/show/status-schema.ts
+++ b/packages/cli/src/show/status-schema.ts
@@ -1,4 +1,4 @@
-/** Schemas of an instance's status. Fields of a newer release are ignored; missing fields are shown as unknown. */
+/** Schemas of an instance's status. Fields that only a newer release sends are ignored; missing fields are shown as unknown. */
 import { z } from 'zod'
 
 const slotSchema = z.object({ name: z.string().optional(), state: z.string(), pins: z.number(), waiting: z.number().optional() })
--- a/packages/cli/src/show/status-tables.ts
+++ b/packages/cli/src/show/status-tables.ts
@@ -53,7 +53,7 @@
   ]))
 }
 
-/** Only the owner of an endpoint knows which teams' requests run on it. */
+/** Formats the running requests of an endpoint by team. Only the owner of an endpoint knows them; other instances show `?`. */
 function byTeam ({ owned }: Endpoint): string {
   if (owned === undefined) return '?'
   const teams = Object.entries(owned.runningByTeam).map(([team, running]) => `${team} ${running}`)
