--- a/packages/entry/src/admin/settings-access.ts
+++ b/packages/entry/src/admin/settings-access.ts
@@ -1,4 +1,7 @@
-/** Authorization for settings: which key may read and change which settings paths. */
+/**
+ * Authentication and authorization of clients of the settings routes. The administrators' key gives access to all settings
+ * paths, the key of a team's owner only to the paths of that team.
+ */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -9,6 +12,7 @@
 export interface SettingsPrincipal {
   /** Name under which the history records changes by this client. */
   readonly author: string
+  /** Returns whether the client may read and change a path. */
   readonly mayAccess: (path: SettingsPath) => boolean
 }
 
--- a/packages/entry/src/admin/settings-reads.ts
+++ b/packages/entry/src/admin/settings-reads.ts
@@ -31,7 +31,8 @@
   const newest = dependencies.follower.document(path)
   if (newest === undefined) return errorResponse(new LimpetwinchError('no-settings', { path }))
   const kept = await dependencies.history.list(path)
-  // Kept revisions above the newest one were written before the store was restored from a backup.
+  // The history may contain revisions above the newest one that this instance knows. Such revisions were written before the
+  // store was restored from a backup, and are left out of the response.
   return kept.match((earlier) => {
     const revisions = [newest, ...earlier.filter((document) => document.revision < newest.revision)].map(summaryOf)
     return Response.json({ path, revisions })
--- a/packages/entry/src/admin/settings-responses.ts
+++ b/packages/entry/src/admin/settings-responses.ts
@@ -1,6 +1,7 @@
 /** Responses of the settings routes. */
 import type { LimpetwinchError, SettingsDocument, SettingsProblem } from '@limpetwinch/core'
 
+/** Value of the `Retry-After` header of a response with status 503 when the error itself names no time. */
 const UNAVAILABLE_RETRY_SECONDS = 2
 
 /** A settings document without its text, for lists and for responses to writes. */
@@ -9,7 +10,7 @@
   readonly revision: number
   readonly deleted: boolean
   readonly author: string
-  /** Wall-clock time in milliseconds. */
+  /** Wall-clock time at which the change was accepted, in milliseconds. */
   readonly acceptedAt: number
 }
 
--- a/packages/entry/src/admin/settings-routes.ts
+++ b/packages/entry/src/admin/settings-routes.ts
@@ -25,7 +25,7 @@
   readonly writer: SettingsWriter
   readonly history: SettingsHistory
   readonly administratorKeySha256: string
-  /** Time in seconds within which a request body must arrive. Its size is limited by the size of a value in the store. */
+  /** Time in seconds within which a request body must arrive. */
   readonly bodySeconds: number
 }
 
@@ -38,6 +38,7 @@
 
 const SETTINGS_PREFIX = '/admin/settings'
 const VALIDATE_PREFIX = '/admin/validate'
+/** Maximum size of a request body, which is the maximum size of a value in the store. */
 const MAXIMUM_BODY_BYTES = 1_000_000
 
 /**
--- a/packages/entry/src/admin/settings-watch-route.ts
+++ b/packages/entry/src/admin/settings-watch-route.ts
@@ -9,9 +9,9 @@
 import type { SettingsPrincipal } from './settings-access.js'
 import { summaryOf } from './settings-responses.js'
 
-/** Maximum number of concurrent watches. Each of them holds a connection and a little memory. */
+/** Maximum number of concurrent watch streams on this instance. Each stream holds a connection and a little memory. */
 export const MAXIMUM_WATCHES = 200
-/** Interval between keep-alive comments, which show both ends that the connection is alive. */
+/** Maximum interval between keep-alive comments in an idle stream, which show both ends that the connection is alive. */
 const KEEP_ALIVE_MILLISECONDS = 10_000
 
 /**
--- a/packages/entry/src/admin/status.ts
+++ b/packages/entry/src/admin/status.ts
@@ -1,4 +1,4 @@
-/** Status of an instance, for operators. */
+/** Builds the status of this instance that the admin API shows to operators. */
 import { enginesOf } from '@limpetwinch/core'
 import type { OperatorSettings } from '@limpetwinch/core'
 import type { InFlightTable } from '../delivery/in-flight-table.js'
--- a/packages/entry/src/callers/caller-api.ts
+++ b/packages/entry/src/callers/caller-api.ts
@@ -14,7 +14,7 @@
 export interface CallerApiOptions extends CompletionsOptions {
   readonly completions: Completions
   readonly serviceCalls: ServiceCalls
-  /** Registers a request in progress until its promise settles, so that a graceful stop can wait for it. */
+  /** Registers a request as in progress until the given promise settles, so that a graceful stop can wait for it. */
   readonly trackRequest: (work: Promise<void>) => Promise<void>
 }
 
--- a/packages/entry/src/callers/completion-request.ts
+++ b/packages/entry/src/callers/completion-request.ts
@@ -8,8 +8,8 @@
 const MAXIMUM_TOKENS = 131_072
 const MAXIMUM_MESSAGES = 4_096
 /**
- * Estimates prompt tokens without the tokenizer of the model. The engine's own count replaces the estimate at the end of the
- * run.
+ * Assumed number of characters per token, which estimates the prompt tokens without the tokenizer of the model. The engine's
+ * own count replaces the estimate at the end of the run.
  */
 const CHARACTERS_PER_TOKEN = 4
 
--- a/packages/entry/src/callers/error-response.ts
+++ b/packages/entry/src/callers/error-response.ts
@@ -1,6 +1,6 @@
 /**
- * Error responses in the OpenAI format, with a stable code, the known outcome of the request, a remedy and the time to retry
- * after.
+ * Error responses in the OpenAI format, with a stable code, the known outcome of the request, a remedy, and the time after
+ * which the caller may retry.
  */
 import type { LimpetwinchError, RequestId } from '@limpetwinch/core'
 
--- a/packages/entry/src/callers/http-server.ts
+++ b/packages/entry/src/callers/http-server.ts
@@ -17,9 +17,9 @@
   readonly connections: number
 }
 
-/** Time for which an idle connection is kept open. */
+/** Time for which a connection is kept open after a response without a further request. */
 const KEEP_ALIVE_MILLISECONDS = 65_000
-/** Interval between closings of idle connections while the server closes. */
+/** Interval at which idle connections are closed while the server waits for the requests in progress. */
 const IDLE_CLOSE_INTERVAL_MILLISECONDS = 50
 
 /** An HTTP server that can be closed gracefully. */
--- a/packages/entry/src/callers/request-options.ts
+++ b/packages/entry/src/callers/request-options.ts
@@ -6,7 +6,7 @@
 
 /** Header that selects the priority class. */
 export const CLASS_HEADER = 'x-limpetwinch-class'
-/** Header with the time that the caller waits for the response, in milliseconds. */
+/** Header with the maximum time that the caller waits for the response, in milliseconds. */
 export const DEADLINE_HEADER = 'x-limpetwinch-deadline-ms'
 /** Header that is `false` when the request may run at most once. */
 export const IDEMPOTENT_HEADER = 'x-limpetwinch-idempotent'
@@ -19,7 +19,7 @@
 /** Options that the headers of a request select. */
 export interface RequestOptions {
   readonly priorityClass: PriorityClass
-  /** Time that the caller waits for the response, in milliseconds. */
+  /** Patience of the caller: the maximum time that it waits for the response, in milliseconds. */
   readonly patience: number
   /** Whether the request may be retried. */
   readonly idempotent: boolean
--- a/packages/entry/src/callers/service-calls.ts
+++ b/packages/entry/src/callers/service-calls.ts
@@ -1,4 +1,4 @@
-/** Serves calls of plain services under `/services/<name>/…`. */
+/** Serves calls of plain services, which are HTTP back ends without a model engine, under `/services/<name>/…`. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
--- a/packages/entry/src/callers/team-limiters.ts
+++ b/packages/entry/src/callers/team-limiters.ts
@@ -30,7 +30,7 @@
     this.instances = instances
   }
 
-  /** @returns the admission, or the error `rate-limited` with the time to retry after */
+  /** @returns the admission of one request, or the error `rate-limited` with the time in seconds after which to retry */
   admit (team: TeamId, settings: OperatorSettings, promptTokens: number, maximumTokens: number): Result<TeamAdmission, LimpetwinchError> {
     const limiter = this.limiterOf(team, settings)
     const decision = limiter.admit(promptTokens, maximumTokens, this.clock.now())
--- a/packages/entry/src/metrics/explain-log.ts
+++ b/packages/entry/src/metrics/explain-log.ts
@@ -2,12 +2,14 @@
 import { LRUCache } from 'lru-cache'
 import type { RequestId } from '@limpetwinch/core'
 
+/** Maximum number of timelines that an instance keeps in memory. The least recently used one is dropped first. */
 const MAXIMUM_TIMELINES = 5_000
+/** Maximum number of steps in one timeline. Further steps are not recorded. */
 const MAXIMUM_STEPS = 40
 
 /** One step in the timeline of a request. */
 export interface TimelineStep {
-  /** Wall-clock time in milliseconds. */
+  /** Wall-clock time at which the step was recorded, in milliseconds. */
   readonly at: number
   readonly what: string
   readonly fields: Readonly<Record<string, unknown>>
--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -3,14 +3,19 @@
 import type { Histogram } from 'hdr-histogram-js'
 import { StatsD } from 'hot-shots'
 
-/** Names of the measured times. All of them are in milliseconds. */
+/**
+ * Names of the times measured for a request, all in milliseconds: the wait for an adapter to be loaded, the wait in the
+ * admission queue, the time from the start of delivery to the first token, the time from one token to the next, and the time
+ * from the start of delivery to the end of the response.
+ */
 export const METRIC_NAMES = ['load_stall', 'queue_wait', 'first_token', 'between_tokens', 'whole'] as const
 /** Name of a measured time. */
 export type MetricName = (typeof METRIC_NAMES)[number]
 
-/** Outcome of a request as counted in the metrics. */
+/** Outcome of a request as counted in the metrics: `not_run` means that it provably has not run, `unknown` that it may have. */
 export type CountedOutcome = 'answered' | 'not_run' | 'unknown'
 
+/** Longest time that a histogram records. Longer times are recorded as this value. */
 const MAXIMUM_MILLISECONDS = 3_600_000
 const MICROSECONDS_PER_MILLISECOND = 1_000
 
@@ -39,7 +44,7 @@
     this.metrics = metrics
   }
 
-  /** Records a time in milliseconds. */
+  /** Records one measured time of a request. */
   recordTime (metric: MetricName, milliseconds: number): void {
     this.histogram(metric).recordValue(Math.max(1, Math.min(MAXIMUM_MILLISECONDS, milliseconds) * MICROSECONDS_PER_MILLISECOND))
     // Sending a metric for each token would cost more than relaying the token, so only the histogram records this time.
--- a/packages/entry/src/settings/conditional-settings-writer.ts
+++ b/packages/entry/src/settings/conditional-settings-writer.ts
@@ -7,6 +7,7 @@
 import { documentOf, storePathOf } from './stored-settings.js'
 
 const MAXIMUM_READS = 4
+/** Wait after the first failed read. The wait doubles with each further read. */
 const INITIAL_WAIT_MILLISECONDS = 50
 const MAXIMUM_WRITES = 3
 
@@ -53,12 +54,16 @@
     return err(answerLost(document))
   }
 
-  /** Distinguishes a lost race from a write that took effect but was not answered, and may have been replaced since. */
+  /**
+   * Distinguishes two causes of a version conflict: another write came first, or this write took effect but the store's answer
+   * was lost. In the second case, a later write may already have replaced the document.
+   */
   private async resolveConflict (document: SettingsDocument, conflict: LimpetwinchError, sentBefore: boolean): Promise<Result<void, LimpetwinchError>> {
     const present = documentOf(conflict.details['value'])
     if (present?.writeId === document.writeId) return ok(undefined)
     if (!sentBefore || present === undefined || present.revision <= document.revision) return err(conflict)
-    // A writer stores the document that it replaces in the history before it writes.
+    // Before a writer replaces a document, it stores that document in the history. If this write took effect and was replaced,
+    // the history therefore contains the document.
     const kept = await this.history.at(document.path, document.revision)
     if (kept.isErr()) return err(answerLost(document))
     return kept.value?.writeId === document.writeId ? ok(undefined) : err(conflict)
--- a/packages/entry/src/settings/settings-edit.ts
+++ b/packages/entry/src/settings/settings-edit.ts
@@ -1,4 +1,7 @@
-/** Encodes settings changes as text edits of the previous document, for transfer between peers. */
+/**
+ * Converts a settings change to a text edit of the previous document, and back. Peers send each other such edits instead of
+ * complete documents when the edit is small.
+ */
 import { textEditBetween, applyTextEdit } from '@limpetwinch/core'
 import type { SettingsDocument, SettingsEdit } from '@limpetwinch/core'
 
@@ -22,7 +25,8 @@
 
 /**
  * Applies an edit to the document that it was made from. Applied to any other text, the edit would produce a text that was
- * never accepted. Such an edit is ignored: the hashes in the next heartbeats differ, and the complete document is requested.
+ * never accepted. Such an edit is ignored. The settings hashes in the next heartbeats then differ, and this instance requests
+ * the complete document from the peer.
  *
  * @param edit - the edit that a peer sent
  * @param base - the newest document known on this instance
--- a/packages/entry/src/settings/settings-exchange.ts
+++ b/packages/entry/src/settings/settings-exchange.ts
@@ -26,7 +26,7 @@
  */
 type SettingsAnswer = NonNullable<FrameOf<'settings-change'>['answer']>
 
-/** State of the requests to a peer whose settings hash differs. */
+/** State of the requests to a peer whose settings hash differs from that of this instance. */
 interface Gap {
   readonly since: number
   /** Interval between requests in milliseconds. It doubles with each request. */
@@ -36,20 +36,23 @@
 
 const CHECK_INTERVAL_MILLISECONDS = 100
 /**
- * Time before the first request to a peer. A change in transfer makes hashes differ for a moment; only a lasting difference
- * is a gap.
+ * Time from the first differing hash of a peer to the first request to that peer. A change that is still being transferred
+ * makes the hashes differ for a moment and needs no request.
  */
 const GRACE_PERIOD_MILLISECONDS = 200
 const INITIAL_REQUEST_INTERVAL_MILLISECONDS = 500
 const MAXIMUM_REQUEST_INTERVAL_MILLISECONDS = 30_000
-/** Maximum size of the texts in one frame, in characters, so that no frame blocks a connection for long. */
+/**
+ * Maximum total size of the document texts in one frame, in characters, so that no frame blocks a connection for long. A
+ * single document is never split, so a frame with a larger document exceeds this size.
+ */
 const MAXIMUM_FRAME_CHARACTERS = 256 * 1024
 
 /** Exchanges settings with the peers of the data centre. */
 export class SettingsExchange {
   private readonly dependencies: SettingsExchangeDependencies
   private readonly gaps = new Map<InstanceId, Gap>()
-  /** The last settings hash of each peer whose hash differs. */
+  /** The latest settings hash received from each peer whose hash differed from that of this instance. */
   private readonly heard = new Map<InstanceId, string>()
   private readonly answerListeners = new Set<(from: InstanceId, answer: SettingsAnswer) => void>()
 
@@ -135,7 +138,10 @@
     }
   }
 
-  /** Sends another request and doubles the interval: a peer that stays behind, or never agrees, is asked ever more rarely. */
+  /**
+   * Sends a request to the peer and doubles the interval to the next one. A peer whose hash keeps differing, for example
+   * because it stays behind, is thus asked ever more rarely.
+   */
   private requestAgain (peer: InstanceId, gap: Gap, now: number): void {
     gap.nextRequestAt = now + gap.wait
     gap.wait = Math.min(MAXIMUM_REQUEST_INTERVAL_MILLISECONDS, gap.wait * 2)
@@ -150,8 +156,8 @@
     }
     const known = new Map(frame.revisions.map((each) => [each.path, each]))
     const newer = [...this.dependencies.state.all()].filter((document) => isNewer(document, known.get(document.path)))
-    // The answer to a request is a single frame. The connection drops frames beyond a limit, and if the first of several
-    // frames were dropped, the last frame would be mistaken for the complete answer.
+    // The answer to a request is a single frame, and the peer requests the rest. The connection drops frames beyond a limit.
+    // If an answer had several frames and the first were dropped, the last frame would be mistaken for the complete answer.
     const [part = [], ...rest] = inFrames(newer)
     this.dependencies.network.notify(from, { kind: 'settings-change', documents: part, answer: rest.length === 0 ? 'whole' : 'more' })
   }
--- a/packages/entry/src/settings/settings-follower.ts
+++ b/packages/entry/src/settings/settings-follower.ts
@@ -27,6 +27,7 @@
 }
 
 const DEFAULT_WATCH_MILLISECONDS = 5_000
+/** Time that the start waits for the first read of the store before it continues without that read. */
 const INITIAL_LIST_TIMEOUT_MILLISECONDS = 2_000
 
 /** Follows the settings in the store and on peers. A newer document is never replaced by an older one. */
@@ -91,7 +92,7 @@
     return [...this.state.all()]
   }
 
-  /** @returns the hash of the settings for heartbeats; equal hashes mean equal settings */
+  /** @returns the hash of the settings, which heartbeats carry to peers; equal hashes mean equal settings */
   settingsHash (): string {
     return this.state.hash()
   }
@@ -105,8 +106,8 @@
   }
 
   /**
-   * Handles the settings hash in a heartbeat of a peer. After a lasting difference, the missing changes are requested from
-   * the peer.
+   * Handles the settings hash in a heartbeat of a peer. If the hash keeps differing from the local one, this instance requests
+   * the missing changes from the peer.
    */
   receiveHash (from: InstanceId, hash: string): void {
     this.exchange.receiveHash(from, hash)
@@ -153,8 +154,8 @@
   }
 
   /**
-   * Reads the settings from the store within a time limit. A slow store must not keep an instance from starting with its
-   * peers' state.
+   * Reads the settings from the store within a time limit. A slow store must not keep this instance from starting with the
+   * settings that its peers have sent.
    */
   private async listForStart (signal: AbortSignal): Promise<boolean> {
     const settled = new AbortController()
@@ -170,7 +171,7 @@
     const changed = this.apply(documents)
     const [first] = this.watchers()
     const peers = this.exchange.peers()
-    // If both watchers sent a change to all peers, it would cross every connection twice. Only the first watcher does so.
+    // If both watchers sent a change to all peers, each peer would receive the change twice. Only the first watcher does so.
     const firstForwards = first !== undefined && first !== this.dependencies.network.self.instance && peers.includes(first)
     this.exchange.push(changed, firstForwards ? [first] : peers)
   }
@@ -188,8 +189,8 @@
   }
 
   /**
-   * Warns of a store with an older revision, as after a restore from a backup. The next accepted change brings the store up to
-   * date again, because its revision follows the highest known one.
+   * Warns when the store has an older revision than this instance, as after a restore from a backup. The next accepted change
+   * of the path brings the store up to date again, because the change gets the revision after the highest known one.
    */
   private warnIfStoreIsOlder (document: SettingsDocument): void {
     const known = this.state.document(document.path)
--- a/packages/entry/src/settings/settings-history.ts
+++ b/packages/entry/src/settings/settings-history.ts
@@ -6,7 +6,10 @@
 import { documentOf } from './stored-settings.js'
 
 const HISTORY_PREFIX = '/history'
-/** Number of earlier documents kept for each path. The object API has no delete, so each slot is overwritten in turn. */
+/**
+ * Number of earlier documents kept for each path, one in each slot. The store's object API has no delete, so each new document
+ * overwrites the slot of the oldest one.
+ */
 export const KEPT_REVISIONS = 32
 const MAXIMUM_ATTEMPTS = 3
 
@@ -20,10 +23,10 @@
   }
 
   /**
-   * Stores a document that is about to be replaced. This is idempotent, so that racing writers, which all store the same
-   * document, do not make each other fail.
+   * Stores the newest accepted document of a path in the history, before a change replaces that document. The call is
+   * idempotent: writers that race to replace the same document all store it here and do not make each other fail.
    *
-   * @param document - the accepted document
+   * @param document - the accepted document that a change is about to replace
    * @returns nothing, or the error of the store, such as `store-unavailable` or `store-answer-lost`, when the document could not
    *   be stored
    */
@@ -39,7 +42,7 @@
       .sort((left, right) => right.revision - left.revision))
   }
 
-  /** @returns the document of one revision, or undefined when it is not kept */
+  /** @returns the document of one revision, or undefined when the history does not contain that revision */
   at (path: SettingsPath, revision: Revision): ResultAsync<SettingsDocument | undefined, LimpetwinchError> {
     return this.store.get(slotPathOf(path, revision)).map((object) => {
       const document = documentOf(object?.value)
--- a/packages/entry/src/settings/settings-start.ts
+++ b/packages/entry/src/settings/settings-start.ts
@@ -1,4 +1,4 @@
-/** Requests the settings from peers while an instance starts, beside the read of the store. */
+/** Requests the settings from peers while an instance starts, in addition to reading them from the store. */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 import type { Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
@@ -15,15 +15,17 @@
 
 /** Time without an answer of any peer after which the start continues with the state of the store alone. */
 const ANSWER_TIMEOUT_MILLISECONDS = 2_000
+/** Time after which a request to a peer no longer counts as open, and the same peer may be asked again. */
 const REQUEST_INTERVAL_MILLISECONDS = 500
 const CHECK_INTERVAL_MILLISECONDS = 50
+/** Maximum number of open requests, because each answer may transfer the complete settings. */
 const MAXIMUM_CONCURRENT_REQUESTS = 2
 
 /**
  * Requests the complete state from peers and waits until one of them has sent it.
  *
- * Without this, an instance that starts with a store restored from a backup would put older settings in force, although its
- * peers have newer ones.
+ * Without this request, an instance that starts after the store was restored from a backup would put the older settings of
+ * the store in force, although its peers have newer ones.
  *
  * @param dependencies - the exchange, the membership and the other collaborators
  * @param signal - stops the wait
@@ -50,7 +52,7 @@
   return completePeers.size > 0
 }
 
-/** Sends requests to the next peers, with a limit on the open requests: each answer may transfer the complete settings. */
+/** Sends requests to the peers that were asked least recently, as far as the limit on open requests allows. */
 function requestFromNextPeers (exchange: SettingsExchange, requestedAt: Map<InstanceId, number>, unready: ReadonlySet<InstanceId>, now: number): void {
   const open = [...requestedAt].filter(([peer, at]) => !unready.has(peer) && now - at < REQUEST_INTERVAL_MILLISECONDS)
   const free = Math.max(0, MAXIMUM_CONCURRENT_REQUESTS - open.length)
--- a/packages/entry/src/settings/settings-state.ts
+++ b/packages/entry/src/settings/settings-state.ts
@@ -83,7 +83,10 @@
     this.settings = withDocument(this.settings, document.path, value)
   }
 
-  /** Adds a document to the combined hash or removes it. With exclusive or, a change needs no pass over the other paths. */
+  /**
+   * Adds a document to the combined hash, or removes a document that was added before. Documents are combined by exclusive or,
+   * so that a change of one path needs no pass over the other paths.
+   */
   private toggleInCombinedHash (document: SettingsDocument): void {
     const identity = `${document.path}\n${document.revision}\n${document.writeId}`
     const digest = createHash('sha256').update(identity).digest()
--- a/packages/entry/src/settings/settings-view.ts
+++ b/packages/entry/src/settings/settings-view.ts
@@ -6,7 +6,7 @@
   /** @returns the settings in force, or undefined before the first complete read */
   abstract current (): OperatorSettings | undefined
 
-  /** @returns the revision in force of each path, including deletions */
+  /** @returns the revision in force of each path, including paths whose newest document is a deletion */
   abstract revisions (): ReadonlyMap<SettingsPath, Revision>
 
   /** Registers a listener that is called after each change. */
--- a/packages/entry/src/settings/settings-watch.ts
+++ b/packages/entry/src/settings/settings-watch.ts
@@ -14,21 +14,30 @@
   readonly watchMilliseconds: number
   /** Returns whether this instance is the watcher of its data centre or the spare watcher. */
   readonly isWatcher: () => boolean
-  /** Returns whether this instance should watch although it is neither the watcher nor the spare watcher. */
+  /**
+   * Returns whether this instance must watch although it is neither the watcher nor the spare watcher. That is so when it is
+   * connected to neither of them, or when neither reaches the store but this instance does and ranks high enough to replace
+   * them.
+   */
   readonly isSubstituteWatcher: () => boolean
   /** Applies documents that were read from the store. */
   readonly applyDocuments: (documents: readonly SettingsDocument[]) => void
 }
 
 /**
- * Backoff between calls while the store does not answer, in milliseconds. It is jittered, so that instances do not all retry
- * at once.
+ * First and largest delay before the next call while the store does not answer, in milliseconds. The delays are jittered, so
+ * that instances do not all retry at once.
  */
 export const STORE_BACKOFF = { first: 100, largest: 5_000 }
+/** Interval at which an instance that does not watch checks whether it has to. */
 const ROLE_CHECK_INTERVAL_MILLISECONDS = 250
+/** Time for which this instance must be a substitute watcher without interruption before it watches the store. */
 const SUBSTITUTE_DELAY_MILLISECONDS = 1_000
+/** Minimum time from the start of one answered call of the store to the start of the next. */
 const MINIMUM_CALL_INTERVAL_MILLISECONDS = 50
+/** Average interval between complete reads of the settings by a watching instance. */
 const LIST_INTERVAL_MILLISECONDS = 300_000
+/** Time after a failed call for which the store is considered unreachable from this instance. */
 const FAILURE_VALID_MILLISECONDS = 30_000
 
 /** Reads and watches the settings in the store. */
@@ -60,7 +69,7 @@
     if (listed.isErr()) return this.failed(listed.error.message)
     this.answered()
     this.cursor = listed.value.cursor
-    // The interval is random, or all instances would read all settings at the same time.
+    // The interval to the next complete read is random, or all watching instances could read all settings at the same time.
     this.nextListAt = this.dependencies.clock.now() + LIST_INTERVAL_MILLISECONDS * (0.5 + this.dependencies.random())
     this.dependencies.applyDocuments(documentsOf(listed.value.objects))
     return true
@@ -83,8 +92,9 @@
   }
 
   /**
-   * A substitute watches only after a delay: at a start, and while a connection is replaced, no watcher is connected for a
-   * moment.
+   * Returns whether this instance watches the store now. A substitute watcher starts to watch only after a delay. While this
+   * instance starts, or replaces its connection to a watcher, it is connected to no watcher for a moment, and the delay keeps
+   * it from watching the store because of such a short gap.
    */
   private shouldWatch (): boolean {
     if (this.dependencies.isWatcher()) return true
@@ -102,7 +112,7 @@
     if (signal.aborted) return true
     if (step.isErr()) return this.failed(step.error.message)
     this.answered()
-    // A lower cursor means that the store was restored from a backup, and only a complete read shows what it contains now.
+    // A lower cursor means that the store was restored from a backup. Only a complete read shows what the store contains now.
     this.cursor = step.value.cursor < cursor ? undefined : step.value.cursor
     this.dependencies.applyDocuments(documentsOf(step.value.changes))
     return true
--- a/packages/entry/src/settings/settings-writer.ts
+++ b/packages/entry/src/settings/settings-writer.ts
@@ -30,6 +30,7 @@
 
 /** Maximum size of a value in the store: one megabyte. */
 const MAXIMUM_VALUE_BYTES = 1_000_000
+/** Maximum number of attempts to write one change when other writes keep changing the object first. */
 const MAXIMUM_ATTEMPTS = 4
 
 /** Writes settings to the store and puts them in force on this instance. */
@@ -75,8 +76,8 @@
       const result = await this.acceptOnce(change)
       if (result.isOk()) return ok(this.announce(result.value))
       last = result.error
-      // The object changed between read and write. If the revision still matches, as after a restore, the next attempt
-      // replaces the new object.
+      // The object changed between read and write. If the revision still matches, as after a restore of the store from a
+      // backup, the next attempt replaces the new object.
       if (last.kind !== 'version-conflict') return err(last)
     }
     return err(last.kind === 'version-conflict' ? this.conflict(change.path) : last)
@@ -135,7 +136,7 @@
   }
 }
 
-/** A change matches the newest revision. On a missing or deleted document, revision 0 matches as well. */
+/** Returns whether a change is based on the newest revision. For a missing or deleted document, revision 0 matches as well. */
 function matchesRevision (newest: SettingsDocument | undefined, ifRevision: Revision): boolean {
   if (ifRevision === newest?.revision) return true
   return ifRevision === 0 && newest?.text === undefined
--- a/packages/entry/src/settings/stored-settings.ts
+++ b/packages/entry/src/settings/stored-settings.ts
@@ -1,4 +1,4 @@
-/** Representation of settings documents in the store. */
+/** Maps settings paths to store paths, and parses the stored values of settings documents. */
 import { parseSettingsPath, SETTINGS_PREFIX, settingsDocumentSchema } from '@limpetwinch/core'
 import type { SettingsDocument, SettingsPath, StoredObject } from '@limpetwinch/core'
 
--- a/packages/entry/src/settings/watcher-ranking.ts
+++ b/packages/entry/src/settings/watcher-ranking.ts
@@ -1,4 +1,7 @@
-/** Selects the instances of a data centre that watch the store: the watcher and a spare watcher. */
+/**
+ * Selects the instances of a data centre that watch the store: the watcher, a spare watcher, and substitute watchers when
+ * neither of the two can be used.
+ */
 import type { InstanceId } from '@limpetwinch/core'
 import type { Member, Membership } from '../membership/membership.js'
 import type { PeerNetwork } from '../peers/peer-network.js'
@@ -33,9 +36,9 @@
   const watchers = rankWatchers(network, membership)
   const connected = network.connected()
   if (!watchers.some((watcher) => connected.includes(watcher))) return true
-  // The watchers may be cut off from the store while other instances reach it. Then the two highest-ranked of those watch as
-  // well. In an outage for all, an instance is dropped from this list after its first failed call, so that only two watchers
-  // keep trying.
+  // Both watchers may be cut off from the store while other instances reach the store. Then the two highest-ranked of these
+  // other instances watch as well. When no instance reaches the store, each substitute is dropped from the list of reaching
+  // instances after its first failed call, so that only the watcher and the spare watcher keep trying.
   const reaching = livePeers(network, membership).filter((member) => member.storeReachable).map((member) => member.instance)
   if (!storeReachable || watchers.some((watcher) => reaching.includes(watcher))) return false
   return highestRanked([instance, ...reaching]).includes(instance)
