--- a/packages/cli/src/logs/request-timeline.ts
+++ b/packages/cli/src/logs/request-timeline.ts
@@ -52,10 +52,13 @@
 }
 
 /**
- * Selects lines on crashes and on quarantine decisions, whatever their time. A crash is selected if the same request was in flight on the
- * endpoint under another id: such lines show why the request is quarantined. A quarantine decision is selected if it is about the request
- * or about a request that was in flight together with it: such lines show which request crashed the endpoint of a truncated stream.
- * The same request under two ids is recognised by its fingerprint.
+ * Selects lines on crashes and on quarantine decisions for the timeline of one request, whatever the time of these lines.
+ *
+ * A line on a crash is selected if the request of the timeline was in flight at the crash under another request id, which is recognised
+ * by the same fingerprint. Lines on such crashes show why the request is quarantined.
+ *
+ * A line on a quarantine decision is selected if the decision is about the request of the timeline, or about a request that was in flight
+ * together with it. If a crash truncated the stream of the timeline's request, such a decision shows which request crashed the endpoint.
  */
 function crashLines (lines: readonly LogLine[], ownLines: readonly LogLine[], contextLines: readonly LogLine[]): LogLine[] {
   const ownFingerprints = fingerprintsOf(ownLines)
--- a/packages/cli/src/report/adapter-tally.ts
+++ b/packages/cli/src/report/adapter-tally.ts
@@ -23,7 +23,10 @@
   readonly requests: number
   /** Time between the first and the last request for the adapter. */
   readonly spanMilliseconds: number
-  /** Engines from which a load of the adapter was requested for waiting requests, each with the number of these load requests. */
+  /**
+   * Engines on which instances requested a load of the adapter because a request of a caller waited for it, each with the number of
+   * these load requests.
+   */
   readonly engines: readonly Count[]
   /** How and why the requests for the adapter ended, with the number of requests. */
   readonly ends: readonly Count[]
@@ -35,7 +38,10 @@
   readonly asked: number
   /** Adapters of which at least one request was answered completely with status 200. */
   readonly served: number
-  /** Adapters that were requested repeatedly. */
+  /**
+   * Adapters for which callers sent at least `MINIMUM_REQUESTS` requests, with at least `MINIMUM_SPAN_MILLISECONDS` between the first and
+   * the last.
+   */
   readonly askedAgain: number
   /** Adapters that were requested repeatedly and never served. */
   readonly neverServed: number
--- a/packages/cli/src/server/settings-targets.ts
+++ b/packages/cli/src/server/settings-targets.ts
@@ -1,5 +1,6 @@
 /**
- * Builds the request targets (URL path and query string) of calls to the admin API that read, change or validate the settings of a path.
+ * Builds the HTTP request targets (URL path and query string) of the calls to the admin API that read, change or validate settings.
+ * Each target names the settings path that the call is about.
  */
 
 /** @returns the path in the server's format: one leading slash, no trailing slash */
--- a/packages/core/src/errors/limpetwinch-error.ts
+++ b/packages/core/src/errors/limpetwinch-error.ts
@@ -23,7 +23,7 @@
   /**
    * @param kind - the error's row in the table
    * @param details - the values used in the message
-   * @param options - outcome, time until a retry, cause
+   * @param options - whether the request may have run, seconds until a retry may help, the underlying error
    */
   constructor (kind: ErrorName, details: Record<string, unknown> = {}, options: ErrorOptions = {}) {
     super(ERRORS[kind].message(details), { cause: options.cause })
--- a/packages/core/src/frames/frames.ts
+++ b/packages/core/src/frames/frames.ts
@@ -142,7 +142,7 @@
   readonly base: string
 }
 
-/** Sends settings documents of which the receiver may have no state or only an older one. */
+/** Sends settings documents that the receiver may not have yet, or may have only in an older revision. */
 export interface SettingsChangeFrame {
   readonly kind: 'settings-change'
   readonly documents: readonly SettingsDocument[]
--- a/packages/decisions/src/fairness/reserved-places.ts
+++ b/packages/decisions/src/fairness/reserved-places.ts
@@ -1,4 +1,7 @@
-/** Computes how many places in the batch of an engine are kept free for teams that do not flood the queue. */
+/**
+ * Computes the number of reserved places of an engine: places in its batch that are withheld from a team that floods the queue, so
+ * that they stay free for the requests of other teams.
+ */
 
 /** Largest part of the places in a batch that is reserved, so that a flooding team still gets three quarters of them. */
 const MAXIMUM_RESERVED_SHARE = 0.25
--- a/packages/decisions/src/fairness/virtual-time-fair-queue.ts
+++ b/packages/decisions/src/fairness/virtual-time-fair-queue.ts
@@ -57,7 +57,10 @@
     this.floodShareFactor = options.floodShareFactor ?? 2
   }
 
-  /** Changes the number of reserved places, for example after the operator changed the batch efficiency weight. */
+  /**
+   * Changes the number of places in the engine's batch that are withheld from teams that flood the queue. The number depends on the
+   * operator's batch efficiency weight, for example, and changes with this weight.
+   */
   setReservedPlaces (places: number): void {
     this.reservedPlaces = places
   }
--- a/packages/decisions/src/quarantine/crash-tracker.ts
+++ b/packages/decisions/src/quarantine/crash-tracker.ts
@@ -45,7 +45,7 @@
 /** Request that was in flight when its endpoint crashed. */
 export interface InFlightRequest {
   readonly fingerprint: RequestFingerprint
-  /** Time that the request had been at the endpoint, milliseconds. */
+  /** Time for which the request had been in flight on the endpoint when its connection to the endpoint was lost, milliseconds. */
   readonly milliseconds: number
   /** Whether the request was sent as an isolated run, without other suspected requests at the endpoint. */
   readonly isolated: boolean
@@ -181,8 +181,9 @@
   }
 
   /**
-   * Records that this or another instance sent a suspected request to an endpoint. When the request was sent as often as
-   * allowed after its third crash, it is quarantined at once; if its last run completes, {@link completed} lifts the quarantine.
+   * Records that this or another instance sent a suspected request to an endpoint. After its third crash, a request may be sent
+   * `MAXIMUM_LATE_SENDS` times. The last of these sends quarantines the request at once, before the outcome of that run is known. If
+   * that run completes, {@link completed} lifts the quarantine.
    */
   sent (fingerprint: RequestFingerprint, now: number): void {
     const decision = this.decisions.get(fingerprint)
--- a/packages/decisions/src/routing/weighted-routing-policy.ts
+++ b/packages/decisions/src/routing/weighted-routing-policy.ts
@@ -115,8 +115,10 @@
 
   /** @returns the wait for a place in the batch, milliseconds; requests sent since the latest report count as queued */
   private queueWait (request: RoutingRequest, view: EndpointView, totals: CandidateTotals): number {
-    // A team is served sooner on an engine where it has no queue yet. For a team that already gets its fair share, this is no
-    // reason to load another copy: the share counts over all engines, and in an overload copies would only use up the load capacity.
+    // Fewer queued requests are served before a request of a team that has no queue on the engine yet (`queuedBefore`). If the request
+    // needs a new copy of its adapter, this shorter wait counts only while the team gets at most `SERVED_SHARE_THRESHOLD` of its fair
+    // share. Above it, the whole queue counts: the fair share is taken over all engines, and in an overload copies would only use up the
+    // load capacity.
     const isNewCopy = totals.copies > 0 && request.adapter !== undefined && view.holds(request.adapter) === 'absent'
     const hasShare = (request.shareUsed ?? 1) > SERVED_SHARE_THRESHOLD
     const before = isNewCopy && hasShare ? view.queued : queuedBefore(request, view)
--- a/packages/entry/src/concurrency/wake.ts
+++ b/packages/entry/src/concurrency/wake.ts
@@ -1,4 +1,7 @@
-/** Lets tasks of one process wait for a change and be woken when it occurs. */
+/**
+ * A condition variable for asynchronous tasks of one process: a task waits until other code of the process reports a change, or until a
+ * timeout, and then continues.
+ */
 
 /** A condition variable without a value: a waiting task checks its condition again after each wake. */
 export class Wake {
--- a/packages/entry/src/delivery/admission-client.ts
+++ b/packages/entry/src/delivery/admission-client.ts
@@ -8,7 +8,10 @@
 import type { AdmissionOutcome, Grant } from '../scheduling/admission.js'
 import type { InFlightTable } from './in-flight-table.js'
 
-/** Added to the time for which the caller still waits, so that the owner's refusal arrives before the call to the owner times out. */
+/**
+ * The call by which this instance requests admission from an owner times out after the time for which the outside caller still waits for
+ * its response ({@link AdmissionRequest.patience}), plus this grace. So the owner's refusal arrives before the call times out.
+ */
 const RESPONSE_GRACE_MILLISECONDS = 1_000
 
 /** The parameters of an admission request to an owner. */
--- a/packages/entry/src/delivery/delivery.ts
+++ b/packages/entry/src/delivery/delivery.ts
@@ -343,7 +343,8 @@
   private handleStall (endpoint: EndpointId, replacement: ReplacementAdmission): void {
     const { policy, clock } = this.options
     this.timeline.add('stalled', { endpoint })
-    // The policy is notified at once, and only once: the run may be kept for long, and new requests should go to other engines meanwhile.
+    // The routing policy is notified of the stall, as a failure, at once and only once: the stalled run may be kept for long, and new
+    // requests should go to other engines meanwhile.
     if (!replacement.everRequested) policy().observe(endpoint, 'failed', clock.now())
     replacement.request()
   }
--- a/packages/entry/src/loads/coordinated-load-turns.ts
+++ b/packages/entry/src/loads/coordinated-load-turns.ts
@@ -1,4 +1,7 @@
-/** Load turns granted by one coordinator. The coordinator is a member that all instances choose by rendezvous hashing. */
+/**
+ * Requests load turns from the coordinator, a member that all instances choose by rendezvous hashing, or from a fallback while no
+ * coordinator can be reached. load-turn-coordinator.ts contains the coordinator's side, which grants the turns.
+ */
 import { SystemClock } from '@limpetwinch/core'
 import type { Clock, InstanceId, Logger } from '@limpetwinch/core'
 import { uuidv7 } from 'uuidv7'
--- a/packages/entry/src/loads/load-turn-coordinator.ts
+++ b/packages/entry/src/loads/load-turn-coordinator.ts
@@ -1,4 +1,7 @@
-/** The coordinator of load turns, which grants the instances one turn at a time. A turn is the right to load one adapter now. */
+/**
+ * The coordinator's side of load turns: grants the instances one turn at a time. A turn is the right to load one adapter now.
+ * coordinated-load-turns.ts contains the side that requests turns.
+ */
 import type { Clock, InstanceId } from '@limpetwinch/core'
 
 interface WaitingTurn {
--- a/packages/entry/src/membership/list-membership.ts
+++ b/packages/entry/src/membership/list-membership.ts
@@ -21,9 +21,9 @@
 /** Number of evaluation intervals without an evaluation after which this process counts as paused. */
 const PAUSED_AFTER_TICKS = 3
 /**
- * How long this instance treats no other member as lost after the last check in which it reached no majority of the
- * members, as a multiple of the suspicion time. Three attempts to dial fit into this duration, each with its time limits
- * and back-off.
+ * After the latest check in which this instance did not reach a majority of the members, it waits for this multiple of the suspicion
+ * time before it treats any suspected member as lost. Four suspicion times are long enough for three attempts to dial a
+ * member, each with its time limits and back-off.
  */
 const SETTLE_FACTOR = 4
 
@@ -228,7 +228,8 @@
     const tick = this.suspectAfterMilliseconds / TICKS_TO_SUSPECT
     if (now - this.lastEvaluatedAt > PAUSED_AFTER_TICKS * tick) {
       this.pauseGraceUntil = now + 2 * this.suspectAfterMilliseconds / 3
-      // The list is as old as the pause: an endpoint that began to leave meanwhile would get work until the next poll.
+      // The instance list was last read before this process was paused: an endpoint that began to leave during the process pause
+      // would get work until the next poll of the list.
       this.readSoon.notify()
     }
     this.lastEvaluatedAt = now
--- a/packages/entry/src/ownership/earlier-pins.ts
+++ b/packages/entry/src/ownership/earlier-pins.ts
@@ -49,7 +49,10 @@
     }
   }
 
-  /** Removes the pins that belong to no living member; called once the longest request time has passed. */
+  /**
+   * Removes the pins that belong to no living member. Called by the recovery of the endpoint, once the longest request time has passed
+   * since every member had answered the recovery's request for pins or had left.
+   */
   removeOrphans (isLiving: (instance: InstanceId) => boolean): void {
     for (const pin of this.pins.values()) {
       if (pin.instance === undefined || !isLiving(pin.instance)) this.pins.delete(pin.requestId)
--- a/packages/entry/src/ownership/remote-ownership.ts
+++ b/packages/entry/src/ownership/remote-ownership.ts
@@ -1,4 +1,4 @@
-/** Owners of endpoints in other (remote) data centres. Their ownership objects are read from the store on demand. */
+/** Looks up which instances own the endpoints of other (remote) data centres, in the ownership objects that are read from the store on demand. */
 import type { Clock, DataCentreId, EndpointId, ObjectStore } from '@limpetwinch/core'
 import { isNewer, ownershipPath, parseOwnership } from './ownership-object.js'
 import type { OwnershipObject } from './ownership-object.js'
--- a/packages/entry/src/peers/frame-codec.ts
+++ b/packages/entry/src/peers/frame-codec.ts
@@ -9,7 +9,10 @@
 import type { Result } from 'neverthrow'
 import { FRAME_FIELDS, FRAME_KINDS, FRAME_SCHEMAS } from './frame-schemas.js'
 
-/** Maximum size of a frame's body in bytes: the platform's largest value, one megabyte, with ample room for the fields around it. */
+/**
+ * Maximum size of a frame's body, in bytes. A value in the platform's store has at most one megabyte; four megabytes hold such a value
+ * with ample room for the other fields of the frame.
+ */
 export const MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
 
 /** Size of the length in front of each body. */
--- a/packages/entry/src/peers/peer-links.ts
+++ b/packages/entry/src/peers/peer-links.ts
@@ -1,4 +1,7 @@
-/** Interface to the peer network for membership and ownership: which peers to connect to, and when each was last in contact. */
+/**
+ * The interface through which membership and ownership use the peer network: sets which peers to connect to, and returns when each peer
+ * was last in contact.
+ */
 import type { DataCentreId, HeartbeatFrame, InstanceId } from '@limpetwinch/core'
 import { PeerNetwork } from './peer-network.js'
 import type { NoticeFrame } from './peer-network.js'
--- a/packages/entry/src/peers/tcp-peer-network.ts
+++ b/packages/entry/src/peers/tcp-peer-network.ts
@@ -44,8 +44,8 @@
   /** Interval between heartbeats inside the data centre; a connection is unresponsive after three intervals without a frame. */
   readonly heartbeatMilliseconds?: number
   /**
-   * Factor by which the interval between heartbeats to other data centres is longer; 1 where instances of different data
-   * centres may replace each other.
+   * Interval between heartbeats to other data centres, as a multiple of the interval inside the data centre
+   * ({@link heartbeatMilliseconds}); 1 where an instance may take over the work of an instance of another data centre.
    */
   readonly remoteHeartbeatFactor?: number
 }
--- a/packages/entry/src/routing/endpoint-directory.ts
+++ b/packages/entry/src/routing/endpoint-directory.ts
@@ -6,7 +6,10 @@
 import type { EndpointDigestFrame, EndpointId, EngineSettings, InstanceId, OperatorSettings } from '@limpetwinch/core'
 import { CopyCounter } from '../scheduling/digest.js'
 
-/** The latest digest from an endpoint's owner, and what this instance sent after that digest. */
+/**
+ * What this instance knows about one endpoint: the latest digest, which is the state of the endpoint that the endpoint's owner
+ * broadcasts, and the admission requests that this instance sent after that digest.
+ */
 export interface EndpointState {
   readonly owner: InstanceId
   readonly digest: EndpointDigestFrame
--- a/packages/entry/src/runtime/work-in-progress.ts
+++ b/packages/entry/src/runtime/work-in-progress.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks the caller requests that an instance is processing. A stopping instance uses this to wait until these requests have ended, and to
- * report how many are left.
+ * Tracks the requests of callers that this instance is processing. An instance that stops waits until these requests have ended, and
+ * reports how many of them are left.
  */
 
 /** Counts the requests in progress and waits until none is left. */
--- a/packages/entry/src/scheduling/digest.ts
+++ b/packages/entry/src/scheduling/digest.ts
@@ -1,4 +1,7 @@
-/** Digests: what the owner of an endpoint broadcasts about the endpoint, so that other instances can route requests. */
+/**
+ * Builds the digests of an endpoint. A digest is the message by which the owner of an endpoint broadcasts the endpoint's load and loaded
+ * adapters, so that other instances can route requests.
+ */
 import type { EndpointDigestFrame, EndpointId } from '@limpetwinch/core'
 import type { EndpointScheduler } from './endpoint-scheduler.js'
 
--- a/packages/entry/src/scheduling/endpoint-scheduler.ts
+++ b/packages/entry/src/scheduling/endpoint-scheduler.ts
@@ -43,7 +43,10 @@
   readonly onAdapterRequested: (adapter: string, team: string, tokens: number, now: number) => void
   /** Called when an adapter may have to be loaded. */
   readonly onLoadNeeded: () => void
-  /** Called when a request has ended, with the service that the request has used, in weighted tokens. */
+  /**
+   * Called when a request has ended, with the service that the request has used, in weighted tokens: a prompt token counts 1, an output
+   * token `OUTPUT_TOKEN_COST`.
+   */
   readonly onServed: (team: string, tokens: number) => void
 }
 
--- a/packages/entry/src/scheduling/owned-endpoints.ts
+++ b/packages/entry/src/scheduling/owned-endpoints.ts
@@ -61,7 +61,7 @@
   readonly digests: DigestMaker
   /** Aborted when this instance no longer owns the endpoint, to end the loader and the report polling. */
   readonly controller: AbortController
-  /** The loader of the endpoint, or undefined during a hand-over. */
+  /** The loader of the endpoint, or undefined while this instance hands the endpoint over to its next owner. */
   loader: RunningLoader | undefined
   /**
    * Whether a hand-over is in progress. Until it ends this instance keeps the scheduler, even if the ownership record names
--- a/packages/ingress/src/adapters/evictions.ts
+++ b/packages/ingress/src/adapters/evictions.ts
@@ -33,9 +33,10 @@
   }
 
   /**
-   * Hides one more adapter if pending loads need a slot. Several adapters are hidden concurrently and ahead of the unload orders.
-   * If they were hidden one after the other, the time that each notice needs to reach all peers would limit an engine to about ten
-   * loads per second.
+   * Hides one more adapter of the engine from all peers if pending loads need a slot: publishes a notice that no longer offers the
+   * adapter. An adapter is unloaded only after its notice has reached all peers, so several adapters are hidden concurrently and ahead
+   * of their unload orders. If they were hidden one after the other, the time that each notice needs to reach all peers would limit an
+   * engine to about ten loads per second.
    *
    * @param most - number of further loads that the engine accepts now
    * @returns whether an adapter was hidden
--- a/packages/ingress/src/adapters/store-turn.ts
+++ b/packages/ingress/src/adapters/store-turn.ts
@@ -1,11 +1,11 @@
 /**
- * Decides when one engine may start a load from the weight store: while the concurrency limit of the store allows it, or when the
- * engine's turn has come.
+ * Turns of engines at the weight store, from which the engines load adapters. An engine may start a load from the store while the
+ * concurrency limit of the store allows it, or when the engine's turn has come.
  *
  * Each instance learns the store's limit by itself and compares the limit with the number of loads that all instances have in
  * progress. An instance that receives all messages late measures every load as slow, and its learned limit stays below the number of
- * loads that the other instances keep in progress. With the limit alone, this instance would order no load for as long as the others
- * go on, while its engines look idle and attract requests that are then refused.
+ * loads that the other instances keep in progress. With the limit alone, this instance would order no load for as long as the other
+ * instances keep that many loads in progress, while its engines look idle and attract requests that are then refused.
  *
  * Therefore an engine also gets a turn, whatever the limit says, once enough loads have completed on all engines since its last turn.
  */
--- a/packages/ingress/src/adapters/unanswered-orders.ts
+++ b/packages/ingress/src/adapters/unanswered-orders.ts
@@ -42,9 +42,10 @@
   }
 
   /**
-   * Two loads for the same slot can both stay unanswered, although only one of them took the slot. If both were assumed to have been
-   * carried out, the load that was not would be ordered again to confirm its completion. The engine would then exceed its slots
-   * and crash. Only a report tells which of the loads was carried out.
+   * Two load orders for the same slot can both stay unanswered, although the engine carried out only one of them. The load owner
+   * confirms the completion of a load by sending its order again. If the load owner assumed that both loads were carried out, it would
+   * also send the order of the other load again. The engine would then carry out that order too, exceed its slots and crash. Only the
+   * engine's report tells which of the loads was carried out.
    *
    * @returns whether there are more unanswered loads than free slots
    */
--- a/packages/ingress/src/adapters/weight-store-limiter.ts
+++ b/packages/ingress/src/adapters/weight-store-limiter.ts
@@ -13,9 +13,10 @@
 import { StoreThroughput } from './store-throughput.js'
 
 /**
- * Initial limit per engine: the number of loads that one engine accepts. At full speed, stores deliver between a fraction of a load
- * and several loads per engine. If the limit starts too low, the store idles while a burst of requests waits, and the limit grows by
- * one load at a time. If it starts too high, the first loads of a burst take longer, but their durations show the capacity at once.
+ * Initial limit on concurrent loads, per engine: the number of loads that one engine accepts. The capacity of a store, which is the
+ * number of concurrent loads that it serves at full speed, is between a fraction of a load and several loads per engine. If the limit
+ * starts below the capacity, the store idles while a burst of requests waits, and the limit grows by one load at a time. If the limit
+ * starts above the capacity, the first loads of a burst take longer, but the capacity can be computed from their durations at once.
  */
 const INITIAL_LIMIT_PER_ENGINE = 4
 /** Lowest limit, in concurrent loads. One engine accepts four; below this limit a single engine could not fill its slots. */
@@ -102,12 +103,12 @@
   private idleLoads = 0
   private recent: RecentLoad[] = []
 
-  /** @param engines - returns the number of engines that load from the store */
+  /** @param engines - returns the number of engines that use the store, whether or not they are loading an adapter at the moment */
   constructor (engines: () => number) {
     this.engines = engines
   }
 
-  /** Number of engines that load from the store. */
+  /** Number of engines that use the store, whether or not they are loading an adapter at the moment. */
   get engineCount (): number {
     return this.engines()
   }
--- a/packages/ingress/src/cluster-state/state-exchange.ts
+++ b/packages/ingress/src/cluster-state/state-exchange.ts
@@ -19,8 +19,9 @@
  */
 const OFFER_MILLISECONDS = 400
 /**
- * An instance that reads the store, and whose latest response from the store is younger than this, requests no state from peers.
- * The instance will read the change itself, and a request would transfer the same bytes twice.
+ * An instance that reads the store, and whose latest response from the store is younger than this, requests no state from a peer
+ * that offers newer state. The instance will read the newer state from the store itself, and a request to the peer would transfer the
+ * same bytes twice.
  */
 const RECENT_READ_MILLISECONDS = 900
 /**
@@ -100,9 +101,9 @@
     const revisions = this.revisions()
     const text = JSON.stringify(revisions)
     const now = this.clock.now()
-    // Unchanged revisions were already offered to every neighbour, so only leaves need them again. A hub that did not receive that
-    // earlier offer keeps older state only until the next change. While the store does not respond to this instance, every offer
-    // is sent to all neighbours.
+    // Unchanged revisions were already offered to every neighbour. Only leaves get the same offer again, as the sign that their hub
+    // still reads the store. A hub that did not receive the earlier offer keeps older state only until the revisions change and are
+    // offered to all neighbours. While the store does not respond to this instance, every offer is sent to all neighbours.
     const isUnchanged = text === this.lastOffer && this.state.health.reachable
     this.lastOffer = text
     const neighbours = isUnchanged ? this.overlay.neighboursOf('leaf') : this.overlay.neighbours()
--- a/packages/ingress/src/members/cluster-objects.ts
+++ b/packages/ingress/src/members/cluster-objects.ts
@@ -1,6 +1,7 @@
 /**
- * Types, store paths and decoding of the objects that the instances of one cluster keep in the platform's store: one per instance
- * (member), one per engine (its load owner), and one per quarantined request (the quarantine decision).
+ * The objects in the platform's store by which the instances of one cluster know about each other and coordinate: one object per
+ * instance (a member), one per engine (its load owner), and one per quarantined request (the quarantine decision). Contains their
+ * types, store paths and decoding.
  */
 import type { DataCentreId, EndpointId, FencingToken, InstanceId, StoredObject } from '@limpetwinch/core'
 import type { QuarantineDecision, RequestFingerprint } from '@limpetwinch/decisions'
--- a/packages/ingress/src/observability/ingress-metrics.ts
+++ b/packages/ingress/src/observability/ingress-metrics.ts
@@ -129,7 +129,7 @@
     return new Histogram({ name, help, labelNames: [...labelNames], buckets: BUCKET_SECONDS, registers: [this.registry] })
   }
 
-  /** Replaces the counts of frames by the network's own counts, whenever metrics are read. */
+  /** Sets the frame metrics to the counts of frames that this instance's peer network keeps, whenever metrics are read. */
   private updateFrameCounts (counts: FrameCounts): void {
     this.frames.reset()
     this.frameBytes.reset()
--- a/packages/ingress/src/overlay/hub-choice.ts
+++ b/packages/ingress/src/overlay/hub-choice.ts
@@ -1,4 +1,7 @@
-/** Chooses the hub that a leaf connects to, and another one when that hub is lost. */
+/**
+ * Chooses the hub that one leaf connects to, and another hub when the leaf loses that hub. Which instances are hubs is decided in
+ * hub-plan.ts.
+ */
 import type { InstanceId } from '@limpetwinch/core'
 import type { Member } from '../members/cluster-objects.js'
 
--- a/packages/ingress/src/overlay/presence.ts
+++ b/packages/ingress/src/overlay/presence.ts
@@ -24,9 +24,9 @@
   }
 
   /**
-   * Drops the announcements of all instances but these once too many are kept, most of them from processes that have ended. An
-   * announcement of another instance is not dropped at once, because the announcement of a hub that has just started may arrive
-   * before the hub's entry in the store.
+   * If more than `MAXIMUM_ANNOUNCEMENTS` announcements are stored, drops those of all hubs except the given instances. Most of the
+   * announcements dropped come from processes that have ended. Up to that number, the announcement of a hub that is not among the given
+   * instances is kept, because the announcement of a hub that has just started may arrive before the hub's entry in the store.
    */
   keep (instances: ReadonlySet<InstanceId>): void {
     if (this.announcements.size <= MAXIMUM_ANNOUNCEMENTS) return
--- a/packages/ingress/src/quarantine/request-quarantine.ts
+++ b/packages/ingress/src/quarantine/request-quarantine.ts
@@ -232,8 +232,8 @@
   }
 
   /**
-   * @returns endpoints that are still listed with the incarnation that crashed. Nothing runs on them, so if they were not excluded, they
-   *   would be the first choice for an isolated run.
+   * @returns endpoints that the current list of endpoints still names with the incarnation that crashed. Nothing runs on these
+   *   endpoints, so if they were not excluded, they would be the first choice for an isolated run.
    */
   private crashed (): EndpointId[] {
     return this.crashTracker.crashedIncarnations().flatMap((life) => {
--- a/packages/ingress/src/relay/caller-exchange.ts
+++ b/packages/ingress/src/relay/caller-exchange.ts
@@ -1,4 +1,7 @@
-/** One request of a caller: reads its body, writes its response and detects whether the caller has left. */
+/**
+ * The HTTP exchange with a caller, that is, one request and the response to it: reads the body of the request, writes the response and
+ * detects whether the caller has disconnected.
+ */
 import { once } from 'node:events'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { LimpetwinchError } from '@limpetwinch/core'
--- a/packages/ingress/src/relay/endpoint-contacts.ts
+++ b/packages/ingress/src/relay/endpoint-contacts.ts
@@ -1,7 +1,7 @@
 /**
- * Records when response headers or body bytes were last received from an endpoint, which is called a contact: for one attempt, and
- * on any connection. When an attempt has no contact but its endpoint has recent contact on other connections, the run of the request
- * is paused. An endpoint without contact on any connection is lost.
+ * Records the time of the last contact with each endpoint, which is when response headers or body bytes were last received from the
+ * endpoint: for one attempt, and on any connection. When an attempt has no contact but its endpoint has recent contact on other
+ * connections, the run of the request is paused. An endpoint without contact on any connection is lost.
  */
 import type { Clock, EndpointId } from '@limpetwinch/core'
 import type { AttemptSink } from './attempt.js'
--- a/packages/ingress/src/relay/request-codec.ts
+++ b/packages/ingress/src/relay/request-codec.ts
@@ -24,7 +24,7 @@
   readonly deadlineMilliseconds: number | undefined
   readonly adapter: NamedAdapter | undefined
   readonly promptTokens: number
-  /** Largest number of output tokens. */
+  /** Largest number of output tokens of the response, as stated in the headers of the caller's request. */
   readonly outputTokens: number
   /** The parts of the prompt, in order. */
   readonly promptParts: readonly PromptPart[]
--- a/packages/ingress/src/relay/stream-attempt.ts
+++ b/packages/ingress/src/relay/stream-attempt.ts
@@ -43,7 +43,10 @@
 export interface IdleWatch {
   /** How long the first event may take before the stream counts as idle, milliseconds. After the first event, the limit is {@link GAP_MILLISECONDS}. */
   readonly firstMilliseconds: number
-  /** Called when the stream becomes idle, and again each time the same limit has passed without an event. */
+  /**
+   * Called when the stream becomes idle, and again each time another such period has passed without an event: `firstMilliseconds` before
+   * the first event, {@link GAP_MILLISECONDS} after it.
+   */
   readonly onIdle: () => void
   /** Called when events arrive. */
   readonly onEvent: () => void
--- a/packages/ingress/src/retries/retry-budgets.ts
+++ b/packages/ingress/src/retries/retry-budgets.ts
@@ -11,9 +11,10 @@
 const USED_SHARE = 0.8
 
 /**
- * One retry budget per service. The bound applies to all instances together. Each instance may send retries for a fixed fraction of
- * its own requests, plus an equal part of the slack. The sum over all instances stays within the bound without communication, even
- * when the instances are partitioned.
+ * One retry budget per service. The configured bound on retries applies to all instances together: per time window, a fixed fraction
+ * of the requests, plus the slack, a number of retries that is allowed whatever the number of requests. Each instance may send
+ * retries for this fraction of its own requests, plus an equal part of the slack. The sum over all instances stays within the bound
+ * without communication, even when the instances are partitioned.
  */
 export class RetryBudgets {
   private readonly settings: RetryBudgetSettings
--- a/packages/ingress/src/routes/configuration.ts
+++ b/packages/ingress/src/routes/configuration.ts
@@ -155,6 +155,6 @@
   readonly leavesInMilliseconds: number | undefined
   /** Base models that the endpoint holds. */
   readonly models: readonly ModelName[]
-  /** Adapters that the endpoint holds, as of this statement. */
+  /** Adapters that the endpoint held when it wrote this entry to the store. */
   readonly adapters: readonly HeldAdapter[]
 }
--- a/packages/ingress/src/runtime/ingress-instance.ts
+++ b/packages/ingress/src/runtime/ingress-instance.ts
@@ -48,7 +48,7 @@
 const EXIT_MILLISECONDS = 300
 /** Interval between heartbeats; an unresponsive peer is detected within three of them. */
 const HEARTBEAT_MILLISECONDS = 500
-/** Interval of housekeeping, which removes endpoints with lapsed entries, closes idle connections and lowers the error rates. */
+/** Interval of housekeeping, which removes endpoints with lapsed entries, closes idle connections and decays the error rates of endpoints. */
 const HOUSEKEEPING_MILLISECONDS = 250
 /** Factor applied to each error rate in every housekeeping, so that an endpoint avoided for its errors is tried again after some seconds. */
 const ERROR_DECAY = 0.97
--- a/packages/ingress/src/runtime/platform-followers.ts
+++ b/packages/ingress/src/runtime/platform-followers.ts
@@ -42,7 +42,7 @@
   readonly memberCount: () => number
 }
 
-/** The followers of one instance. */
+/** The followers with which one instance reads objects from the platform's store, one follower for each kind of object. */
 export interface PlatformFollowers {
   /** Follows the cluster objects, by which instances find each other. */
   readonly cluster: StoreFollower<unknown>
