--- a/packages/load/src/history/checker.ts
+++ b/packages/load/src/history/checker.ts
@@ -1,4 +1,4 @@
-/** All promises over one history. */
+/** The checker of all promises over one history. */
 import type { HistoryEvent } from './events.js'
 import { History } from './history.js'
 import type { HistoryRule, Violation } from './history-rule.js'
@@ -14,26 +14,26 @@
 import { WholeAnswerRule } from './rules/whole-answer-rule.js'
 import type { ComputeAnswer } from './rules/whole-answer-rule.js'
 
-/** What the promises leave to the deployment. */
+/** Bounds of the promises that depend on the deployment. */
 export interface CheckBounds {
-  /** Until when a leaving endpoint may still receive new work, milliseconds. */
+  /** How long an endpoint may receive new work after it was listed as leaving, milliseconds. */
   readonly leavingGrace: number
-  /** How soon accepted settings have to be in force, milliseconds. */
+  /** Time within which accepted settings have to be in force on every reachable instance, milliseconds. */
   readonly settingsInForce: number
-  /** Most by which the weighed service of two backlogged teams may differ, tokens. */
+  /** Largest allowed difference between the weighted service of two backlogged teams, tokens. */
   readonly fairness: number
 }
 
-/** The bounds that the promises' own words suggest ("a few seconds", "within seconds"). */
+/** Default bounds, which follow the wording of the promises ("a few seconds", "within seconds"). */
 export const DEFAULT_BOUNDS: CheckBounds = { leavingGrace: 5_000, settingsInForce: 4_000, fairness: 4_096 }
 
-/** Checks histories against every promise. */
+/** Checks a history against every promise. */
 export class HistoryChecker {
   readonly rules: readonly HistoryRule[]
 
   /**
-   * @param answerText - the text that the endpoints of the history generate
-   * @param bounds - the deployment's bounds
+   * @param answerText - computes the text that the endpoints of the history generate
+   * @param bounds - bounds of the deployment
    */
   constructor (answerText: ComputeAnswer, bounds: CheckBounds = DEFAULT_BOUNDS) {
     this.rules = [
@@ -50,7 +50,7 @@
     ]
   }
 
-  /** @returns every broken promise of a history */
+  /** @returns all violations in a history */
   check (events: readonly HistoryEvent[]): Violation[] {
     const history = new History(events)
     return this.rules.flatMap((rule) => rule.check(history))
--- a/packages/load/src/history/events.ts
+++ b/packages/load/src/history/events.ts
@@ -1,4 +1,4 @@
-/** What callers, endpoints, operators and the fault driver saw: one typed event for each line of a history. */
+/** Events that callers, endpoints, operators and the fault driver record; each line of a history file holds one event. */
 import { z } from 'zod'
 
 const at = z.number().nonnegative()
@@ -10,10 +10,10 @@
   request: text,
   key: text.optional(),
   team: text,
-  /** Absent for a plain service. */
+  /** Name of the adapter; absent for a plain service. */
   adapter: text.optional(),
   version: text.optional(),
-  /** Present for a plain service. */
+  /** Name of the plain service; absent for an adapter. */
   service: text.optional(),
   idempotent: z.boolean(),
   instance: text,
@@ -26,7 +26,7 @@
   event: z.literal('request-part'),
   at,
   request: text,
-  /** Counts the parts as this caller received them, from 0. */
+  /** Number of parts that this caller received before this one. */
   position: z.int().nonnegative(),
   text: z.string()
 })
@@ -37,7 +37,7 @@
   request: text,
   outcome: z.enum(['answered', 'not_run', 'unknown']),
   code: text.optional(),
-  /** What the answer says it was made with. */
+  /** Adapter that the response names. */
   adapter: text.optional(),
   version: text.optional(),
   text: z.string().optional(),
@@ -51,7 +51,7 @@
   order: z.enum(['load', 'unload', 'configure']),
   name: z.string().optional(),
   token: z.number().optional(),
-  /** `done`, or the code of the refusal. */
+  /** `done`, or the error code with which the endpoint refused the order. */
   result: text
 })
 
@@ -61,7 +61,7 @@
   endpoint: text,
   run: text,
   request: z.string(),
-  /** The name under which the engine holds it; absent for the base model and plain services. */
+  /** Name under which the engine has the adapter loaded; absent for the base model and plain services. */
   adapter: text.optional(),
   prompt: z.string().optional()
 })
@@ -73,7 +73,7 @@
   run: text,
   request: z.string(),
   result: z.enum(['finished', 'cancelled', 'lost']),
-  /** Prompt and output tokens that were spent. */
+  /** Number of prompt and output tokens that the run processed. */
   tokens: z.number().nonnegative().optional()
 })
 
@@ -88,7 +88,7 @@
   at,
   path: text,
   revision: z.int().positive(),
-  /** Identifies the text, so that two texts under one revision are seen. */
+  /** Identifies the text of the settings, so that the checker detects two texts under one revision. */
   digest: text.optional()
 })
 
@@ -110,10 +110,10 @@
 const fault = z.object({
   event: z.enum(['fault-started', 'fault-ended']),
   at,
-  /** One name for the start and the end of the same fault. */
+  /** Id of the fault, the same for its start and its end. */
   fault: text,
   kind: text,
-  /** Instances that it may keep from the newest settings. */
+  /** Instances that may not receive the latest settings during the fault. */
   instances: z.array(text).default([])
 })
 
@@ -125,7 +125,7 @@
   team: text
 })
 
-/** One line of a history. */
+/** Schema of one line of a history. */
 export const historyEventSchema = z.discriminatedUnion('event', [
   requestSent, requestPart, requestEnded, order, runStarted, runEnded, endpointState, settingsAccepted,
   settingsInForce, instanceState, fault, teamWeight, teamBacklog
@@ -134,7 +134,7 @@
 /** One event of a history. */
 export type HistoryEvent = z.infer<typeof historyEventSchema>
 
-/** The kinds of events. */
+/** Union of the kinds of events. */
 export type HistoryEventKind = HistoryEvent['event']
 
 /** The event of one kind. */
@@ -142,8 +142,8 @@
   ? Event extends { event: infer Kinds } ? (Kind extends Kinds ? Event & { event: Kind } : never) : never
   : never
 
-/** An event with its place in the history, which names it in reports. */
+/** An event with its line number, which identifies the event in reports. */
 export type Recorded<Event extends HistoryEvent = HistoryEvent> = Event & {
-  /** Counts from 1 over all files in the order read. */
+  /** Number of the event over all files in the order read, from 1. */
   readonly line: number
 }
--- a/packages/load/src/history/history.ts
+++ b/packages/load/src/history/history.ts
@@ -1,30 +1,30 @@
-/** A whole history with the joins that the rules need. */
+/** A complete history, with its events joined into requests and runs for the rules. */
 import type { HistoryEvent, HistoryEventKind, HistoryEventOf, Recorded } from './events.js'
 
-/** One run at an endpoint. */
+/** One run of a request at an endpoint. */
 export interface Run {
   readonly started: Recorded<HistoryEventOf<'run-started'>>
-  /** Absent when the history ends before the run. */
+  /** Undefined when the history ends before the run does. */
   readonly ended: Recorded<HistoryEventOf<'run-ended'>> | undefined
 }
 
-/** One request as its caller saw it. */
+/** All events of one request: those that its caller recorded and the runs that belong to it. */
 export interface RequestRecord {
   readonly sent: Recorded<HistoryEventOf<'request-sent'>>
   readonly parts: readonly Recorded<HistoryEventOf<'request-part'>>[]
   readonly ends: readonly Recorded<HistoryEventOf<'request-ended'>>[]
-  /** Runs of this request; where callers share key and prompt, each run stands with every one who may have caused it. */
+  /** Runs of this request. When several requests have the same prompt, a run belongs to each request that may have caused it. */
   readonly runs: readonly Run[]
 }
 
-/** Events in order of time, and what belongs together. */
+/** Events in order of time, and the requests and runs that they describe. */
 export class History {
   readonly events: readonly Recorded[]
   readonly runs: readonly Run[]
   readonly requests: readonly RequestRecord[]
   private readonly byKind = new Map<HistoryEventKind, Recorded[]>()
 
-  /** @param events - as read; those of one millisecond stay in the order read */
+  /** @param events - events in any order; events of the same millisecond keep their given order */
   constructor (events: readonly HistoryEvent[]) {
     this.events = events
       .map((event, index) => ({ ...event, line: index + 1 }))
@@ -34,12 +34,12 @@
     this.requests = this.joinRequests()
   }
 
-  /** @returns the events of one kind in order */
+  /** @returns the events of one kind in order of time */
   of<Kind extends HistoryEventKind> (kind: Kind): readonly Recorded<HistoryEventOf<Kind>>[] {
     return this.group(kind) as unknown as Recorded<HistoryEventOf<Kind>>[]
   }
 
-  /** Time of the last event, milliseconds. */
+  /** Time of the last event, in milliseconds of the recorders' wall clock. */
   get end (): number {
     return this.events.at(-1)?.at ?? 0
   }
@@ -69,7 +69,7 @@
     }))
   }
 
-  /** Joins by request id where the endpoint saw the caller's, else by prompt, which the load tool makes unique. */
+  /** Joins runs with requests by the request id if the endpoint recorded the caller's id, otherwise by the prompt, which the load tool makes unique. */
   private runsByRequest (): Map<string, Run[]> {
     const sent = this.of('request-sent')
     const known = new Set(sent.map((event) => event.request))
@@ -82,19 +82,19 @@
         continue
       }
       const senders = prompt === undefined ? [] : byPrompt.get(prompt) ?? []
-      // Within a millisecond the order of two recorders is not known, and the caller may have been first.
+      // The order of two recorders within one millisecond is unknown, so a request sent in the same millisecond counts as earlier.
       for (const event of senders.filter((event) => event.at <= run.started.at)) push(joined, event.request, run)
     }
     return joined
   }
 }
 
-/** @returns a run's name in the history; endpoints number their runs apart */
+/** @returns a key of a run that is unique in the history; run ids are unique only within one endpoint */
 export function runKey (event: { readonly endpoint: string, readonly run: string }): string {
   return `${event.endpoint} ${event.run}`
 }
 
-/** @returns the items under their keys, in order */
+/** @returns the items grouped by key; each group keeps the order of the items */
 export function groupBy<Item> (items: readonly Item[], keyOf: (item: Item) => string): Map<string, Item[]> {
   const groups = new Map<string, Item[]>()
   for (const item of items) push(groups, keyOf(item), item)
--- a/packages/load/src/history/instance-lifetimes.ts
+++ b/packages/load/src/history/instance-lifetimes.ts
@@ -1,19 +1,20 @@
-/** When each instance ran and could be reached, from what the load tool did to it. */
+/** When each instance ran and could receive settings, derived from what the load tool recorded about instances and faults. */
 import type { HistoryEventOf, Recorded } from './events.js'
 import { groupBy } from './history.js'
 import type { History } from './history.js'
 
+/** A period of time in wall clock milliseconds. */
 interface TimeSpan {
   readonly from: number
   readonly to: number
 }
 
-/** The lives of the instances in a history. */
+/** The lifetimes of the instances in a history, and the faults that affected these instances. */
 export class InstanceLifetimes {
   private readonly lifetimes = new Map<string, TimeSpan>()
   private readonly faults: readonly (TimeSpan & { readonly instances: readonly string[] })[]
 
-  /** @param history - a whole history */
+  /** @param history - a complete history */
   constructor (history: History) {
     const ends = groupBy([
       ...history.of('instance-stop-asked'),
@@ -27,29 +28,30 @@
     this.faults = faultSpans(history.of('fault-started'), history.of('fault-ended'))
   }
 
-  /** @returns instances whose start the history holds */
+  /** @returns ids of the instances whose start is recorded in the history */
   instances (): string[] {
     return [...this.lifetimes.keys()]
   }
 
   /**
-   * Finds until when an instance has to have taken up something; time under a fault that hits it does not count,
-   * since the promise needs a way from the accepting instance to this one.
+   * Computes the time by which an instance has to have applied a change. A fault that affects the instance within that
+   * time moves the deadline to the end of the fault plus the bound, because the promise requires a connection between
+   * the accepting instance and this one.
    *
-   * @param instance - the instance
-   * @param since - when there was something to take up, wall time
-   * @param bound - how long it may take, milliseconds
-   * @returns the deadline, or undefined when the instance did not live through it
+   * @param instance - id of the instance
+   * @param since - time when the change was accepted, wall clock milliseconds
+   * @param bound - time allowed for applying the change, milliseconds
+   * @returns the deadline, or undefined when the instance ended before the deadline or its start is not recorded
    */
   reachableDeadline (instance: string, since: number, bound: number): number | undefined {
-    const life = this.lifetimes.get(instance)
-    if (life === undefined) return undefined
-    let deadline = Math.max(since, life.from) + bound
+    const lifetime = this.lifetimes.get(instance)
+    if (lifetime === undefined) return undefined
+    let deadline = Math.max(since, lifetime.from) + bound
     for (const fault of this.faults) {
-      const hits = fault.instances.includes(instance) && fault.to >= deadline - bound && fault.from <= deadline
-      if (hits) deadline = fault.to + bound
+      const affects = fault.instances.includes(instance) && fault.to >= deadline - bound && fault.from <= deadline
+      if (affects) deadline = fault.to + bound
     }
-    return deadline < life.to ? deadline : undefined
+    return deadline < lifetime.to ? deadline : undefined
   }
 }
 
--- a/packages/load/src/history/json-lines.ts
+++ b/packages/load/src/history/json-lines.ts
@@ -1,4 +1,4 @@
-/** Histories as JSON lines. */
+/** Reading and writing of histories as JSON lines. */
 import { createReadStream, createWriteStream } from 'node:fs'
 import type { WriteStream } from 'node:fs'
 import { createInterface } from 'node:readline'
@@ -7,7 +7,7 @@
 import { historyEventSchema } from './events.js'
 import type { HistoryEvent } from './events.js'
 
-/** A line that is no event. */
+/** A line of a history file that does not hold a valid event. */
 export interface UnreadableLine {
   readonly file: string
   readonly line: number
@@ -15,10 +15,10 @@
 }
 
 /**
- * Reads one line.
+ * Parses one line of a history file.
  *
- * @param line - its text
- * @returns the event, or why it is none
+ * @param line - text of the line
+ * @returns the event, or the reason why the line is not a valid event
  */
 export function parseHistoryLine (line: string): Result<HistoryEvent, string> {
   let body: unknown
@@ -34,10 +34,10 @@
 }
 
 /**
- * Reads histories.
+ * Reads history files.
  *
- * @param files - paths, each with one event on a line
- * @returns all events in the order read, or the first line that is none: a check over half a history proves nothing
+ * @param files - paths of files with one event on each line
+ * @returns all events in the order read, or the first invalid line, because a check of an incomplete history proves nothing
  */
 export async function readHistoryFiles (files: readonly string[]): Promise<Result<HistoryEvent[], UnreadableLine>> {
   const events: HistoryEvent[] = []
@@ -66,21 +66,21 @@
   return ok(events)
 }
 
-/** Writes events as they come. */
+/** Writes events to a history file as they are recorded. */
 export class HistoryFileWriter {
   private readonly stream: WriteStream
 
-  /** @param file - path, written anew */
+  /** @param file - path of the file; an existing file is overwritten */
   constructor (file: string) {
     this.stream = createWriteStream(file)
   }
 
-  /** Adds one line. */
+  /** Appends one event as a line. */
   write (event: HistoryEvent): void {
     this.stream.write(`${JSON.stringify(event)}\n`)
   }
 
-  /** Resolves when every line is written. */
+  /** Closes the file; resolves when every line is written. */
   async close (): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.stream.once('error', reject)
--- a/packages/load/src/history/rules/fairness-rule.ts
+++ b/packages/load/src/history/rules/fairness-rule.ts
@@ -1,24 +1,25 @@
-/** No team is quietly favoured while capacity is short. */
+/** The promise that no team is favoured beyond its weight while capacity is short. */
 import type { HistoryEventOf, Recorded } from '../events.js'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
 import { groupBy } from '../history.js'
 import type { History, Run } from '../history.js'
 
+/** A period in which a team had requests waiting. */
 interface Backlog {
   readonly started: Recorded<HistoryEventOf<'team-backlog-started'>>
   readonly to: number
 }
 
 /**
- * Compares the service of two teams over each time in which both were backlogged: tokens of the runs started then,
- * each divided by the team's weight, may differ by the bound and no more.
+ * Compares the service of two teams over each period in which both were backlogged. The service of a team is the number
+ * of tokens of the runs started in the period, divided by the team's weight. The two may differ at most by the bound.
  */
 export class FairnessRule extends HistoryRule {
   override readonly promise = 'fairness'
   private readonly boundTokens: number
 
-  /** @param boundTokens - most by which the weighed service of two backlogged teams may differ */
+  /** @param boundTokens - largest allowed difference between the weighted service of two backlogged teams */
   constructor (boundTokens: number) {
     super()
     this.boundTokens = boundTokens
@@ -34,11 +35,11 @@
         const from = Math.max(one.started.at, other.started.at)
         const to = Math.min(one.to, other.to)
         if (from >= to) return []
-        const shares = [one, other].map(({ started: { team } }) => serviceOf(runs.get(team) ?? [], from, to) / (weights.get(team) ?? 1))
-        const difference = Math.abs(shares[0]! - shares[1]!)
+        const weightedService = [one, other].map(({ started: { team } }) => serviceOf(runs.get(team) ?? [], from, to) / (weights.get(team) ?? 1))
+        const difference = Math.abs(weightedService[0]! - weightedService[1]!)
         if (difference <= this.boundTokens) return []
         return [this.violation(
-          `teams ${one.started.team} and ${other.started.team} were backlogged together and their weighed service differs by ${difference} tokens`,
+          `teams ${one.started.team} and ${other.started.team} were backlogged together and their weighted service differs by ${difference} tokens`,
           [one.started, other.started]
         )]
       }))
@@ -54,8 +55,8 @@
 }
 
 function runsByTeam (history: History): Map<string, Run[]> {
-  const owned = history.requests.flatMap((view) => view.runs.map((run) => ({ team: view.sent.team, run })))
-  const groups = groupBy(owned, (item) => item.team)
+  const runsWithTeam = history.requests.flatMap((record) => record.runs.map((run) => ({ team: record.sent.team, run })))
+  const groups = groupBy(runsWithTeam, (item) => item.team)
   return new Map([...groups].map(([team, items]) => [team, items.map((item) => item.run)]))
 }
 
--- a/packages/load/src/history/rules/leaving-endpoint-rule.ts
+++ b/packages/load/src/history/rules/leaving-endpoint-rule.ts
@@ -1,10 +1,10 @@
-/** An endpoint that is leaving receives no new work within a few seconds of being listed so. */
+/** The promise that an endpoint receives no new work later than a few seconds after it was listed as leaving. */
 import type { Recorded } from '../events.js'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
 import type { History } from '../history.js'
 
-/** Faults during which no instance can read that an endpoint is leaving, neither by itself nor from a peer. */
+/** Kinds of faults during which no instance can learn that an endpoint is leaving, neither from the platform nor from a peer. */
 const LIST_OUTAGES: ReadonlySet<string> = new Set(['store-out'])
 
 interface Interval {
@@ -12,12 +12,12 @@
   readonly to: number
 }
 
-/** Looks for runs that start on an endpoint later than the grace after it was listed as leaving. */
+/** Detects runs that start on an endpoint after the grace period that follows its listing as leaving. */
 export class LeavingEndpointRule extends HistoryRule {
   override readonly promise = 'leaving-endpoint'
   private readonly graceMilliseconds: number
 
-  /** @param graceMilliseconds - the few seconds; time in which nobody could read the list does not count */
+  /** @param graceMilliseconds - the grace period; time in which no instance could read the instance list does not count */
   constructor (graceMilliseconds: number) {
     super()
     this.graceMilliseconds = graceMilliseconds
@@ -46,7 +46,7 @@
     .map(({ fault, at }) => ({ from: at, to: ends.get(fault) ?? Infinity }))
 }
 
-/** Outages that overlap count once. */
+/** @returns the milliseconds between two times in which the instance list could be read; overlapping outages count once */
 function readableTime (from: number, to: number, outages: readonly Interval[]): number {
   let readable = to - from
   let counted = from
--- a/packages/load/src/history/rules/no-eviction-in-use-rule.ts
+++ b/packages/load/src/history/rules/no-eviction-in-use-rule.ts
@@ -1,4 +1,4 @@
-/** An adapter that a running request is using is never evicted from its engine. */
+/** The promise that an adapter is never evicted from an engine while a run on that engine uses the adapter. */
 import type { HistoryEventOf, Recorded } from '../events.js'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
@@ -7,7 +7,7 @@
 
 type RunStarted = Recorded<HistoryEventOf<'run-started'>>
 
-/** Follows what runs on each engine and looks for an unload that was carried out under it. */
+/** Tracks the runs on each engine and detects unload orders that were carried out for an adapter with a run in progress. */
 export class NoEvictionInUseRule extends HistoryRule {
   override readonly promise = 'no-eviction-in-use'
 
--- a/packages/load/src/history/rules/not-run-rule.ts
+++ b/packages/load/src/history/rules/not-run-rule.ts
@@ -1,35 +1,38 @@
-/** When a caller is told its request was not run, it was not run. */
+/** The promise that a request did not run if its caller received outcome `not_run`. */
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
 import { groupBy, runKey } from '../history.js'
 import type { RequestRecord, History } from '../history.js'
 
-/** Looks for a run that only callers who were told `not_run` can have caused. */
+/** Detects runs that only requests with outcome `not_run` can have caused, and `not_run` outcomes after delivered parts. */
 export class NotRunRule extends HistoryRule {
   override readonly promise = 'not-run'
 
   override check (history: History): Violation[] {
-    const claims = history.requests.flatMap((view) => view.runs.map((run) => ({ view, run })))
-    const byRun = groupBy(claims, (claim) => runKey(claim.run.started))
+    const candidates = history.requests.flatMap((record) => record.runs.map((run) => ({ record, run })))
+    const byRun = groupBy(candidates, (candidate) => runKey(candidate.run.started))
     const ran = [...byRun.values()]
-      .filter((claimants) => claimants.every((claim) => toldNotRun(claim.view) !== undefined))
-      .map((claimants) => this.broken(claimants.map((claim) => claim.view), claimants[0]!.run.started))
+      .filter((causes) => causes.every((candidate) => notRunEnd(candidate.record) !== undefined))
+      .map((causes) => this.violationOf(causes.map((candidate) => candidate.record), causes[0]!.run.started))
     return [...ran, ...this.deliveredParts(history)]
   }
 
-  private broken (views: readonly RequestRecord[], started: Parameters<HistoryRule['violation']>[1][number]): Violation {
-    const told = views.flatMap((view) => [view.sent, toldNotRun(view)!])
-    const names = views.map((view) => view.sent.request).join(', ')
-    return this.violation(`request ${names} was told not_run, but it ran`, [...told, started])
+  private violationOf (records: readonly RequestRecord[], started: Parameters<HistoryRule['violation']>[1][number]): Violation {
+    const evidence = records.flatMap((record) => [record.sent, notRunEnd(record)!])
+    const names = records.map((record) => record.sent.request).join(', ')
+    return this.violation(`request ${names} was told not_run, but it ran`, [...evidence, started])
   }
 
   private deliveredParts (history: History): Violation[] {
     return history.requests
-      .filter((view) => view.parts.length > 0 && toldNotRun(view) !== undefined)
-      .map((view) => this.violation(`request ${view.sent.request} was told not_run after parts of its answer`, [view.sent, ...view.parts, toldNotRun(view)!]))
+      .filter((record) => record.parts.length > 0 && notRunEnd(record) !== undefined)
+      .map((record) => this.violation(
+        `request ${record.sent.request} was told not_run after parts of its answer`,
+        [record.sent, ...record.parts, notRunEnd(record)!]
+      ))
   }
 }
 
-function toldNotRun (view: RequestRecord): RequestRecord['ends'][number] | undefined {
-  return view.ends.find((ended) => ended.outcome === 'not_run')
+function notRunEnd (record: RequestRecord): RequestRecord['ends'][number] | undefined {
+  return record.ends.find((ended) => ended.outcome === 'not_run')
 }
--- a/packages/load/src/history/rules/settings-in-force-rule.ts
+++ b/packages/load/src/history/rules/settings-in-force-rule.ts
@@ -1,4 +1,4 @@
-/** Once settings are accepted they are in force everywhere within seconds and never revert to older ones. */
+/** The promise that accepted settings are in force on every instance within seconds and never revert to an older revision. */
 import type { HistoryEventOf, Recorded } from '../events.js'
 import { HistoryRule } from '../history-rule.js'
 import type { Violation } from '../history-rule.js'
@@ -9,36 +9,38 @@
 type Accepted = Recorded<HistoryEventOf<'settings-accepted'>>
 type InForce = Recorded<HistoryEventOf<'settings-in-force'>>
 
-/** Reads each path as a register by revision: one text for a revision, and each instance's view only grows. */
+/** Checks that each revision of a path is accepted once and has one text, and that the revision in force on an instance only increases. */
 export class SettingsInForceRule extends HistoryRule {
   override readonly promise = 'settings-in-force'
   private readonly boundMilliseconds: number
 
-  /** @param boundMilliseconds - how soon an accepted revision has to be in force on every reachable instance */
+  /** @param boundMilliseconds - time within which an accepted revision has to be in force on every reachable instance */
   constructor (boundMilliseconds: number) {
     super()
     this.boundMilliseconds = boundMilliseconds
   }
 
   override check (history: History): Violation[] {
-    const lives = new InstanceLifetimes(history)
+    const lifetimes = new InstanceLifetimes(history)
     return [
       ...this.findReverted(history),
       ...this.findAcceptedTwice(history),
       ...this.findDifferentTexts(history),
-      ...this.late(history, lives)
+      ...this.findLate(history, lifetimes)
     ]
   }
 
   private findReverted (history: History): Violation[] {
     const views = groupBy(history.of('settings-in-force'), (event) => `${event.instance} ${event.path}`)
     return [...views.values()].flatMap((events) => {
-      let newest = events[0]!
+      let latest = events[0]!
       return events.flatMap((event) => {
-        const older = event.revision < newest.revision
-        const before = newest
-        if (!older) newest = event
-        return older ? [this.violation(`${event.instance} went back on ${event.path} from revision ${before.revision} to ${event.revision}`, [before, event])] : []
+        const older = event.revision < latest.revision
+        const previous = latest
+        if (!older) latest = event
+        return older
+          ? [this.violation(`${event.instance} went back on ${event.path} from revision ${previous.revision} to ${event.revision}`, [previous, event])]
+          : []
       })
     })
   }
@@ -64,14 +66,14 @@
     return violations
   }
 
-  private late (history: History, lives: InstanceLifetimes): Violation[] {
+  private findLate (history: History, lifetimes: InstanceLifetimes): Violation[] {
     const inForce = groupBy(history.of('settings-in-force'), (event) => `${event.instance} ${event.path}`)
-    return history.of('settings-accepted').flatMap((accepted) => lives.instances().flatMap((instance) => {
-      const deadline = lives.reachableDeadline(instance, accepted.at, this.boundMilliseconds)
+    return history.of('settings-accepted').flatMap((accepted) => lifetimes.instances().flatMap((instance) => {
+      const deadline = lifetimes.reachableDeadline(instance, accepted.at, this.boundMilliseconds)
       if (deadline === undefined || deadline > history.end) return []
       const views = inForce.get(`${instance} ${accepted.path}`) ?? []
-      const inTime = views.some((event) => event.revision >= accepted.revision && event.at <= deadline)
-      if (inTime) return []
+      const onTime = views.some((event) => event.revision >= accepted.revision && event.at <= deadline)
+      if (onTime) return []
       return [this.violation(`revision ${accepted.revision} of ${accepted.path} was not in force on ${instance} within ${this.boundMilliseconds} ms`, [accepted, ...views.slice(-1)])]
     }))
   }
--- a/packages/load/src/history/stand-in-answer.ts
+++ b/packages/load/src/history/stand-in-answer.ts
@@ -1,6 +1,6 @@
-/** The answer text of the stand-in engine, as the checker asks for it. */
+/** The response text of the stand-in engine, in the form that the checker uses. */
 import { expectedAnswer } from '@limpetwinch/stand-ins'
 import type { ComputeAnswer } from './rules/whole-answer-rule.js'
 
-/** What stand-in engines generate. */
+/** Computes the text that a stand-in engine generates for a request. */
 export const standInAnswer: ComputeAnswer = (generation) => expectedAnswer(generation, generation.maximumTokens)
--- a/packages/load/test/history/check-command.test.ts
+++ b/packages/load/test/history/check-command.test.ts
@@ -1,3 +1,4 @@
+// Guards against a check command that misses a broken promise, returns the wrong exit code or accepts an incomplete history.
 import { appendFile, mkdtemp, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -33,7 +34,7 @@
     return file
   }
 
-  it('joins the files of caller and engine and finds nothing wrong', async () => {
+  it('joins the files of caller and engine and finds no violation', async () => {
     const files = [await write('caller', [sent, answered]), await write('engine', [run])]
     const report = await Check.run([...files, '--json'], import.meta.url)
     expect(report).toMatchObject({ events: 3, requests: 1, violations: [] })
@@ -47,7 +48,7 @@
     expect(process.exitCode).toBe(1)
   })
 
-  it('refuses a history with a line that is no event', async () => {
+  it('refuses a history with an invalid line', async () => {
     const file = await write('torn', [sent, run])
     await appendFile(file, '{"event":"request-ended","at":3')
     expect((await readHistoryFiles([file]))._unsafeUnwrapErr()).toEqual({ file, line: 3, reason: 'not JSON' })
--- a/packages/load/test/history/checker.test.ts
+++ b/packages/load/test/history/checker.test.ts
@@ -1,3 +1,5 @@
+// Guards against rules that report violations in correct histories, or that miss a broken promise. Each case changes a
+// generated correct history so that one promise is broken, and names the events that the violation has to show.
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { HistoryChecker } from '../../src/history/index.js'
@@ -7,14 +9,14 @@
 const SEED = 20_261_202
 const checker = new HistoryChecker(answerText, { leavingGrace: 5_000, settingsInForce: 4_000, fairness: 150 })
 
-/** A history with one promise broken, and the events that show it. */
-interface Broken {
+/** A history with one broken promise, and the events that show the violation. */
+interface BrokenHistory {
   readonly events: readonly HistoryEvent[]
   readonly shownBy: readonly HistoryEvent[]
 }
 
-function first<Kind extends HistoryEventKind> (events: readonly HistoryEvent[], kind: Kind, suits: (event: HistoryEventOf<Kind>) => boolean = () => true): HistoryEventOf<Kind> {
-  return events.find((event) => event.event === kind && suits(event as HistoryEventOf<Kind>)) as HistoryEventOf<Kind>
+function first<Kind extends HistoryEventKind> (events: readonly HistoryEvent[], kind: Kind, matches: (event: HistoryEventOf<Kind>) => boolean = () => true): HistoryEventOf<Kind> {
+  return events.find((event) => event.event === kind && matches(event as HistoryEventOf<Kind>)) as HistoryEventOf<Kind>
 }
 
 function replaced (events: readonly HistoryEvent[], old: HistoryEvent, changed: HistoryEvent): HistoryEvent[] {
@@ -26,7 +28,7 @@
   return rest
 }
 
-const breaks: Record<string, [promise: string, (events: readonly HistoryEvent[]) => Broken]> = {
+const breaks: Record<string, [promise: string, (events: readonly HistoryEvent[]) => BrokenHistory]> = {
   'a run with another team\'s adapter': ['right-adapter', (events) => {
     const run = first(events, 'run-started', (event) => event.prompt === 'prompt 0')
     const wrong = { ...run, adapter: 'team-9/adapter@v1~7' }
@@ -68,7 +70,7 @@
     const again = { ...part, at: part.at + 1 }
     const parts = events.filter((event) => event.event === 'request-part' && event.request === 'r0')
     const end = first(events, 'request-ended')
-    // Told twice: once as parts out of order, once as a text that is not the whole one.
+    // The rule reports two violations: parts out of order, and a text other than the complete response.
     return { events: [...events, again], shownBy: [first(events, 'request-sent'), parts[0]!, again, ...parts.slice(1), end] }
   }],
   'an answer that ran nowhere': ['whole-answer', (events) => {
@@ -139,18 +141,18 @@
   }]
 }
 
-function named (violations: readonly Violation[]): HistoryEvent[] {
+function shownEvents (violations: readonly Violation[]): HistoryEvent[] {
   return violations.at(-1)!.events.map(withoutLine)
 }
 
 describe('history checker', () => {
-  it('passes histories that keep every promise', () => {
+  it('reports no violation in histories that keep every promise', () => {
     fc.assert(fc.property(correctHistory, (events) => {
       expect(checker.check(events)).toEqual([])
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('reads a history in any order of lines of different times', () => {
+  it('accepts the lines of a history in any order of their times', () => {
     const reversed = correctHistory.map((events) => [...events].sort((left, right) => left.at - right.at))
     fc.assert(fc.property(reversed, (events) => {
       expect(checker.check(events)).toEqual([])
@@ -162,7 +164,7 @@
       const broken = breakIt(events)
       const violations = checker.check(broken.events)
       expect(new Set(violations.map((violation) => violation.promise))).toEqual(new Set([promise]))
-      expect(named(violations)).toEqual(broken.shownBy)
+      expect(shownEvents(violations)).toEqual(broken.shownBy)
     }), { seed: SEED, numRuns: 100 })
   })
 
--- a/packages/load/test/history/correct-history.ts
+++ b/packages/load/test/history/correct-history.ts
@@ -1,23 +1,23 @@
-/** Generated histories that keep every promise, and the pieces by which tests break one. */
+/** Generator of histories that keep every promise; tests change these histories to break one. */
 import fc from 'fast-check'
-import type { HistoryEvent, HistoryEventOf } from '../../src/history/index.js'
-import type { GenerationOf } from '../../src/history/index.js'
+import type { GenerationParameters, HistoryEvent, HistoryEventOf } from '../../src/history/index.js'
 
-/** Text of one token in these histories. */
-export function tokenText ({ adapter, prompt, seed }: GenerationOf, position: number): string {
+/** @returns the text of one token in the generated histories */
+export function tokenText ({ adapter, prompt, seed }: GenerationParameters, position: number): string {
   return `${adapter}|${prompt}|${seed ?? 0}|${position} `
 }
 
-/** The whole text in these histories. */
-export function answerText (generation: GenerationOf): string {
+/** @returns the complete response text of a request in the generated histories */
+export function answerText (generation: GenerationParameters): string {
   return Array.from({ length: generation.maximumTokens }, (_, position) => tokenText(generation, position)).join('')
 }
 
-const SPACING = 1_000
+/** Milliseconds between the starts of two requests. */
+const SPACING_MILLISECONDS = 1_000
 const SETTINGS_PATH = '/teams/team-0'
 
-/** What happens to one request. */
-export interface Fate {
+/** The properties and the course of one generated request. */
+export interface RequestScenario {
   readonly team: number
   readonly versionNamed: boolean
   readonly engine: number
@@ -26,7 +26,7 @@
   readonly kind: 'answered' | 'retried' | 'not-run' | 'lost' | 'cut' | 'sent-again'
 }
 
-const fate: fc.Arbitrary<Fate> = fc.record({
+const scenario: fc.Arbitrary<RequestScenario> = fc.record({
   team: fc.nat(2),
   versionNamed: fc.boolean(),
   engine: fc.nat(2),
@@ -35,21 +35,21 @@
   kind: fc.constantFrom('answered', 'retried', 'not-run', 'lost', 'cut', 'sent-again')
 })
 
-/** One request of each fate first, so that every promise has something to break. */
-const always: readonly Fate[] = (['answered', 'answered', 'not-run', 'lost', 'cut', 'sent-again'] as const)
+/** Requests at the start of every history, so that each promise has an event by which a test can break it. */
+const fixedScenarios: readonly RequestScenario[] = (['answered', 'answered', 'not-run', 'lost', 'cut', 'sent-again'] as const)
   .map((kind, index) => ({ team: index % 3, versionNamed: true, engine: index % 3, instance: 0, tokens: 3, kind }))
 
-/** Histories that keep every promise. Requests start a second apart and may overlap the next two. */
-export const correctHistory: fc.Arbitrary<HistoryEvent[]> = fc.array(fate, { maxLength: 12 })
-  .map((fates) => [...always, ...fates].flatMap(eventsOf))
-  .map((events) => [...events, ...surroundings(events)])
+/** Histories that keep every promise. Requests start one second apart, and each may overlap the next two. */
+export const correctHistory: fc.Arbitrary<HistoryEvent[]> = fc.array(scenario, { maxLength: 12 })
+  .map((scenarios) => [...fixedScenarios, ...scenarios].flatMap(eventsOf))
+  .map((events) => [...events, ...otherEvents(events)])
 
-function eventsOf (fate: Fate, index: number): HistoryEvent[] {
-  const at = (index + 1) * SPACING
+function eventsOf (scenario: RequestScenario, index: number): HistoryEvent[] {
+  const at = (index + 1) * SPACING_MILLISECONDS
   const request = `r${index}`
-  const team = `team-${fate.team}`
+  const team = `team-${scenario.team}`
   const loaded = `${team}/adapter@v1`
-  const idempotent = fate.kind === 'retried'
+  const idempotent = scenario.kind === 'retried'
   const sent: HistoryEventOf<'request-sent'> = {
     event: 'request-sent',
     at,
@@ -57,27 +57,27 @@
     team,
     adapter: 'adapter',
     idempotent,
-    instance: `instance-${fate.instance}`,
+    instance: `instance-${scenario.instance}`,
     prompt: `prompt ${index}`,
-    maximumTokens: fate.tokens,
-    ...(fate.versionNamed ? { version: 'v1' } : {}),
+    maximumTokens: scenario.tokens,
+    ...(scenario.versionNamed ? { version: 'v1' } : {}),
     ...(idempotent ? {} : { key: `key-${index}` })
   }
-  const generation: GenerationOf = { adapter: loaded, prompt: sent.prompt, maximumTokens: fate.tokens, seed: undefined }
-  const parts: HistoryEvent[] = Array.from({ length: fate.tokens }, (_, position) => (
+  const generation: GenerationParameters = { adapter: loaded, prompt: sent.prompt, maximumTokens: scenario.tokens, seed: undefined }
+  const parts: HistoryEvent[] = Array.from({ length: scenario.tokens }, (_, position) => (
     { event: 'request-part', at: at + 200 + position * 400, request, position, text: tokenText(generation, position) }))
   const run = (number: number, start: number, result: 'finished' | 'cancelled'): HistoryEvent[] => {
-    const own = { endpoint: `engine-${(fate.engine + number) % 3}`, run: `${request}-${number}`, request: `inner-${index}` }
+    const own = { endpoint: `engine-${(scenario.engine + number) % 3}`, run: `${request}-${number}`, request: `inner-${index}` }
     return [
       { event: 'order', at: start - 50, endpoint: own.endpoint, order: 'load', name: `${loaded}~7`, token: 7, result: 'done' },
       { event: 'run-started', at: start, ...own, adapter: `${loaded}~7`, prompt: sent.prompt },
-      { event: 'run-ended', at: at + 2_500, ...own, result, tokens: fate.tokens }
+      { event: 'run-ended', at: at + 2_500, ...own, result, tokens: scenario.tokens }
     ]
   }
   const end = at + 2_600
   const answered: HistoryEvent = { event: 'request-ended', at: end, request, outcome: 'answered', adapter: `${team}/adapter`, version: 'v1', text: answerText(generation) }
   const unknown: HistoryEvent = { event: 'request-ended', at: end, request, outcome: 'unknown', code: 'endpoint_failed' }
-  switch (fate.kind) {
+  switch (scenario.kind) {
     case 'answered': return [sent, ...run(0, at + 100, 'finished'), ...parts, answered]
     case 'retried': return [sent, ...run(0, at + 100, 'cancelled'), ...run(1, at + 150, 'finished'), ...parts, answered]
     case 'not-run': return [sent, { event: 'request-ended', at: end, request, outcome: 'not_run', code: 'overloaded' }]
@@ -91,16 +91,16 @@
   }
 }
 
-/** Unloads after the last use, a leaving engine, a planned stop, settings, and two teams that share evenly. */
-function surroundings (events: readonly HistoryEvent[]): HistoryEvent[] {
+/** Events besides the requests: unloads after the last use, a leaving engine, a planned stop, settings, and two teams that are served equally. */
+function otherEvents (events: readonly HistoryEvent[]): HistoryEvent[] {
   const end = Math.max(...events.map((event) => event.at)) + 100
   const unloads: HistoryEvent[] = [0, 1, 2].map((team) => (
     { event: 'order', at: end, endpoint: 'engine-0', order: 'unload', name: `team-${team}/adapter@v1~7`, token: 7, result: 'done' }))
   const instances: HistoryEvent[] = [0, 1, 2].map((index) => ({ event: 'instance-started', at: 0, instance: `instance-${index}` }))
   const settings = [1, 2, 3].flatMap((revision): HistoryEvent[] => [
-    { event: 'settings-accepted', at: revision * SPACING, path: SETTINGS_PATH, revision, digest: `text ${revision}` },
+    { event: 'settings-accepted', at: revision * SPACING_MILLISECONDS, path: SETTINGS_PATH, revision, digest: `text ${revision}` },
     ...[0, 1, 2].map((index): HistoryEvent => ({
-      event: 'settings-in-force', at: revision * SPACING + 300, path: SETTINGS_PATH, revision, instance: `instance-${index}`, digest: `text ${revision}`
+      event: 'settings-in-force', at: revision * SPACING_MILLISECONDS + 300, path: SETTINGS_PATH, revision, instance: `instance-${index}`, digest: `text ${revision}`
     }))
   ])
   return [
@@ -108,13 +108,13 @@
     ...settings,
     ...unloads,
     { event: 'endpoint-leaving', at: end, endpoint: 'engine-2' },
-    // The request last sent to it is in progress then, or has ended.
+    // The last request sent to this instance is in progress at this time or has ended.
     { event: 'instance-stop-asked', at: end - 150, instance: 'instance-2' },
-    ...evenShares(end + 10_000)
+    ...equalService(end + 10_000)
   ]
 }
 
-function evenShares (from: number): HistoryEvent[] {
+function equalService (from: number): HistoryEvent[] {
   const teams = ['even-0', 'even-1']
   const spans = (event: 'team-backlog-started' | 'team-backlog-ended', at: number): HistoryEvent[] => teams.map((team) => ({ event, at, team }))
   const requests = Array.from({ length: 6 }, (_, index): HistoryEvent[] => {
