--- a/packages/load/src/faults/caller.ts
+++ b/packages/load/src/faults/caller.ts
@@ -1,4 +1,4 @@
-/** A caller that records what it sent and what it was told. */
+/** A caller that records the requests it sends and the outcomes it receives. */
 import { createParser } from 'eventsource-parser'
 import { neverConnected } from '@limpetwinch/core'
 import { Agent, request } from 'undici'
@@ -6,12 +6,12 @@
 import { z } from 'zod'
 import type { HistoryLog } from './history-log.js'
 
-/** One request of the load. */
+/** One request that the load tool sends. */
 export interface LoadRequest {
   readonly request: string
   readonly key: string | undefined
   readonly team: string
-  /** Undefined for a plain service. */
+  /** Name of the adapter; undefined for a request to a plain service. */
   readonly adapter: string | undefined
   readonly version: string | undefined
   readonly idempotent: boolean
@@ -22,10 +22,12 @@
   readonly deadlineMilliseconds: number
 }
 
-/** Where and as whom requests are sent. */
+/** The instance that a request is sent to, and the key it is sent with. */
 export interface CallerTarget {
   readonly instance: string
+  /** Base URL of the caller interface of the instance. */
   readonly caller: string
+  /** Key of the calling team. */
   readonly key: string
 }
 
@@ -36,9 +38,10 @@
   readonly text?: string
 }
 
-/** The service that the load calls. */
+/** Name of the plain service that the load tool calls. */
 export const SERVICE = 'echo'
 
+/** How long after its deadline the caller stops waiting for a request. */
 const TIMEOUT_AFTER_DEADLINE_MILLISECONDS = 10_000
 const CONNECTION_LOST: ReportedOutcome = { outcome: 'unknown', code: 'connection-lost' }
 
@@ -46,19 +49,22 @@
 const answerSchema = z.object({ model: z.string(), choices: z.tuple([z.object({ text: z.string() })]) })
 const echoSchema = z.object({ body: z.string() })
 
-/** Sends requests and records them. */
+/** Sends requests and records each request, each received part and each reported outcome in a history. */
 export class RecordingCaller {
   private readonly agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
   private readonly log: HistoryLog
 
-  /** @param log - where to record */
+  /** @param log - history log that receives the events */
   constructor (log: HistoryLog) {
     this.log = log
   }
 
   /**
-   * Sends one request; resolves when the caller was told how it ended, or has waited far beyond its deadline. The end
-   * of a request that nobody told of is not recorded, so that it is found as lost. Nothing is sent again by itself.
+   * Sends one request without retries. Resolves when the outcome is known, or ten seconds after the deadline of the
+   * request. A request without an outcome by then gets no end event, so that the checker reports it as lost.
+   *
+   * @param load - the request
+   * @param target - the instance and the key to use
    */
   async send (load: LoadRequest, target: CallerTarget): Promise<void> {
     const { request: name, key, team, adapter, version, idempotent, prompt, maximumTokens, seed } = load
@@ -75,21 +81,21 @@
       ...(adapter === undefined ? { service: SERVICE } : { adapter }),
       ...(version === undefined ? {} : { version })
     })
-    const told = await this.exchange(load, target)
-    if (told === undefined) return
-    const [said, saidVersion] = told.model?.split('@') ?? []
+    const reported = await this.exchange(load, target)
+    if (reported === undefined) return
+    const [servedAdapter, servedVersion] = reported.model?.split('@') ?? []
     this.log.record({
       event: 'request-ended',
       request: name,
-      outcome: told.outcome,
-      ...(told.code === undefined ? {} : { code: told.code }),
-      ...(said === undefined ? {} : { adapter: said }),
-      ...(saidVersion === undefined ? {} : { version: saidVersion }),
-      ...(told.text === undefined ? {} : { text: told.text })
+      outcome: reported.outcome,
+      ...(reported.code === undefined ? {} : { code: reported.code }),
+      ...(servedAdapter === undefined ? {} : { adapter: servedAdapter }),
+      ...(servedVersion === undefined ? {} : { version: servedVersion }),
+      ...(reported.text === undefined ? {} : { text: reported.text })
     })
   }
 
-  /** Closes the connections. */
+  /** Closes all connections to the instances. */
   async close (): Promise<void> {
     await this.agent.destroy()
   }
@@ -114,18 +120,18 @@
   }
 
   private async readStream (load: LoadRequest, response: Dispatcher.ResponseData): Promise<ReportedOutcome> {
-    let told: ReportedOutcome | undefined
+    let reported: ReportedOutcome | undefined
     let model: string | undefined
     let position = 0
-    const take = (data: string): void => {
+    const handleData = (data: string): void => {
       if (data === '[DONE]') {
-        told ??= { outcome: 'answered', model }
+        reported ??= { outcome: 'answered', model }
         return
       }
       const body: unknown = JSON.parse(data)
       const failed = errorSchema.safeParse(body)
       if (failed.success) {
-        told ??= { outcome: failed.data.error.outcome, code: failed.data.error.code }
+        reported ??= { outcome: failed.data.error.outcome, code: failed.data.error.code }
         return
       }
       const chunk = answerSchema.parse(body)
@@ -135,10 +141,10 @@
       this.log.record({ event: 'request-part', request: load.request, position, text })
       position += 1
     }
-    const parser = createParser({ onEvent: (event) => take(event.data) })
+    const parser = createParser({ onEvent: (event) => handleData(event.data) })
     const decoder = new TextDecoder('utf-8', { fatal: true })
     for await (const chunk of response.body as AsyncIterable<Buffer>) parser.feed(decoder.decode(chunk, { stream: true }))
-    return told ?? CONNECTION_LOST
+    return reported ?? CONNECTION_LOST
   }
 }
 
--- a/packages/load/src/faults/campaign.ts
+++ b/packages/load/src/faults/campaign.ts
@@ -1,4 +1,4 @@
-/** Many fault runs, some at a time, each checked against every promise. */
+/** A series of fault runs, several at a time, whose histories are checked against every promise. */
 import { HistoryChecker, standInAnswer } from '../history/index.js'
 import type { CheckBounds, HistoryEvent, Violation } from '../history/index.js'
 import type { Fault } from './fault.js'
@@ -6,55 +6,56 @@
 import { SeededRandom } from './random.js'
 import { planRun } from './run-plan.js'
 
-/** What is run. */
+/** Options of a campaign. */
 export interface CampaignOptions {
-  /** Everything that is chosen follows from it. */
+  /** Seed of all random choices; with a single run it is the seed of that run. */
   readonly seed: number
   readonly runs: number
-  /** Runs at a time. */
+  /** Number of runs that are executed at the same time. */
   readonly concurrency: number
+  /** Name of the mutant that all instances contain, or undefined for none. */
   readonly mutant: string | undefined
-  /** Kinds of faults to choose from. */
+  /** Kinds of faults that a run plan chooses from; with none, nothing fails. */
   readonly kinds: readonly Fault[]
-  /** Ends after the first run with a violation. */
+  /** Whether to start no further run after a run with a violation. */
   readonly stopAtViolation: boolean
-  /** Bounds of the promises that speak of time; where machines are slow, looser ones. */
+  /** Bounds of the promises that have one, such as a time limit. Slow machines need looser bounds than the default. */
   readonly bounds?: CheckBounds
-  /** Called with each history. */
+  /** Called with the history of each finished run. */
   readonly onHistory?: (run: FinishedRun) => void
 }
 
-/** One checked history. */
+/** The history of one run with the violations found in it. */
 export interface FinishedRun {
   readonly seed: number
   readonly events: readonly HistoryEvent[]
   readonly violations: readonly Violation[]
 }
 
-/** A violation with the seed of its run. */
+/** A violation with the seed of the run in which it was found. */
 export interface SeededViolation extends Violation {
   readonly seed: number
 }
 
-/** What came out. */
+/** Results of a campaign over all its runs. */
 export interface CampaignReport {
   readonly histories: number
   readonly requests: number
-  /** Requests by what their callers were told. */
+  /** Number of requests by the outcome that their callers received. */
   readonly outcomes: Readonly<Record<string, number>>
-  /** Faults that happened, by kind. */
+  /** Number of faults injected, by kind. */
   readonly faults: Readonly<Record<string, number>>
   readonly violations: readonly SeededViolation[]
-  /** Runs that came to no history, with the reason: they prove nothing. */
+  /** Runs that ended with an error and without a history, which therefore prove nothing; with the reason. */
   readonly failed: readonly { readonly seed: number, readonly reason: string }[]
   readonly seconds: number
 }
 
 const MAXIMUM_SEED = 2 ** 30
-/** Tighter than the promises' own, since lists and heartbeats of fault runs are quicker. */
+/** A tighter leaving grace than the default, since instance lists and heartbeats of fault runs have shorter intervals. */
 const FAULT_RUN_BOUNDS: CheckBounds = { leavingGrace: 1_500, settingsInForce: 4_000, fairness: 4_096 }
 
-/** Runs and checks. */
+/** Executes the runs of a campaign, checks their histories and collects the results. */
 export class Campaign {
   private readonly options: CampaignOptions
   private readonly checker: HistoryChecker
@@ -65,15 +66,15 @@
   private histories = 0
   private requests = 0
 
-  /** @param options - what is run */
+  /** @param options - options of the campaign */
   constructor (options: CampaignOptions) {
     this.options = options
     this.checker = new HistoryChecker(standInAnswer, options.bounds ?? FAULT_RUN_BOUNDS)
   }
 
-  /** @returns the report over all runs */
+  /** @returns the results over all runs */
   async run (): Promise<CampaignReport> {
-    const began = performance.now()
+    const startedAt = performance.now()
     const seeds = runSeeds(this.options)
     const workers = Array.from({ length: this.options.concurrency }, async () => {
       for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
@@ -83,7 +84,7 @@
     })
     await Promise.all(workers)
     const { histories, requests, outcomes, faults, violations, failed } = this
-    return { histories, requests, outcomes, faults, violations, failed, seconds: Math.round((performance.now() - began) / 100) / 10 }
+    return { histories, requests, outcomes, faults, violations, failed, seconds: Math.round((performance.now() - startedAt) / 100) / 10 }
   }
 
   private async runOne (seed: number): Promise<void> {
@@ -107,7 +108,7 @@
   }
 }
 
-/** A single run keeps its seed, so that the seed of a violation can be run again by itself. */
+/** A single run uses the campaign's seed itself, so that a run with a violation can be reproduced from the reported seed. */
 function runSeeds ({ seed, runs }: CampaignOptions): number[] {
   if (runs === 1) return [seed]
   const random = new SeededRandom(seed)
--- a/packages/load/src/faults/cuttable-link.ts
+++ b/packages/load/src/faults/cuttable-link.ts
@@ -1,66 +1,66 @@
-/** A way between one instance and the platform that can be cut. */
+/** A TCP proxy that can cut the connection between two programs. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
-/** Passes TCP connections on until it is cut; then nothing passes, and nobody is told. */
+/** Forwards TCP connections until the link is cut. A cut link transfers no bytes, and neither end receives an error. */
 export class CuttableLink {
   private readonly sockets = new Set<Socket>()
-  private readonly server = createServer((near) => this.accept(near))
+  private readonly server = createServer((incoming) => this.accept(incoming))
   private readonly target: URL
   private isCut = false
 
-  /** @param target - URL of the far end */
+  /** @param target - URL of the program that connections are forwarded to */
   constructor (target: string) {
     this.target = new URL(target)
   }
 
-  /** @returns the URL of the near end */
+  /** @returns the URL under which the link accepts connections */
   async listen (): Promise<string> {
     await new Promise<void>((resolve) => { this.server.listen(0, '127.0.0.1', resolve) })
     return this.listening
   }
 
-  /** The URL of the near end, once it listens. */
+  /** URL under which the link accepts connections; valid after `listen`. */
   get listening (): string {
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Resets all connections that are open now; new ones work. */
+  /** Resets all open connections; new connections work. */
   reset (): void {
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
-  /** From now on bytes go nowhere, on open and on new connections. */
+  /** Stops transferring bytes, on open connections and on new ones. */
   cut (): void {
     this.isCut = true
     for (const socket of this.sockets) socket.pause()
   }
 
-  /** Lets new connections through; those open during the cut are lost. */
+  /** Restores the link for new connections and closes those that were open during the cut. */
   restore (): void {
     this.isCut = false
     for (const socket of this.sockets) socket.destroy()
   }
 
-  /** Ends all. */
+  /** Closes all connections and stops listening. */
   async close (): Promise<void> {
     for (const socket of this.sockets) socket.destroy()
     await new Promise<void>((resolve) => { this.server.close(() => resolve()) })
   }
 
-  private accept (near: Socket): void {
-    this.keep(near)
+  private accept (incoming: Socket): void {
+    this.track(incoming)
     if (this.isCut) {
-      near.pause()
+      incoming.pause()
       return
     }
-    const far = connect(Number(this.target.port), this.target.hostname)
-    this.keep(far)
-    pass(near, far)
-    pass(far, near)
+    const outgoing = connect(Number(this.target.port), this.target.hostname)
+    this.track(outgoing)
+    forward(incoming, outgoing)
+    forward(outgoing, incoming)
   }
 
-  private keep (socket: Socket): void {
+  private track (socket: Socket): void {
     socket.setNoDelay(true)
     this.sockets.add(socket)
     socket.on('error', () => socket.destroy())
@@ -68,7 +68,7 @@
   }
 }
 
-function pass (from: Socket, to: Socket): void {
+function forward (from: Socket, to: Socket): void {
   from.pipe(to)
   from.on('close', () => to.destroy())
 }
--- a/packages/load/src/faults/deployment.ts
+++ b/packages/load/src/faults/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment on loopback for one fault run: platform, engines, plain services, entry instances. */
+/** A complete deployment on the loopback interface for one fault run: platform, engines, plain services, entry instances. */
 import { createHash } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { DataCentreId, InstanceSettings, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
@@ -15,32 +15,39 @@
 import { ProcessEntryHost } from './process-entry-host.js'
 import { CALLER_KEY, endpointsText, keyOf, MARKER, markerOf, teamText, TEAMS } from './sample-deployment.js'
 
-/** What is to be started. */
+/** What a deployment consists of. */
 export interface DeploymentPlan {
   readonly instances: number
-  /** One for each engine. */
+  /** Whether each engine refuses stale fencing tokens or ignores tokens; one element for each engine. */
   readonly fencing: readonly ('refuses' | 'ignores')[]
-  /** Whether instances run in processes of their own, so that they can be killed and paused as a whole. */
+  /** Whether each instance runs in its own process, which can be killed and paused as a whole. */
   readonly processes: boolean
+  /** Name of the mutant that all instances contain, or undefined for none. */
   readonly mutant: string | undefined
 }
 
-/** An entry instance that runs. */
+/** A running entry instance with the objects that control it. */
 export interface RunningEntry extends HostedEntry {
   readonly host: EntryHost
+  /** Link between the instance and the platform. */
   readonly link: CuttableLink
-  /** Callers are sent to it. */
+  /** Whether the load tool sends requests to this instance. */
   receivesRequests: boolean
 }
 
 const DATA_CENTRE = 'north' as DataCentreId
+/** Delay after which the platform's instance list shows a change. */
 const LIST_LAG_MILLISECONDS = 100
+/** Time limit for a new instance to become ready. */
 const READY_WITHIN_MILLISECONDS = 30_000
+/** Interval between checks whether a new instance is ready. */
 const POLL_INTERVAL_MILLISECONDS = 25
+/** Timeout of one request that reads which settings an instance has in force. */
 const SETTINGS_READ_TIMEOUT_MILLISECONDS = 1_000
 
-/** Starts, changes and ends the deployment of one history. */
+/** Starts, changes and closes the deployment of one fault run, and collects its history. */
 export class Deployment {
+  /** Events recorded by the load tool itself. */
   readonly callerLog = new HistoryLog()
   readonly platform = new StandInPlatform({ listLag: LIST_LAG_MILLISECONDS, loadsPerSecond: 40 })
   readonly engines: readonly StandInEngine[]
@@ -50,7 +57,7 @@
   private readonly ended: RunningEntry[] = []
   private writes = 0
 
-  /** @param plan - what is to be started */
+  /** @param plan - what the deployment consists of */
   constructor (plan: DeploymentPlan) {
     this.plan = plan
     this.engines = plan.fencing.map((fencing, index) => new StandInEngine({
@@ -59,7 +66,7 @@
     this.services = [0, 1].map((index) => new StandInService({ name: serviceId(index) }))
   }
 
-  /** Starts everything; resolves when every instance is ready. */
+  /** Starts the platform, engines, services and instances; resolves when every instance is ready. */
   async start (): Promise<void> {
     await this.platform.listen()
     await Promise.all([...this.engines, ...this.services].map(async (standIn) => await standIn.listen()))
@@ -73,7 +80,11 @@
     await Promise.all(Array.from({ length: this.plan.instances }, async () => await this.addEntry()))
   }
 
-  /** Starts one more instance; resolves when it is ready. */
+  /**
+   * Starts one more instance.
+   *
+   * @returns the instance, once it is ready
+   */
   async addEntry (): Promise<RunningEntry> {
     const link = new CuttableLink(this.platform.url)
     const settings = instanceSettings(await link.listen())
@@ -91,7 +102,7 @@
     return entry
   }
 
-  /** Stops an instance as planned, unless it has been ended already. */
+  /** Stops an instance as planned, unless the instance has already been stopped or killed. */
   async stopEntry (entry: RunningEntry): Promise<void> {
     if (!this.entries.includes(entry)) return
     this.callerLog.record({ event: 'instance-stop-asked', instance: entry.instance })
@@ -102,7 +113,7 @@
     await this.unlist(entry.instance)
   }
 
-  /** Ends an instance at once, unless it has been ended already. */
+  /** Kills an instance without a planned stop, unless the instance has already been stopped or killed. */
   async killEntry (entry: RunningEntry): Promise<void> {
     if (!this.entries.includes(entry)) return
     this.callerLog.record({ event: 'instance-killed', instance: entry.instance })
@@ -111,12 +122,12 @@
     await this.unlist(entry.instance)
   }
 
-  /** Marks an engine on the platform's list. */
+  /** Sets the state of an engine on the platform's instance list. */
   async markEngine (index: number, state: 'live' | 'leaving'): Promise<void> {
     await this.list(engineId(index), 'endpoint', '', state)
   }
 
-  /** Changes a team's settings on top of the newest revision, as one operator among others; a lost race is given up. */
+  /** Changes a team's settings on top of the latest revision. A change that loses a race against another operator is not retried. */
   async changeTeam (team: string, author: string): Promise<void> {
     const path = `/teams/${team}`
     const revision = this.revisionOf(path) + 1
@@ -124,15 +135,18 @@
     if (accepted) this.callerLog.record({ event: 'settings-accepted', path, revision, digest: markerOf(revision, author) })
   }
 
-  /** Asks an instance, as a caller would, which revision of a team's settings is in force. */
+  /** @returns the revision of a team's settings that an instance has in force, as its list of models shows to callers */
   async readSettingsInForce (entry: RunningEntry, team: string): Promise<{ revision: number, digest: string } | undefined> {
-    const answer = await request(`${entry.caller}/v1/models`, { headers: { authorization: `Bearer ${keyOf(team)}` }, signal: AbortSignal.timeout(SETTINGS_READ_TIMEOUT_MILLISECONDS) })
+    const answer = await request(`${entry.caller}/v1/models`, {
+      headers: { authorization: `Bearer ${keyOf(team)}` },
+      signal: AbortSignal.timeout(SETTINGS_READ_TIMEOUT_MILLISECONDS)
+    })
     const body = await answer.body.text()
     const digest = new RegExp(`${MARKER}@(r(\\d+)[.\\w]*)`).exec(body)
     return digest?.[1] === undefined ? undefined : { revision: Number(digest[2]), digest: digest[1] }
   }
 
-  /** @returns the newest revision of a path in the store */
+  /** @returns the latest revision of a path in the store, or 0 when the path has no settings */
   revisionOf (path: string): number {
     return this.documentOf(path)?.revision ?? 0
   }
@@ -142,7 +156,7 @@
     return object?.value as SettingsDocument | undefined
   }
 
-  /** @returns whether the write took effect, also when its answer was lost */
+  /** @returns whether the write took effect, which is also detected when the store's response was lost */
   private async putSettings (path: string, revision: number, text: string): Promise<boolean> {
     this.writes += 1
     const writeId = `write-${this.writes}`
@@ -151,19 +165,19 @@
     return written.isOk() || this.documentOf(path)?.writeId === writeId
   }
 
-  /** @returns everything that callers, endpoints and platform saw */
+  /** @returns the events that callers, endpoints and the platform recorded, in order of time */
   history (): HistoryEvent[] {
     const standIns = [this.platform, ...this.engines, ...this.services].flatMap((standIn) => standIn.history.all()) as HistoryEvent[]
     return [...this.callerLog.events, ...standIns].sort((left, right) => left.at - right.at)
   }
 
-  /** @returns the owners of engines as the store holds them */
+  /** @returns the ownership records of the engines, as stored on the platform */
   ownershipRecords (): readonly OwnershipRecord[] {
     const object = this.platform.store.snapshot().find((candidate) => candidate.path === `/ownership/${DATA_CENTRE}`)
     return (object?.value as { records: readonly OwnershipRecord[] } | undefined)?.records ?? []
   }
 
-  /** Ends everything. */
+  /** Kills all instances and closes their links, the platform, the engines and the services. */
   async close (): Promise<void> {
     await Promise.all(this.entries.map(async (entry) => await entry.host.kill()))
     await Promise.all([...this.entries, ...this.ended].map(async (entry) => await entry.link.close()))
@@ -198,7 +212,7 @@
   }
 }
 
-/** @returns an engine's endpoint id */
+/** @returns the endpoint id of an engine */
 export function engineId (index: number): string {
   return `engine-${index}`
 }
--- a/packages/load/src/faults/entry-host.ts
+++ b/packages/load/src/faults/entry-host.ts
@@ -1,7 +1,7 @@
-/** One entry instance of a fault run, in this process or in one of its own. */
+/** Hosts that run one entry instance of a fault run, either in this process or in a separate one. */
 import type { EntryInstance } from '@limpetwinch/entry'
 
-/** Where callers reach an instance, and who it is. */
+/** Id of an instance and the URLs of its interfaces for callers, administrators and peers. */
 export interface HostedEntry {
   readonly instance: string
   readonly caller: string
@@ -9,23 +9,23 @@
   readonly peer: string
 }
 
-/** Runs one instance. */
+/** Starts and ends one instance. */
 export abstract class EntryHost {
-  /** Starts it; resolves when it listens. */
+  /** Starts the instance; resolves when the instance listens. */
   abstract start (): Promise<HostedEntry>
 
-  /** Stops it as planned; resolves when it has ended. */
+  /** Stops the instance as planned; resolves when the instance has ended. */
   abstract stop (): Promise<void>
 
-  /** Ends it at once. */
+  /** Ends the instance without letting its requests finish. */
   abstract kill (): Promise<void>
 }
 
-/** Runs an instance here: quick to start, but a kill leaves its last tasks to end by themselves. */
+/** Runs an instance in this process. It starts quickly, but tasks that run at a kill continue until they end by themselves. */
 export class LocalEntryHost extends EntryHost {
   private readonly entry: EntryInstance
 
-  /** @param entry - the instance, not yet started */
+  /** @param entry - an instance that has not been started */
   constructor (entry: EntryInstance) {
     super()
     this.entry = entry
--- a/packages/load/src/faults/fault-run-components.ts
+++ b/packages/load/src/faults/fault-run-components.ts
@@ -1,9 +1,10 @@
-/** The parts of instances in fault runs. */
+/** The components of instances in fault runs. */
 import { EntryComponents } from '@limpetwinch/entry'
 
 /**
- * The parts as they ship, with the waits of a new owner cut to what this deployment needs: its list lags by a tenth of
- * a second in place of seconds, and all clocks are one. With the full waits no endpoint would evict anything within a run.
+ * Default components with shorter recovery times of a new owner. Shorter times are safe in a fault run, because its
+ * instance list lags by 0.1 s instead of seconds and all programs share one clock. With the default times no endpoint
+ * would evict anything within a run.
  */
 export class FaultRunComponents extends EntryComponents {
   override recoveryTimes (): ReturnType<EntryComponents['recoveryTimes']> {
--- a/packages/load/src/faults/history-log.ts
+++ b/packages/load/src/faults/history-log.ts
@@ -1,16 +1,16 @@
-/** What the load tool itself sees in a fault run. */
+/** Log of the events that the load tool itself observes in a fault run. */
 import type { HistoryEvent } from '../history/index.js'
 
 type WithoutTime<Event> = Event extends unknown ? Omit<Event, 'at'> : never
 
-/** An event that happens now. */
+/** An event without its time, which the log adds. */
 export type UntimedEvent = WithoutTime<HistoryEvent>
 
-/** Collects events in their order. */
+/** Collects events in the order in which they are recorded. */
 export class HistoryLog {
   readonly events: HistoryEvent[] = []
 
-  /** Adds an event at the present time. */
+  /** Adds an event with the current time. */
   record (event: UntimedEvent): void {
     this.events.push({ at: Date.now(), ...event } as HistoryEvent)
   }
--- a/packages/load/src/faults/history-run.ts
+++ b/packages/load/src/faults/history-run.ts
@@ -1,4 +1,4 @@
-/** One fault run from its plan to its history. */
+/** Execution of one fault run: from its plan to its history. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { HistoryEvent } from '../history/index.js'
 import { RecordingCaller } from './caller.js'
@@ -8,21 +8,26 @@
 import type { PlannedFault, PlannedRequest, RunPlan } from './run-plan.js'
 import { keyOf, TEAMS } from './sample-deployment.js'
 
+/** Interval between reads of the settings that each instance has in force. */
 const POLL_INTERVAL_MILLISECONDS = 50
-/** How long the end of a run waits for the newest settings; longer than their bound, so that a late one is judged. */
+/**
+ * How long a run waits at its end for all instances to show the latest settings. This is longer than the bound of the
+ * promise, so that the checker detects settings that come into force too late.
+ */
 const SETTINGS_TIMEOUT_MILLISECONDS = 5_000
 
-/** Runs one plan. */
+/** Executes one run plan. */
 export class HistoryRun {
   private readonly plan: RunPlan
   private readonly deployment: Deployment
   private readonly caller: RecordingCaller
-  /** Choices made while it runs, such as the instance that a request meets. */
+  /** Random choices made during the run, such as the instance that receives a request. */
   private readonly random: SeededRandom
+  /** Latest recorded digest of the settings in force, by instance and team. */
   private readonly recordedDigests = new Map<string, string>()
   private ending = false
 
-  /** @param plan - what happens */
+  /** @param plan - the requests, faults and settings changes of the run */
   constructor (plan: RunPlan) {
     this.plan = plan
     this.random = new SeededRandom(plan.seed + 1)
@@ -30,11 +35,11 @@
     this.caller = new RecordingCaller(this.deployment.callerLog)
   }
 
-  /** @returns the whole history */
+  /** @returns the complete history of the run */
   async run (): Promise<HistoryEvent[]> {
     try {
       await this.deployment.start()
-      const looking = this.pollSettings()
+      const polling = this.pollSettings()
       await Promise.all([
         ...this.plan.requests.map(async (planned) => await this.sendPlanned(planned)),
         ...this.plan.faults.map(async (planned) => await this.runFault(planned)),
@@ -43,9 +48,9 @@
           await this.deployment.changeTeam(team, '')
         })
       ])
-      await this.settle()
+      await this.awaitLatestSettings()
       this.ending = true
-      await looking
+      await polling
     } finally {
       this.ending = true
       await this.caller.close()
@@ -59,11 +64,11 @@
     await fault.run({ deployment: this.deployment, random: this.random })
   }
 
-  private async sendPlanned ({ after, load, retryAfter: againAfter }: PlannedRequest): Promise<void> {
+  private async sendPlanned ({ after, load, retryAfter }: PlannedRequest): Promise<void> {
     await sleep(after)
     const first = this.send(load)
-    if (againAfter !== undefined) {
-      await sleep(againAfter)
+    if (retryAfter !== undefined) {
+      await sleep(retryAfter)
       await this.send({ ...load, request: `${load.request}-again` })
     }
     await first
@@ -83,29 +88,29 @@
     }
   }
 
-  /** Notes which revision each instance shows to callers; one that does not answer now is asked again. */
+  /** Records which revision each instance shows to callers. An instance that does not respond is polled again in the next round. */
   private async recordSettingsInForce (): Promise<void> {
-    const looks = this.deployment.entries.filter((entry) => entry.receivesRequests).flatMap((entry) => TEAMS.map(async (team) => {
+    const polls = this.deployment.entries.filter((entry) => entry.receivesRequests).flatMap((entry) => TEAMS.map(async (team) => {
       const inForce = await this.deployment.readSettingsInForce(entry, team).catch(() => undefined)
-      const view = `${entry.instance} ${team}`
-      if (inForce === undefined || this.recordedDigests.get(view) === inForce.digest) return
-      this.recordedDigests.set(view, inForce.digest)
+      const viewKey = `${entry.instance} ${team}`
+      if (inForce === undefined || this.recordedDigests.get(viewKey) === inForce.digest) return
+      this.recordedDigests.set(viewKey, inForce.digest)
       this.deployment.callerLog.record({ event: 'settings-in-force', path: `/teams/${team}`, instance: entry.instance, ...inForce })
     }))
-    await Promise.all(looks)
+    await Promise.all(polls)
   }
 
-  private async settle (): Promise<void> {
+  private async awaitLatestSettings (): Promise<void> {
     const deadline = performance.now() + SETTINGS_TIMEOUT_MILLISECONDS
     while (performance.now() < deadline && !this.allShowLatestSettings()) await sleep(POLL_INTERVAL_MILLISECONDS)
-    // One more event after the bound, so that the checker knows that it has passed.
+    // The checker judges a time bound only if the history has an event after the bound.
     this.deployment.callerLog.record({ event: 'fault-ended', fault: 'none', kind: 'end-of-run', instances: [] })
   }
 
   private allShowLatestSettings (): boolean {
     return this.deployment.entries.filter((entry) => entry.receivesRequests).every((entry) => TEAMS.every((team) => {
-      const recordedDigests = /^r(\d+)/.exec(this.recordedDigests.get(`${entry.instance} ${team}`) ?? '')
-      return Number(recordedDigests?.[1] ?? 0) >= this.deployment.revisionOf(`/teams/${team}`)
+      const match = /^r(\d+)/.exec(this.recordedDigests.get(`${entry.instance} ${team}`) ?? '')
+      return Number(match?.[1] ?? 0) >= this.deployment.revisionOf(`/teams/${team}`)
     }))
   }
 }
--- a/packages/load/src/faults/kinds/engine-faults.ts
+++ b/packages/load/src/faults/kinds/engine-faults.ts
@@ -1,94 +1,94 @@
-/** Faults of engines. */
+/** Faults of the stand-in engines. */
 import type { EngineFaults, StandInEngine } from '@limpetwinch/stand-ins'
 import { Fault, sleepBetween } from '../fault.js'
 import type { FaultContext } from '../fault.js'
 
-/** A fault of one engine that is set and taken back. */
+/** A fault that is set on one randomly chosen engine and cleared after 300 to 1,500 ms. */
 abstract class EngineFault extends Fault {
-  /** What is set. */
+  /** Fault settings that the engine receives when the fault begins. */
   protected abstract readonly set: EngineFaults
-  /** What takes it back. */
+  /** Fault settings that the engine receives when the fault ends. */
   protected abstract readonly unset: EngineFaults
 
-  override async run (site: FaultContext): Promise<void> {
-    const engine = site.random.pick(site.deployment.engines)
+  override async run (context: FaultContext): Promise<void> {
+    const engine = context.random.pick(context.deployment.engines)
     engine.setFaults(this.set)
-    await sleepBetween(site, 300, 1_500)
+    await sleepBetween(context, 300, 1_500)
     engine.setFaults(this.unset)
   }
 }
 
-/** An engine restarts with nothing loaded. */
+/** An engine restarts without any loaded adapters. */
 export class RestartCold extends Fault {
   override readonly kind = 'restart-cold'
 
-  override async run (site: FaultContext): Promise<void> {
-    const engine: StandInEngine = site.random.pick(site.deployment.engines)
-    engine.restart(site.random.between(0, 400))
-    await sleepBetween(site, 100, 500)
+  override async run (context: FaultContext): Promise<void> {
+    const engine: StandInEngine = context.random.pick(context.deployment.engines)
+    engine.restart(context.random.between(0, 400))
+    await sleepBetween(context, 100, 500)
   }
 }
 
-/** Loads fail. */
+/** The next two adapter loads on an engine fail. */
 export class FailLoads extends EngineFault {
   override readonly kind = 'fail-loads'
   protected override readonly set = { failLoads: 2 }
   protected override readonly unset = { failLoads: 0 }
 }
 
-/** Streams are cut after some parts while their requests run on. */
+/** An engine cuts its next six response streams after two tokens and continues to run their requests. */
 export class LoseEngineAnswers extends EngineFault {
   override readonly kind = 'lose-engine-answers'
   protected override readonly set = { dropStreams: 6, dropAfterTokens: 2 }
   protected override readonly unset = { dropStreams: 0 }
 }
 
-/** Streams are cut before their first part, and so are the connections that would resume them. */
+/** An engine cuts its next 40 response streams before their first part, including connections that try to resume a cut stream. */
 export class LoseWholeEngineAnswers extends EngineFault {
   override readonly kind = 'lose-whole-engine-answers'
   protected override readonly set = { dropStreams: 40, dropAfterTokens: 0 }
   protected override readonly unset = { dropStreams: 0 }
 }
 
-/** Parts come twice and out of order. */
+/** An engine sends every third part of a stream twice and every fourth part after its successor. */
 export class LateAndDuplicatedParts extends EngineFault {
   override readonly kind = 'late-and-doubled-parts'
   protected override readonly set = { duplicateEvery: 3, lateEvery: 4 }
   protected override readonly unset = { duplicateEvery: 0, lateEvery: 0 }
 }
 
-/** An engine refuses new requests. */
+/** An engine refuses all new requests. */
 export class RefuseRequests extends EngineFault {
   override readonly kind = 'refuse-requests'
   protected override readonly set = { refuse: true }
   protected override readonly unset = { refuse: false }
 }
 
-/** Cancellations are answered and not carried out. */
+/** An engine confirms cancellations without carrying them out, and its report lags by 500 ms. */
 export class IgnoreCancel extends EngineFault {
   override readonly kind = 'ignore-cancel'
   protected override readonly set = { ignoreCancel: true, reportLag: 500 }
   protected override readonly unset = { ignoreCancel: false, reportLag: 60 }
 }
 
-/** Open connections say nothing any more; new ones work. */
+/** No data passes any more on the open connections of an engine; new connections work. */
 export class SilentConnections extends Fault {
   override readonly kind = 'silent-connections'
 
-  override async run (site: FaultContext): Promise<void> {
-    site.random.pick(site.deployment.engines).setFaults({ silenceConnections: true })
-    await sleepBetween(site, 100, 500)
+  override async run (context: FaultContext): Promise<void> {
+    context.random.pick(context.deployment.engines).setFaults({ silenceConnections: true })
+    await sleepBetween(context, 100, 500)
   }
 }
 
-/** An engine is listed as leaving, and comes back. */
+/** The platform lists an engine as leaving, and as live again 2.2 to 3 s later. */
 export class LeavingEngine extends Fault {
   override readonly kind = 'leaving-engine'
 
-  override async run (site: FaultContext): Promise<void> {
-    const index = site.random.between(0, site.deployment.engines.length - 1)
-    await site.deployment.markEngine(index, 'leaving')
-    await sleepBetween(site, 2_200, 3_000)
-    await site.deployment.markEngine(index, 'live')
+  override async run (context: FaultContext): Promise<void> {
+    const index = context.random.between(0, context.deployment.engines.length - 1)
+    await context.deployment.markEngine(index, 'leaving')
+    await sleepBetween(context, 2_200, 3_000)
+    await context.deployment.markEngine(index, 'live')
   }
 }
--- a/packages/load/src/faults/kinds/instance-faults.ts
+++ b/packages/load/src/faults/kinds/instance-faults.ts
@@ -1,60 +1,63 @@
-/** Faults of entry instances. */
+/** Faults that kill, replace, pause or disconnect an entry instance. */
 import { pickEntry, Fault, runRecorded, sleepBetween } from '../fault.js'
 import type { FaultContext } from '../fault.js'
 import { ProcessEntryHost } from '../process-entry-host.js'
 
-/** An instance ends at once and is replaced. */
+/** Kills an instance without a planned stop, then starts a replacement. Does nothing while only one instance runs. */
 export class KillInstance extends Fault {
   override readonly kind = 'kill-instance'
   override readonly needsProcesses = true
 
-  override async run (site: FaultContext): Promise<void> {
-    const entry = pickEntry(site)
-    if (entry === undefined || site.deployment.entries.length < 2) return
-    await site.deployment.killEntry(entry)
-    await site.deployment.addEntry()
+  override async run (context: FaultContext): Promise<void> {
+    const entry = pickEntry(context)
+    if (entry === undefined || context.deployment.entries.length < 2) return
+    await context.deployment.killEntry(entry)
+    await context.deployment.addEntry()
   }
 }
 
-/** An instance is replaced as planned. */
+/** Starts a replacement for an instance, then stops that instance as planned. */
 export class StopInstance extends Fault {
   override readonly kind = 'stop-instance'
 
-  override async run (site: FaultContext): Promise<void> {
-    const entry = pickEntry(site)
+  override async run (context: FaultContext): Promise<void> {
+    const entry = pickEntry(context)
     if (entry === undefined) return
-    await site.deployment.addEntry()
-    await site.deployment.stopEntry(entry)
+    await context.deployment.addEntry()
+    await context.deployment.stopEntry(entry)
   }
 }
 
-/** An instance does nothing for longer than its peers wait, and goes on as if nothing had been. */
+/**
+ * Pauses the process of an instance, then resumes the process with its state unchanged. The pause lasts longer than the
+ * time without heartbeats after which the peers suspect the instance.
+ */
 export class PauseInstance extends Fault {
   override readonly kind = 'pause-instance'
   override readonly needsProcesses = true
 
-  override async run (site: FaultContext): Promise<void> {
-    const entry = pickEntry(site)
-    if (entry === undefined || !(entry.host instanceof ProcessEntryHost) || site.deployment.entries.length < 2) return
+  override async run (context: FaultContext): Promise<void> {
+    const entry = pickEntry(context)
+    if (entry === undefined || !(entry.host instanceof ProcessEntryHost) || context.deployment.entries.length < 2) return
     const { host } = entry
-    await runRecorded(site, this.kind, [entry], async () => {
+    await runRecorded(context, this.kind, [entry], async () => {
       host.pause()
-      await sleepBetween(site, 1_000, 2_500)
+      await sleepBetween(context, 1_000, 2_500)
       host.resume()
     })
   }
 }
 
-/** An instance reaches the platform no more, and is reached by all others. */
+/** Cuts the link between an instance and the platform, while callers and peers can still reach the instance. */
 export class CutFromPlatform extends Fault {
   override readonly kind = 'cut-from-platform'
 
-  override async run (site: FaultContext): Promise<void> {
-    const entry = pickEntry(site)
+  override async run (context: FaultContext): Promise<void> {
+    const entry = pickEntry(context)
     if (entry === undefined) return
-    await runRecorded(site, this.kind, [entry], async () => {
+    await runRecorded(context, this.kind, [entry], async () => {
       entry.link.cut()
-      await sleepBetween(site, 500, 2_000)
+      await sleepBetween(context, 500, 2_000)
       entry.link.restore()
     })
   }
--- a/packages/load/src/faults/mutants/claims-mutants.ts
+++ b/packages/load/src/faults/mutants/claims-mutants.ts
@@ -1,4 +1,4 @@
-/** Claims that lose who holds a key. */
+/** Idempotency claims that do not enforce which request holds a key. */
 import { ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { Clock, IdempotencyKey, LimpetwinchError, ObjectStore, RequestId, TeamId } from '@limpetwinch/core'
@@ -8,11 +8,11 @@
 
 type ClaimsClass = new (store: ObjectStore, clock: Clock) => IdempotencyClaims
 
-/** Parts with other claims. */
+/** Components that build the given class of idempotency claims. */
 export class MutantClaimsComponents extends FaultRunComponents {
   private readonly ClaimsClass: ClaimsClass
 
-  /** @param claimsClass - the class of the claims */
+  /** @param claimsClass - the class of the idempotency claims to build */
   constructor (claimsClass: ClaimsClass) {
     super()
     this.ClaimsClass = claimsClass
@@ -23,7 +23,7 @@
   }
 }
 
-/** Gives every key to whoever asks. */
+/** Grants a key to every request that claims it, also when another request already holds the key. */
 export class ForgetClaims extends IdempotencyClaims {
   override async claim (team: TeamId, key: IdempotencyKey, requestId: RequestId): Promise<Result<HeldClaim, LimpetwinchError>> {
     const claim = await super.claim(team, key, requestId)
--- a/packages/load/src/faults/mutants/delivery-mutants.ts
+++ b/packages/load/src/faults/mutants/delivery-mutants.ts
@@ -1,4 +1,4 @@
-/** Deliveries that serve a request by another adapter than it was addressed to. */
+/** Deliveries that serve a request with an adapter or version it did not ask for, or withhold its failure. */
 import { formatAdapter } from '@limpetwinch/core'
 import type { AdapterReference, OperatorSettings } from '@limpetwinch/core'
 import { Delivery } from '@limpetwinch/entry'
@@ -7,11 +7,11 @@
 
 type DeliveryClass = new (options: DeliveryOptions) => Delivery
 
-/** Parts with another delivery. */
+/** Components that build the given class of delivery. */
 export class MutantDeliveryComponents extends FaultRunComponents {
   private readonly DeliveryClass: DeliveryClass
 
-  /** @param deliveryClass - the class of the delivery */
+  /** @param deliveryClass - the class of the delivery to build */
   constructor (deliveryClass: DeliveryClass) {
     super()
     this.DeliveryClass = deliveryClass
@@ -22,17 +22,17 @@
   }
 }
 
-/** Finds an adapter by its name alone, among those of another team. */
+/** Serves a request with an adapter of the same name that belongs to another team. */
 export class ForeignAdapterDelivery extends Delivery {
   override async * deliver (request: DeliveryRequest, settings: OperatorSettings, signal: AbortSignal): AsyncGenerator<DeliveryEvent> {
     const { adapter, team } = request.adapter
     const others = [...settings.teams].filter(([name, other]) => name !== team && Object.hasOwn(other.adapters, adapter))
-    const foreign = others[0]?.[0]
-    yield * super.deliver(foreign === undefined ? request : redirected(request, { ...request.adapter, team: foreign }), settings, signal)
+    const foreignTeam = others[0]?.[0]
+    yield * super.deliver(foreignTeam === undefined ? request : redirected(request, { ...request.adapter, team: foreignTeam }), settings, signal)
   }
 }
 
-/** Serves the last version on the list, whichever was named. */
+/** Serves a request with the last listed version of its adapter, whichever version the request names. */
 export class LastVersionDelivery extends Delivery {
   override async * deliver (request: DeliveryRequest, settings: OperatorSettings, signal: AbortSignal): AsyncGenerator<DeliveryEvent> {
     const versions = settings.teams.get(request.adapter.team)?.adapters[request.adapter.adapter]?.versions ?? []
@@ -41,7 +41,7 @@
   }
 }
 
-/** Tells the caller nothing when its request fails. */
+/** Leaves the caller waiting without a response when its request fails. */
 export class SilentFailureDelivery extends Delivery {
   override async * deliver (request: DeliveryRequest, settings: OperatorSettings, signal: AbortSignal): AsyncGenerator<DeliveryEvent> {
     for await (const event of super.deliver(request, settings, signal)) {
--- a/packages/load/src/faults/mutants/engine-client-mutants.ts
+++ b/packages/load/src/faults/mutants/engine-client-mutants.ts
@@ -1,18 +1,18 @@
-/** Engine clients that break what a caller is told. */
+/** Engine clients that send a request twice or falsify what the engine returned. */
 import { HttpEngineClient, LimpetwinchError } from '@limpetwinch/core'
 import type { EndpointId, EngineSettings, GenerateRequest, GenerationEventResult, RequestId } from '@limpetwinch/core'
 import { FaultRunComponents } from '../fault-run-components.js'
 
 type ClientClass = new (endpoint: EndpointId, base: string) => HttpEngineClient
 
-/** Parts with another engine client. */
+/** Components that build the given class of engine client. */
 export class MutantClientComponents extends FaultRunComponents {
   private readonly ClientClass: ClientClass
 
-  /** @param client - the class of the client */
-  constructor (client: ClientClass) {
+  /** @param clientClass - the class of the engine client to build */
+  constructor (clientClass: ClientClass) {
     super()
-    this.ClientClass = client
+    this.ClientClass = clientClass
   }
 
   override engineClient (engine: EngineSettings): HttpEngineClient {
@@ -20,7 +20,7 @@
   }
 }
 
-/** Sends a request anew when its stream breaks after it was sent. */
+/** Sends a request a second time when its stream fails with outcome `unknown`, although the engine may have run the request. */
 export class RetryAfterSendClient extends HttpEngineClient {
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     for await (const result of super.generate(generation, signal)) {
@@ -33,7 +33,7 @@
   }
 }
 
-/** Says of every failure that nothing was run. */
+/** Reports every failure with outcome `not_run`, also when the request may have run. */
 export class ReportNotRunClient extends HttpEngineClient {
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     for await (const result of super.generate(generation, signal)) {
@@ -43,7 +43,7 @@
   }
 }
 
-/** Swallows the last part, and counts as if it had not been. */
+/** Drops the last part of each stream and reports one output token less, so that the token count matches what was delivered. */
 export class DropLastPartClient extends HttpEngineClient {
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     let held: GenerationEventResult | undefined
@@ -61,7 +61,7 @@
   }
 }
 
-/** Gives the text of one caller's stream to another while two are open. */
+/** Replaces the text of a part by the latest text of another request's stream while several streams are open. */
 export class SwapStreamsClient extends HttpEngineClient {
   private latestText: { readonly of: string, readonly text: string } | undefined
 
--- a/packages/load/src/faults/mutants/index.ts
+++ b/packages/load/src/faults/mutants/index.ts
@@ -1,4 +1,4 @@
-/** Wrong parts by name. Each breaks one promise, and the check of that promise has to catch it. */
+/** Mutants by name: faulty components that each break one promise. The check of that promise has to catch the mutant. */
 import { silentLogger } from '@limpetwinch/core'
 import type { InstanceSettings } from '@limpetwinch/core'
 import { EntryInstance } from '@limpetwinch/entry'
@@ -14,7 +14,7 @@
 import { OlderRevisionComponents } from './settings-mutants.js'
 
 interface Mutant {
-  /** The promise that it breaks. */
+  /** Name of the promise that the mutant breaks. */
   readonly breaks: string
   readonly components?: () => EntryComponents
   readonly instance?: typeof EntryInstance
@@ -36,22 +36,22 @@
   'silent-failure': { breaks: 'every-request-ended', components: () => new MutantDeliveryComponents(SilentFailureDelivery) }
 }
 
-/** The names of all mutants. */
+/** Names of all mutants, as the command line takes them. */
 export const MUTANT_NAMES: readonly string[] = Object.keys(MUTANTS)
 
-/** @returns the promise that a mutant breaks */
+/** @returns the name of the promise that a mutant breaks, or undefined for an unknown mutant */
 export function promiseBrokenBy (mutant: string): string | undefined {
   return MUTANTS[mutant]?.breaks
 }
 
 /**
- * @param settings - of the instance
- * @param name - the mutant, or undefined for the instance as it ships
- * @returns an instance of a fault run, not yet started
+ * @param settings - settings of the instance
+ * @param name - name of the mutant, or undefined for an instance without one
+ * @returns an instance for a fault run, not yet started
  */
 export function createEntry (settings: InstanceSettings, name: string | undefined): EntryInstance {
   const mutant: Mutant | undefined = name === undefined ? { breaks: '' } : MUTANTS[name]
-  if (mutant === undefined) throw new Error(`There is no mutant '${name}'; take one of ${MUTANT_NAMES.join(', ')}.`)
-  const { instance: Instance = EntryInstance, components: parts } = mutant
-  return new Instance(settings, silentLogger(), parts?.() ?? new FaultRunComponents())
+  if (mutant === undefined) throw new Error(`Unknown mutant '${name}'; use one of ${MUTANT_NAMES.join(', ')}.`)
+  const { instance: Instance = EntryInstance, components } = mutant
+  return new Instance(settings, silentLogger(), components?.() ?? new FaultRunComponents())
 }
--- a/packages/load/src/faults/mutants/instance-mutants.ts
+++ b/packages/load/src/faults/mutants/instance-mutants.ts
@@ -1,7 +1,7 @@
-/** An instance that does not wait for its requests. */
+/** An instance that does not let its requests finish before it stops. */
 import { EntryInstance } from '@limpetwinch/entry'
 
-/** Takes a planned stop for a reason to end at once. */
+/** Kills itself at a planned stop, which cuts off its requests in progress. */
 export class StopAtOnceInstance extends EntryInstance {
   override async stop (): Promise<number> {
     await this.kill()
--- a/packages/load/src/faults/mutants/membership-mutants.ts
+++ b/packages/load/src/faults/mutants/membership-mutants.ts
@@ -1,4 +1,4 @@
-/** A membership that does not see endpoints leave. */
+/** A membership that reports no endpoint as leaving. */
 import { ListMembership } from '@limpetwinch/entry'
 import type { ListMembershipOptions } from '@limpetwinch/entry'
 import { FaultRunComponents } from '../fault-run-components.js'
@@ -9,7 +9,7 @@
   }
 }
 
-/** Parts that send new work to leaving endpoints. */
+/** Components with which an instance sends new work to leaving endpoints. */
 export class IgnoreLeavingComponents extends FaultRunComponents {
   override membership (options: ListMembershipOptions): ListMembership {
     return new IgnoreLeavingMembership(options)
--- a/packages/load/src/faults/mutants/ownership-mutants.ts
+++ b/packages/load/src/faults/mutants/ownership-mutants.ts
@@ -1,4 +1,4 @@
-/** An owner that trusts its lease alone. */
+/** An owner that keeps acting on an expired lease. */
 import { HttpEngineClient, splitLoadedName } from '@limpetwinch/core'
 import type { AdapterOrder, AdapterReference, EngineReport, EngineSettings, GenerateRequest, GenerationEventResult, LimpetwinchError, LoadedName } from '@limpetwinch/core'
 import { StoreOwnership } from '@limpetwinch/entry'
@@ -6,7 +6,7 @@
 import type { ResultAsync } from 'neverthrow'
 import { FaultRunComponents } from '../fault-run-components.js'
 
-/** Goes on with what it owned when another has taken over, and needs no proof that nobody has. */
+/** Reports every endpoint it has ever owned as still owned, and always grants itself the right to admit and to evict. */
 class ExpiredLeaseOwnership extends StoreOwnership {
   private readonly everOwned = new Map<string, OwnershipRecord>()
 
@@ -20,7 +20,10 @@
   }
 }
 
-/** Names adapters without the token, so that a late order names what the present owner's requests use. */
+/**
+ * Loads adapters under names without the fencing token. A late order of an earlier owner then names the same loaded
+ * adapter that requests of the current owner use.
+ */
 class UnfencedNamesClient extends HttpEngineClient {
   private readonly fullNames = new Map<string, LoadedName>()
 
@@ -38,8 +41,8 @@
 
   override async * generate (generation: GenerateRequest, signal: AbortSignal): AsyncIterable<GenerationEventResult> {
     const { adapter } = generation
-    const withoutToken = adapter === undefined ? undefined : this.withoutToken(adapter)
-    for await (const result of super.generate({ ...generation, adapter: withoutToken }, signal)) {
+    const unfencedName = adapter === undefined ? undefined : this.withoutToken(adapter)
+    for await (const result of super.generate({ ...generation, adapter: unfencedName }, signal)) {
       const ended = result.ok && result.event.kind === 'end'
       yield ended ? { ok: true, event: { kind: 'end', end: { ...result.event.end, adapter } } } : result
     }
@@ -52,7 +55,10 @@
   }
 }
 
-/** Parts for which the lease is the only safeguard against an earlier owner. */
+/**
+ * Components without fencing: an owner acts on its expired lease, and on engines that ignore fencing tokens the adapter
+ * names do not carry the token either.
+ */
 export class ExpiredLeaseComponents extends FaultRunComponents {
   override ownership (options: StoreOwnershipOptions): StoreOwnership {
     return new ExpiredLeaseOwnership(options)
--- a/packages/load/src/faults/mutants/scheduling-mutants.ts
+++ b/packages/load/src/faults/mutants/scheduling-mutants.ts
@@ -16,6 +16,7 @@
   }
 }
 
+/** Makes every loaded adapter of an endpoint a candidate for eviction, with no pins in the view of the eviction policy. */
 function ignorePins (owned: OwnedEndpoint): void {
   const { slots } = owned.scheduler
   slots.evictable = () => slots.all()
@@ -26,7 +27,7 @@
     }))
 }
 
-/** Parts that evict ignoring pins. */
+/** Components with which an owner evicts adapters that have pins. */
 export class IgnorePinsComponents extends FaultRunComponents {
   override ownedEndpoints (options: OwnedEndpointsOptions): OwnedEndpoints {
     return new IgnorePinsOwnedEndpoints(options)
--- a/packages/load/src/faults/process-entry-host.ts
+++ b/packages/load/src/faults/process-entry-host.ts
@@ -1,4 +1,4 @@
-/** An entry instance in a process of its own, which can be killed and paused as a whole. */
+/** A host that runs an entry instance in a separate process, which can be killed and paused as a whole. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { createInterface } from 'node:readline'
@@ -7,10 +7,10 @@
 import { EntryHost } from './entry-host.js'
 import type { HostedEntry } from './entry-host.js'
 
-/** The same file for the sources and for what was built of them; a process runs what was built. */
+/** The compiled program. This path is valid from the source folder and from the build folder. */
 const SCRIPT = fileURLToPath(new URL('../../dist/faults/entry-process.js', import.meta.url))
 
-/** Runs an instance in a process. */
+/** Runs an instance in a separate process. */
 export class ProcessEntryHost extends EntryHost {
   private readonly settings: InstanceSettings
   private readonly mutant: string | undefined
@@ -18,8 +18,8 @@
   private ended: Promise<void> = Promise.resolve()
 
   /**
-   * @param settings - of the instance
-   * @param mutant - which wrong part it gets, if any
+   * @param settings - settings of the instance
+   * @param mutant - name of the mutant that the instance contains, or undefined for none
    */
   constructor (settings: InstanceSettings, mutant: string | undefined) {
     super()
@@ -34,7 +34,7 @@
     const lines = createInterface({ input: child.stdout })
     return await new Promise<HostedEntry>((resolve, reject) => {
       lines.once('line', (line) => resolve(JSON.parse(line) as HostedEntry))
-      child.once('exit', (code) => reject(new Error(`The instance's process ended with ${code} before it listened.`)))
+      child.once('exit', (code) => reject(new Error(`The process of the instance exited with code ${code} before the instance listened.`)))
       child.once('error', reject)
     })
   }
@@ -49,12 +49,12 @@
     await this.ended
   }
 
-  /** Stops its clock, so to say: it does nothing until it is resumed, and does not know it. */
+  /** Pauses the process, without a notification to the instance, until `resume` is called. */
   pause (): void {
     this.child?.kill('SIGSTOP')
   }
 
-  /** Lets it go on where it was. */
+  /** Resumes the paused process. */
   resume (): void {
     this.child?.kill('SIGCONT')
   }
--- a/packages/load/src/faults/run-plan.ts
+++ b/packages/load/src/faults/run-plan.ts
@@ -1,4 +1,4 @@
-/** What happens in one fault run; it follows from the seed alone. */
+/** The plan of one fault run, which depends only on its seed and the options of the campaign. */
 import type { LoadRequest } from './caller.js'
 import type { DeploymentPlan } from './deployment.js'
 import type { Fault } from './fault.js'
@@ -6,38 +6,42 @@
 import { SeededRandom } from './random.js'
 import { ADAPTERS, TEAMS, VERSIONS } from './sample-deployment.js'
 
+/** Duration over which requests and settings changes are spread; faults start in its first half. */
 const LOAD_MILLISECONDS = 2_500
 const MAXIMUM_FAULTS = 3
 const MAXIMUM_SEED = 1_000_000
 
-/** A request and when it is sent. */
+/** A request and the time when it is sent. */
 export interface PlannedRequest {
   /** Milliseconds after the start of the load. */
   readonly after: number
   readonly load: LoadRequest
-  /** Sent once more under the same key so many milliseconds after the first. */
+  /** Milliseconds after the first attempt at which the request is sent again under the same key; undefined for no retry. */
   readonly retryAfter: number | undefined
 }
 
-/** A fault and when it begins. */
+/** A fault and the time when it begins. */
 export interface PlannedFault {
+  /** Milliseconds after the start of the load. */
   readonly after: number
   readonly fault: Fault
 }
 
-/** One run. */
+/** The deployment of one run, and its requests, faults and settings changes. */
 export interface RunPlan {
   readonly seed: number
   readonly deployment: DeploymentPlan
   readonly requests: readonly PlannedRequest[]
   readonly faults: readonly PlannedFault[]
-  /** When a team's settings are changed. */
+  /** Changes of a team's settings; `after` counts milliseconds from the start of the load. */
   readonly changes: readonly { readonly after: number, readonly team: string }[]
 }
 
 /**
- * @param seed - of this run
- * @param mutant - which wrong part the instances get, if any
+ * Plans one run.
+ *
+ * @param seed - seed of this run
+ * @param mutant - name of the mutant that all instances contain, or undefined for none
  * @param kinds - the kinds of faults to choose from
  * @returns the plan
  */
@@ -58,7 +62,7 @@
   }
 }
 
-/** Alone, in pairs, and one kind twice. */
+/** Plans one to three faults. A further fault repeats the kind of the first one in at least a fifth of the cases. */
 function planFaults (random: SeededRandom, kinds: readonly Fault[]): PlannedFault[] {
   if (kinds.length === 0) return []
   const count = random.between(1, MAXIMUM_FAULTS)
@@ -86,6 +90,6 @@
     stream: random.happens(0.6),
     deadlineMilliseconds: 6_000
   }
-  const again = key !== undefined && random.happens(0.5)
-  return { after: random.between(0, LOAD_MILLISECONDS), load, retryAfter: again ? random.between(0, 400) : undefined }
+  const retried = key !== undefined && random.happens(0.5)
+  return { after: random.between(0, LOAD_MILLISECONDS), load, retryAfter: retried ? random.between(0, 400) : undefined }
 }
