--- a/packages/load/test/faults/caller-bodies.test.ts
+++ b/packages/load/test/faults/caller-bodies.test.ts
@@ -1,5 +1,5 @@
-// A caller sends bytes that are no request: no JSON, wrong types, far too much, or half of what was announced. It must
-// be told what is wrong and that nothing was run, and the next caller must be served as if nothing had been.
+// A caller sends a body that is no valid request: not JSON, a field of a wrong type, too large, or shorter than its
+// content length. The instance must refuse such a body with outcome not_run and must keep serving other callers.
 import { connect } from 'node:net'
 import fc from 'fast-check'
 import { request } from 'undici'
@@ -9,9 +9,9 @@
 import { keyOf } from '../../src/faults/sample-deployment.js'
 
 const RUNS = { seed: 61_206, numRuns: 150 }
-const TOO_MUCH_BYTES = 3 * 1024 * 1024
+const OVERSIZED_BYTES = 3 * 1024 * 1024
 
-describe('caller bodies from outside', () => {
+describe('invalid caller bodies', () => {
   const deployment = new Deployment({ instances: 1, fencing: ['refuses'], processes: false, mutant: undefined })
   let entry: RunningEntry
 
@@ -25,11 +25,11 @@
   async function post (path: string, body: string | Buffer): Promise<{ status: number, outcome: string | undefined }> {
     const headers = { authorization: `Bearer ${keyOf('athletics')}`, 'content-type': 'application/json' }
     const answer = await request(entry.caller + path, { method: 'POST', headers, body })
-    const told = await answer.body.json() as { error?: { outcome?: string } }
-    return { status: answer.statusCode, outcome: told.error?.outcome }
+    const response = await answer.body.json() as { error?: { outcome?: string } }
+    return { status: answer.statusCode, outcome: response.error?.outcome }
   }
 
-  async function servesOn (): Promise<void> {
+  async function expectStillServing (): Promise<void> {
     const body = JSON.stringify({ model: 'athletics/essay@1', prompt: 'still there', max_tokens: 2, seed: 1 })
     expect((await post('/v1/completions', body)).status).toBe(200)
   }
@@ -38,40 +38,40 @@
   const field = fc.constantFrom('model', 'prompt', 'messages', 'max_tokens', 'stream', 'seed', 'temperature')
   const wrong = fc.oneof(fc.jsonValue(), fc.constant({ model: 'athletics/essay@1' }))
 
-  it('are refused as not run, whatever bytes come', async () => {
+  it('are refused with outcome not_run, whatever bytes they contain', async () => {
     await fc.assert(fc.asyncProperty(path, fc.uint8Array({ maxLength: 200 }), async (where, bytes) => {
-      const told = await post(where, Buffer.from(bytes))
-      expect(told.status).toBeGreaterThanOrEqual(400)
-      expect(told.status).toBeLessThan(500)
-      expect(told.outcome).toBe('not_run')
+      const response = await post(where, Buffer.from(bytes))
+      expect(response.status).toBeGreaterThanOrEqual(400)
+      expect(response.status).toBeLessThan(500)
+      expect(response.outcome).toBe('not_run')
     }), RUNS)
-    await servesOn()
+    await expectStillServing()
   })
 
-  it('are refused or answered when one field is of a wrong type, and never fail inside', async () => {
+  it('are refused or answered when one field has a wrong type, and cause no internal error', async () => {
     await fc.assert(fc.asyncProperty(path, field, wrong, async (where, name, value) => {
       const body = { model: 'athletics/essay@1', prompt: 'p', messages: [{ role: 'user', content: 'p' }], max_tokens: 1, [name]: value, stream: false }
-      const told = await post(where, JSON.stringify(body))
-      expect(told.status).toBeLessThan(500)
-      if (told.status !== 200) expect(told.outcome).toBe('not_run')
+      const response = await post(where, JSON.stringify(body))
+      expect(response.status).toBeLessThan(500)
+      if (response.status !== 200) expect(response.outcome).toBe('not_run')
     }), RUNS)
-    await servesOn()
+    await expectStillServing()
   })
 
   it('are refused when they are too large', async () => {
-    const told = await post('/v1/completions', JSON.stringify({ prompt: 'x'.repeat(TOO_MUCH_BYTES) })).catch(() => undefined)
-    // The answer may be lost with a connection on which the rest is not read; if it comes, it says what is wrong.
-    if (told !== undefined) expect(told).toEqual({ status: 413, outcome: 'not_run' })
-    await servesOn()
+    const response = await post('/v1/completions', JSON.stringify({ prompt: 'x'.repeat(OVERSIZED_BYTES) })).catch(() => undefined)
+    // The instance does not read the rest of the body, so the connection may close before the response arrives.
+    if (response !== undefined) expect(response).toEqual({ status: 413, outcome: 'not_run' })
+    await expectStillServing()
   })
 
-  it('are given up when the caller leaves in the middle', async () => {
+  it('are abandoned when the caller disconnects in the middle of the body', async () => {
     for (const announced of [1, 10, 100]) {
       const socket = connect(Number(new URL(entry.caller).port), '127.0.0.1')
       socket.write(`POST /v1/completions HTTP/1.1\r\nhost: h\r\nauthorization: Bearer ${keyOf('athletics')}\r\ncontent-length: ${announced + 5}\r\n\r\n{"mod`)
       await new Promise<void>((resolve) => { socket.once('connect', () => { setTimeout(resolve, 20) }) })
       socket.destroy()
     }
-    await servesOn()
+    await expectStillServing()
   })
 })
--- a/packages/load/test/faults/campaign.test.ts
+++ b/packages/load/test/faults/campaign.test.ts
@@ -1,12 +1,13 @@
-// What callers, endpoints and operators saw in runs of real instances is checked against every promise. A check that
-// cannot fail proves nothing, so that each wrong part must be caught by the check of the promise that it breaks.
+// Guards every promise against failures of instances and endpoints: real instances run under faults, and what callers,
+// endpoints and operators observed is checked. A check that cannot fail proves nothing, so each mutant must be caught by
+// the check of the promise that the mutant breaks.
 import { describe, expect, it } from 'vitest'
 import { Campaign } from '../../src/faults/campaign.js'
 import type { CampaignOptions, CampaignReport } from '../../src/faults/campaign.js'
 import { FAULTS } from '../../src/faults/kinds/index.js'
 import { promiseBrokenBy } from '../../src/faults/mutants/index.js'
 
-/** A busy machine may be late by any time; what is late is measured by `npm run check:history`, not here. */
+/** A busy machine can delay events by any time, so this test checks no time bounds; `npm run check:history` does. */
 const UNBOUNDED = { leavingGrace: 600_000, settingsInForce: 600_000, fairness: Infinity }
 
 async function campaign (options: Partial<CampaignOptions>): Promise<CampaignReport> {
--- a/packages/load/test/faults/eviction-after-cancel.failure.test.ts
+++ b/packages/load/test/faults/eviction-after-cancel.failure.test.ts
@@ -1,6 +1,7 @@
-// A caller leaves in the middle of an answer, and its request is cancelled. The engine answers the cancellation and
-// goes on for a while, as one does that ends a sequence with its next steps, or that missed it. The owner took that
-// answer for the end of the run, so that the adapter was evicted while the run still used it (found by seed 16142).
+// Guards against evicting an adapter that a cancelled run still uses. A caller disconnects in the middle of a response
+// and its request is cancelled. The engine confirms the cancellation but continues the run, as engines do that end a
+// sequence only after its next steps or that missed the cancellation. An owner that takes the confirmation for the end
+// of the run evicts the adapter too early. Run seed 16142 showed this failure.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
@@ -25,17 +26,17 @@
     return answer.statusCode
   }
 
-  async function untilRuns (): Promise<void> {
+  async function untilRunStarted (): Promise<void> {
     while (!deployment.history().some((event) => event.event === 'run-started')) await sleep(5)
   }
 
   it('keeps its adapter on the engine until it has ended', async () => {
     deployment.engines[0]!.setFaults({ ignoreCancel: true })
-    const leaving = new AbortController()
-    const left = complete('essay@1', LONG_TOKENS, leaving.signal).catch(() => 'left')
-    await untilRuns()
-    leaving.abort()
-    expect(await left).toBe('left')
+    const disconnect = new AbortController()
+    const cancelled = complete('essay@1', LONG_TOKENS, disconnect.signal).catch(() => 'left')
+    await untilRunStarted()
+    disconnect.abort()
+    expect(await cancelled).toBe('left')
     for (const adapter of ['notes@1', 'blurb@1', 'notes@2', 'blurb@2']) expect(await complete(adapter, 1)).toBe(200)
     const violations = new HistoryChecker(standInAnswer).check(deployment.history())
     expect(violations.map(({ message }) => message)).toEqual([])
--- a/packages/load/test/faults/rolling-replacement.failure.test.ts
+++ b/packages/load/test/faults/rolling-replacement.failure.test.ts
@@ -1,6 +1,6 @@
-// Callers see nothing while every instance is replaced: each request gets its whole answer, none is refused.
-// One after another a new instance joins the balancer and an old one is told to stop under steady load. It hands its
-// engines over with what is loaded and pinned there, so that adapters are not loaded anew by each new owner.
+// Guards against failed requests and repeated adapter loads while every instance is replaced under steady load. One
+// after another, a new instance starts to receive requests and an old one is stopped as planned. The old instance hands
+// over its engines with their loaded adapters and pins. Without that hand-over each new owner loads the adapters again.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
@@ -10,8 +10,8 @@
 
 const CALLERS = 6
 const TOKENS = 40
-/** A queue may ask for another copy meanwhile; the six adapters in use loaded anew would be six. */
-const MOST_NEW_COPIES = 3
+/** A long queue may order another copy of an adapter meanwhile; loading all adapters in use again would take six loads. */
+const MAXIMUM_NEW_COPIES = 3
 const MODELS = ['essay@1', 'notes@1']
 
 describe('replacing every instance under load', () => {
@@ -23,7 +23,7 @@
 
   afterAll(async () => { await deployment.close() })
 
-  async function callAgainAndAgain (caller: number): Promise<void> {
+  async function sendRequests (caller: number): Promise<void> {
     for (let turn = 0; state.calling; turn += 1) {
       const instances = deployment.entries.filter((entry) => entry.receivesRequests)
       const entry = instances[(caller + turn) % instances.length]
@@ -44,7 +44,7 @@
   }
 
   it('cuts off, refuses and loads nothing anew', async () => {
-    const callers = Array.from({ length: CALLERS }, async (_, caller) => await callAgainAndAgain(caller))
+    const callers = Array.from({ length: CALLERS }, async (_, caller) => await sendRequests(caller))
     await untilAnswered(4 * CALLERS)
     const loads = (): number => deployment.history().filter((event) => event.event === 'order' && event.order === 'load' && event.result === 'done').length
     const before = loads()
@@ -56,10 +56,10 @@
     state.calling = false
     await Promise.all(callers)
     expect(refusals).toEqual([])
-    // Without a hand-over the next owner takes over as after a loss, and its record names no earlier token.
+    // Without a hand-over the next owner recovers as after the loss of an owner, and its record names no previous token.
     expect(deployment.ownershipRecords().filter((record) => record.handedOverFrom === undefined)).toEqual([])
-    // What was handed over is granted at once; a new owner that had to ask would order each adapter again.
-    expect(loads() - before).toBeLessThanOrEqual(MOST_NEW_COPIES)
+    // A new owner may use the handed-over adapters immediately; without a hand-over it would order each load again.
+    expect(loads() - before).toBeLessThanOrEqual(MAXIMUM_NEW_COPIES)
     const violations = new HistoryChecker(standInAnswer).check(deployment.history())
     expect(violations.map(({ message }) => message)).toEqual([])
   })
