--- a/packages/load/src/policy/simulation/event-queue.ts
+++ b/packages/load/src/policy/simulation/event-queue.ts
@@ -1,4 +1,4 @@
-/** Events on the fake clock; those of one time happen in the order in which they were set. */
+/** Events on the simulated clock; events of the same time run in the order in which they were scheduled. */
 import TinyQueue from 'tinyqueue'
 
 interface TimedEvent {
@@ -7,17 +7,17 @@
   readonly run: (now: number) => void
 }
 
-/** Runs events in the order of time. */
+/** Runs events in order of time. */
 export class EventQueue {
   private readonly events = new TinyQueue<TimedEvent>([], compareEvents)
   private sequence = 0
 
-  /** Sets an event. */
+  /** Schedules an event at a time, milliseconds. */
   at (time: number, run: (now: number) => void): void {
     this.events.push({ at: time, sequence: this.sequence++, run })
   }
 
-  /** Runs all events up to a time. */
+  /** Runs all events up to and including a time, milliseconds. */
   runUntil (end: number): void {
     for (;;) {
       const next = this.events.peek()
--- a/packages/load/src/policy/simulation/load-pipeline.ts
+++ b/packages/load/src/policy/simulation/load-pipeline.ts
@@ -1,4 +1,4 @@
-/** Loads of the whole deployment: what is wanted, which goes next, and who leaves for it. */
+/** Adapter loads of the whole deployment: which loads are pending, which one begins next, and which adapter is evicted for it. */
 import { notBeforeAfterFailure } from '@limpetwinch/decisions'
 import type { LoadCandidate } from '@limpetwinch/decisions'
 import type { EventQueue } from './event-queue.js'
@@ -6,9 +6,9 @@
 import type { SimulatedEngine } from './simulated-engine.js'
 import { SimulatedWeightStore } from './weight-store.js'
 
-/** What the pipeline tells the simulation. */
+/** Callbacks from the pipeline to the simulation. */
 export interface LoadListener {
-  /** An adapter is loaded on an engine. */
+  /** Called when an adapter has been loaded on an engine. */
   readonly loaded: (engine: SimulatedEngine, now: number) => void
 }
 
@@ -17,19 +17,19 @@
   readonly notBefore: number
 }
 
-/** Loads counted. */
+/** Counters of loads and evictions. */
 export interface LoadCounts {
   loads: number
   evictions: number
   failedLoads: number
 }
 
-/** Keeps one load running at a time, the one that the policy puts first. */
+/** Runs one load at a time and takes the next one in the order of the policy. */
 export class LoadPipeline {
   readonly counts: LoadCounts = { loads: 0, evictions: 0, failedLoads: 0 }
   private readonly store: SimulatedWeightStore
   private readonly failures = new Map<string, FailureRecord>()
-  /** Whether something changed since no load could be found. */
+  /** Whether the state changed since the last attempt that found no load to begin. */
   private changedSinceLastAttempt = true
   private backoffTimerAt = Infinity
   private teamsWithPendingLoads: ReadonlySet<string> = new Set()
@@ -45,19 +45,19 @@
     this.store = new SimulatedWeightStore(1_000 / loadsPerSecond)
   }
 
-  /** Something changed that may make a load wanted or possible. */
+  /** Records that the state changed, so that a load may be needed or possible now. */
   changed (): void {
     this.changedSinceLastAttempt = true
   }
 
-  /** Begins the next load if none runs. */
+  /** Begins the next load unless a load is in progress. */
   run (now: number): void {
     while (this.changedSinceLastAttempt && this.store.active === 0) {
       this.changedSinceLastAttempt = this.beginNext(now)
     }
   }
 
-  /** @returns loads wanted or under way on one engine */
+  /** @returns the number of loads pending or in progress on one engine */
   pendingLoads (engine: SimulatedEngine): number {
     let count = 0
     for (const adapter of engine.waitingByAdapter.keys()) {
@@ -67,36 +67,36 @@
   }
 
   private beginNext (now: number): boolean {
-    const wanted = this.wanted()
-    this.updateLoadAccounting(wanted)
-    this.scheduleRunAfterBackoff(wanted, now)
-    while (wanted.length > 0) {
-      const load = this.policy.loadOrder.next(wanted, now)
+    const candidates = this.loadCandidates()
+    this.updateLoadAccounting(candidates)
+    this.scheduleRunAfterBackoff(candidates, now)
+    while (candidates.length > 0) {
+      const load = this.policy.loadOrder.next(candidates, now)
       if (load === undefined) return false
       if (this.tryBegin(load, now)) return true
-      wanted.splice(wanted.indexOf(load), 1)
+      candidates.splice(candidates.indexOf(load), 1)
     }
     return this.beginLoadAhead(now)
   }
 
-  /** Fills a free slot while nobody waits for a load. */
+  /** Loads a popular adapter into a free slot while no request waits for a load. */
   private beginLoadAhead (now: number): boolean {
     const { loadAhead } = this.policy
     if (loadAhead === undefined) return false
-    let roomiest: SimulatedEngine | undefined
+    let mostFree: SimulatedEngine | undefined
     for (const engine of this.engines) {
-      if (engine.slots.free > (roomiest?.slots.free ?? 0)) roomiest = engine
+      if (engine.slots.free > (mostFree?.slots.free ?? 0)) mostFree = engine
     }
-    if (roomiest === undefined) return false
+    if (mostFree === undefined) return false
     const held = (adapter: string) => this.engines.some((engine) => engine.slots.get(adapter) !== undefined)
     const adapter = loadAhead.suggest(held, now)
     if (adapter === undefined) return false
-    this.startTransfer(roomiest, adapter, now)
+    this.startTransfer(mostFree, adapter, now)
     return true
   }
 
-  private wanted (): LoadCandidate[] {
-    const wanted: LoadCandidate[] = []
+  private loadCandidates (): LoadCandidate[] {
+    const candidates: LoadCandidate[] = []
     for (const engine of this.engines) {
       for (const [adapter, waiting] of engine.waitingByAdapter) {
         if (engine.slots.get(adapter) !== undefined) continue
@@ -104,7 +104,7 @@
         if (first === undefined) continue
         const key = `${engine.index} ${adapter}`
         const failure = this.failures.get(key)
-        wanted.push({
+        candidates.push({
           adapter,
           team: first.team,
           endpoint: String(engine.index),
@@ -117,7 +117,7 @@
         })
       }
     }
-    return wanted
+    return candidates
   }
 
   private tryBegin (load: LoadCandidate, now: number): boolean {
@@ -159,7 +159,7 @@
 
   private handleTransferEnd (engine: SimulatedEngine, adapter: string, epoch: number, now: number): void {
     this.changedSinceLastAttempt = true
-    // The engine restarted meanwhile: the load went with all else, and its waiters want it again.
+    // The engine restarted during the load and lost it; the waiting requests make the load pending again.
     if (engine.epoch !== epoch) return
     const key = `${engine.index} ${adapter}`
     if (this.fails(adapter, now)) {
@@ -179,20 +179,20 @@
     this.listener.loaded(engine, now)
   }
 
-  /** Teams whose loads wait are backlogged in the accounts of loads. */
-  private updateLoadAccounting (wanted: readonly LoadCandidate[]): void {
-    const ledger = this.policy.loadAccounting
-    if (ledger === undefined) return
-    const teams = new Set(wanted.map((load) => load.team))
-    for (const team of teams) if (!this.teamsWithPendingLoads.has(team)) ledger.arrived(team)
-    for (const team of this.teamsWithPendingLoads) if (!teams.has(team)) ledger.left(team)
+  /** Marks the teams with pending loads as backlogged in the accounting of loads. */
+  private updateLoadAccounting (candidates: readonly LoadCandidate[]): void {
+    const accounting = this.policy.loadAccounting
+    if (accounting === undefined) return
+    const teams = new Set(candidates.map((load) => load.team))
+    for (const team of teams) if (!this.teamsWithPendingLoads.has(team)) accounting.arrived(team)
+    for (const team of this.teamsWithPendingLoads) if (!teams.has(team)) accounting.left(team)
     this.teamsWithPendingLoads = teams
   }
 
-  /** A load that failed is wanted again at a time when nothing else may happen. */
-  private scheduleRunAfterBackoff (wanted: readonly LoadCandidate[], now: number): void {
+  /** Schedules a run at the end of the earliest backoff, since no other event may occur at that time. */
+  private scheduleRunAfterBackoff (candidates: readonly LoadCandidate[], now: number): void {
     let earliest = Infinity
-    for (const load of wanted) if (load.notBefore > now) earliest = Math.min(earliest, load.notBefore)
+    for (const load of candidates) if (load.notBefore > now) earliest = Math.min(earliest, load.notBefore)
     if (earliest === Infinity || (this.backoffTimerAt > now && this.backoffTimerAt <= earliest)) return
     this.backoffTimerAt = earliest
     this.events.at(earliest, (at) => {
--- a/packages/load/src/policy/simulation/policy-bundle.ts
+++ b/packages/load/src/policy/simulation/policy-bundle.ts
@@ -1,26 +1,26 @@
-/** Everything that decides in one run. */
+/** The decision classes that one run uses. */
 import type { EvictionPolicy, FairQueue, LoadAhead, LoadOrderingPolicy, OverloadGuard, RoutingPolicy, ServiceAccounting } from '@limpetwinch/decisions'
 import type { DeploymentSize } from '../traces/trace.js'
 import type { SimulatedRequest } from './simulated-request.js'
 
-/** The decision classes of one policy under test, fresh for each run. */
+/** The decision classes of one policy under test, created anew for each run. */
 export interface PolicyBundle {
   readonly routing: RoutingPolicy
   readonly eviction: EvictionPolicy
   readonly loadOrder: LoadOrderingPolicy
-  /** @returns the queue of one engine */
+  /** @returns a new queue for one engine */
   readonly makeQueue: () => FairQueue<SimulatedRequest>
-  /** Loads into free slots what nobody waits for yet. */
+  /** Suggests adapters to load into free slots before a request waits for them. */
   readonly loadAhead?: LoadAhead
-  /** Accounts of tokens that the queues share; without it the router knows no shares. */
+  /** Accounting of served tokens that the queues of all engines use; without it the router assumes a used share of 1 for each team. */
   readonly accounting?: ServiceAccounting
-  /** Accounts of loads; without it a load's order knows no shares. */
+  /** Accounting of loads by team; without it the load order assumes a used share of 1 for each team. */
   readonly loadAccounting?: ServiceAccounting
-  /** Refuses early; without it a request is given up at its deadline. */
+  /** Refuses requests that would miss their deadline; without it a waiting request is refused at its deadline. */
   readonly overloadGuard?: OverloadGuard<SimulatedRequest>
 }
 
-/** A policy under test. */
+/** A named policy of the experiment. */
 export interface PolicyUnderTest {
   readonly name: string
   readonly make: (size: DeploymentSize) => PolicyBundle
--- a/packages/load/src/policy/simulation/service-record.ts
+++ b/packages/load/src/policy/simulation/service-record.ts
@@ -1,16 +1,16 @@
-/** Who was served how much while who waited, second by second. */
+/** Tokens served to each team while it had waiting requests, recorded in windows of five samples. */
 
-/** Service of one team while it was backlogged. */
+/** Tokens of one team while it was backlogged, with its fair share. */
 export interface BackloggedShare {
-  /** Tokens served to the team while it was backlogged, weighed. */
+  /** Weighted tokens served to the team while it was backlogged. */
   readonly tokens: number
-  /** Its weighted share of what all backlogged teams had at those times. */
+  /** The team's share, by team weight, of the tokens served to all backlogged teams in the same windows. */
   readonly fairTokens: number
 }
 
 interface TeamRecord {
   waiting: number
-  /** Whether it waited at every sample of the window so far. */
+  /** Whether the team had waiting requests at every sample of the window so far. */
   waitedThroughout: boolean
   tokensInWindow: number
   tokens: number
@@ -18,32 +18,32 @@
   total: number
 }
 
-/** One point of the plot of shares over time. */
+/** Tokens served in one window, for the plot of tokens over time. */
 export interface ShareSample {
   readonly at: number
-  /** Tokens by team in the window that ended then. */
+  /** Weighted tokens by team in the window that ended at `at`. */
   readonly tokens: ReadonlyMap<string, number>
 }
 
 const SAMPLES_PER_WINDOW = 5
 
-/** A team is backlogged in a window when it had waiting requests at each sample in it. */
+/** Records served tokens; a team is backlogged in a window when it has waiting requests at each sample of the window. */
 export class ServiceRecord {
   readonly windows: ShareSample[] = []
-  /** All tokens served, weighed. */
+  /** Weighted tokens served to all teams. */
   total = 0
   private readonly teams = new Map<string, TeamRecord>()
   private samples = 0
 
-  /** @param weights - weights between teams; 1 for a team not named */
+  /** @param weights - weights of the teams; 1 for a team without an entry */
   constructor (private readonly weights: ReadonlyMap<string, number>) {}
 
-  /** Counts requests that begin or cease to wait. */
+  /** Changes the number of waiting requests of a team; `change` is negative when requests stop waiting. */
   addWaiting (team: string, change: number): void {
     this.team(team).waiting += change
   }
 
-  /** Counts tokens served. */
+  /** Records weighted tokens served to a team. */
   served (team: string, tokens: number): void {
     const record = this.team(team)
     record.tokensInWindow += tokens
@@ -51,14 +51,14 @@
     this.total += tokens
   }
 
-  /** Looks at who waits; each fifth look ends a window. */
+  /** Takes a sample of the teams with waiting requests; each fifth sample ends a window. */
   sample (now: number): void {
     for (const record of this.teams.values()) if (record.waiting === 0) record.waitedThroughout = false
     this.samples += 1
     if (this.samples % SAMPLES_PER_WINDOW === 0) this.endWindow(now)
   }
 
-  /** @returns service and fair service of each team that was backlogged at some time */
+  /** @returns the tokens and the fair share of each team that was backlogged in some window */
   backlogged (): Map<string, BackloggedShare> {
     const shares = new Map<string, BackloggedShare>()
     for (const [team, { tokens, fairTokens }] of this.teams) {
@@ -67,7 +67,7 @@
     return shares
   }
 
-  /** @returns all tokens served to a team, weighed */
+  /** @returns the weighted tokens served to a team in the whole run */
   tokensOf (team: string): number {
     return this.team(team).total
   }
--- a/packages/load/src/policy/simulation/simulated-engine.ts
+++ b/packages/load/src/policy/simulation/simulated-engine.ts
@@ -1,21 +1,21 @@
-/** One engine with its owner's queue: slots, steps, waiting requests. */
+/** One engine with the queue that its owner keeps: slots, steps and waiting requests. */
 import type { EvictionPolicy, FairQueue } from '@limpetwinch/decisions'
 import { BATCH_CAPACITY, PROMPT_TOKENS_PER_STEP, stepMilliseconds } from './engine-timing.js'
 import { EngineSlots } from './engine-slots.js'
 import { OUTPUT_TOKEN_WEIGHT } from './simulated-request.js'
 import type { SimulatedRequest } from './simulated-request.js'
 
-/** What an engine tells the simulation. */
+/** Callbacks from an engine to the simulation. */
 export interface EngineListener {
-  /** A request had its last token. */
+  /** Called when the last token of a request was generated. */
   readonly completed: (request: SimulatedRequest, now: number) => void
-  /** Tokens were served, weighed. */
+  /** Called with the weighted tokens that a request was served in a step. */
   readonly served: (request: SimulatedRequest, tokens: number, now: number) => void
-  /** A pin or a waiter went, so that a slot may have come free for a load. */
+  /** Called when a pin or a waiting request was removed, so that a slot may be available for a load. */
   readonly slotReleased: () => void
 }
 
-/** Steps counted. */
+/** Counters of the steps of an engine. */
 export interface StepCounts {
   steps: number
   sequences: number
@@ -24,14 +24,14 @@
   sequencesWhileWaiting: number
 }
 
-/** An engine of the simulation. */
+/** A simulated engine, which runs batches of requests in steps. */
 export class SimulatedEngine {
   readonly slots: EngineSlots
   readonly running: SimulatedRequest[] = []
   readonly counts: StepCounts = { steps: 0, sequences: 0, stepsWhileWaiting: 0, sequencesWhileWaiting: 0 }
   /** Waiting requests by adapter, the oldest first. */
   readonly waitingByAdapter = new Map<string, Set<SimulatedRequest>>()
-  /** Changes with each cold restart, so that steps of before are void. */
+  /** Incremented at each cold restart, so that events of steps and loads from before the restart are ignored. */
   epoch = 0
   stepping = false
 
@@ -45,7 +45,7 @@
     this.slots = new EngineSlots(slotCount)
   }
 
-  /** Puts a request into the queue. */
+  /** Adds a request to the queue. */
   enqueue (request: SimulatedRequest, now: number): void {
     request.engine = this.index
     request.state = 'waiting'
@@ -58,7 +58,7 @@
     this.eviction.recordUse(request.adapter, request.team, request.cost, now)
   }
 
-  /** Notes that a request left the queue, by whatever way. */
+  /** Updates the bookkeeping of a request that left the queue, either to run or because it was refused. */
   recordDequeued (request: SimulatedRequest, now: number): void {
     const waiting = this.waitingByAdapter.get(request.adapter)
     waiting?.delete(request)
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Begins a step if there is anything to run.
+   * Begins a step if the engine has requests to run.
    *
-   * @returns its length in milliseconds, or undefined
+   * @returns the duration of the step in milliseconds, or undefined when there is nothing to run
    */
   beginStep (now: number): number | undefined {
     this.admit(now)
@@ -85,7 +85,7 @@
     return stepMilliseconds(this.running.length, promptTokens)
   }
 
-  /** Ends the step begun before: prompts are read, tokens come out. */
+  /** Ends the step in progress: applies the prompt tokens read and the output tokens generated. */
   endStep (now: number): void {
     let promptRoom = PROMPT_TOKENS_PER_STEP
     for (const request of [...this.running]) {
@@ -100,14 +100,18 @@
     }
   }
 
-  /** @returns slots that adapters with waiting requests will want */
+  /** @returns the number of adapters with waiting requests that have no slot yet */
   slotsNeeded (): number {
-    let wanted = 0
-    for (const adapter of this.waitingByAdapter.keys()) if (this.slots.get(adapter) === undefined) wanted += 1
-    return wanted
+    let needed = 0
+    for (const adapter of this.waitingByAdapter.keys()) if (this.slots.get(adapter) === undefined) needed += 1
+    return needed
   }
 
-  /** Loses everything; running requests are handed back. */
+  /**
+   * Restarts cold: loses the loaded adapters and the running requests.
+   *
+   * @returns the requests that were running
+   */
   restart (now: number): SimulatedRequest[] {
     this.epoch += 1
     this.stepping = false
@@ -125,7 +129,7 @@
       const request = this.queue.next((item) => this.slots.get(item.adapter)?.state === 'loaded', now, BATCH_CAPACITY - this.running.length)
       if (request === undefined) return
       const slot = this.slots.get(request.adapter)
-      if (slot === undefined) throw new Error('The queue gave a request whose adapter is not loaded.')
+      if (slot === undefined) throw new Error('The queue returned a request whose adapter is not loaded.')
       slot.pins += 1
       slot.lastUsedAt = now
       this.recordDequeued(request, now)
@@ -147,7 +151,7 @@
     this.listener.completed(request, now)
   }
 
-  /** The queue charged what was expected; what came is known now. */
+  /** Corrects the charge of the team: the queue charged the expected cost, and the served tokens are known now. */
   private settle (request: SimulatedRequest): void {
     this.queue.charge(request.team, request.chargedTokens - request.cost)
     request.chargedTokens = 0
--- a/packages/load/src/policy/simulation/simulated-request.ts
+++ b/packages/load/src/policy/simulation/simulated-request.ts
@@ -1,14 +1,14 @@
-/** A request on its way through the simulation. */
+/** A request of the simulation with its state and its measured times. */
 import type { QueuedRequest } from '@limpetwinch/decisions'
 import { adapterKeyOf } from '../traces/trace.js'
 import type { TraceRequest } from '../traces/trace.js'
 
-/** Where a request stands. */
+/** State of a request. */
 export type RequestState = 'waiting' | 'running' | 'completed' | 'refused' | 'lost'
 
 interface PriorityClassTerms {
   readonly priority: number
-  /** From arrival, milliseconds. */
+  /** Time from arrival to the deadline, milliseconds. */
   readonly deadlineMilliseconds: number
 }
 
@@ -19,13 +19,13 @@
 }
 const DEFAULT_PRIORITY_CLASS: PriorityClassTerms = { priority: 5, deadlineMilliseconds: 60_000 }
 
-/** An output token costs about twice a prompt token, since a prompt is read many tokens at a time. */
+/** Weight of an output token; it costs about twice a prompt token, since an engine reads many prompt tokens in one step. */
 export const OUTPUT_TOKEN_WEIGHT = 2
 
-/** Callers say the most they want, not what will come; what they say is a power of two. */
+/** Lowest `maximumTokens` of a caller. A caller states an upper limit, not the actual length; the simulation uses a power of two. */
 const MINIMUM_DECLARED_TOKENS = 64
 
-/** What the simulation knows of one request. */
+/** State and measurements of one request. */
 export class SimulatedRequest implements QueuedRequest {
   readonly requestId: string
   readonly team: string
@@ -37,22 +37,22 @@
   readonly maximumTokens: number
   readonly trace: TraceRequest
   state: RequestState = 'waiting'
-  /** Index of the engine, or -1 before it was routed. */
+  /** Index of the engine, or -1 before the request was routed. */
   engine = -1
-  /** Time waited for the adapter so far, without the wait under way. */
+  /** Total of the ended waits for the adapter, milliseconds; a wait in progress is not included. */
   endedStallMilliseconds = 0
-  /** Since when it waits for its adapter, or -1 when it does not. */
+  /** Time at which the current wait for the adapter began, or -1 when the request does not wait for its adapter. */
   stalledSince = -1
   firstTokenAt = -1
   endedAt = -1
   promptTokensLeft: number
   outputTokensLeft: number
-  /** Tokens charged to its team so far, weighed. */
+  /** Weighted tokens served to this request since its last settlement with the queue. */
   chargedTokens = 0
 
   /**
-   * @param trace - the line of the trace
-   * @param index - its place in the trace
+   * @param trace - the request as the trace states it
+   * @param index - position of the request in the trace
    */
   constructor (trace: TraceRequest, index: number) {
     const terms = PRIORITY_CLASSES[trace.priorityClass] ?? DEFAULT_PRIORITY_CLASS
@@ -69,17 +69,17 @@
     this.outputTokensLeft = trace.outputTokens
   }
 
-  /** @returns the whole wait for the adapter, with the wait under way */
+  /** @returns the total wait for the adapter including a wait in progress, milliseconds */
   totalStallAt (now: number): number {
     return this.endedStallMilliseconds + (this.stalledSince < 0 ? 0 : now - this.stalledSince)
   }
 
-  /** Its adapter is not on the engine. */
+  /** Starts a wait for the adapter, which is not loaded on the engine. */
   beginStall (now: number): void {
     if (this.stalledSince < 0) this.stalledSince = now
   }
 
-  /** Its adapter is loaded now, or it is given up. */
+  /** Ends the wait for the adapter, because the adapter was loaded or the request left the queue. */
   endStall (now: number): void {
     this.endedStallMilliseconds = this.totalStallAt(now)
     this.stalledSince = -1
--- a/packages/load/src/policy/simulation/simulation.ts
+++ b/packages/load/src/policy/simulation/simulation.ts
@@ -1,4 +1,4 @@
-/** Replays a trace on small engines with the decision classes of one policy, on a fake clock. */
+/** Replays a trace on simulated engines with the decision classes of one policy, on a simulated clock. */
 import { ServiceRate } from '@limpetwinch/decisions'
 import type { Refusal, WaitForecast } from '@limpetwinch/decisions'
 import type { Trace, TraceRequest } from '../traces/trace.js'
@@ -13,33 +13,36 @@
 import type { StepCounts } from './simulated-engine.js'
 import { OUTPUT_TOKEN_WEIGHT, SimulatedRequest } from './simulated-request.js'
 
-/** Everything counted in one run. */
+/** Counters and per-request results of one run. */
 export interface SimulationResult {
   readonly requests: readonly SimulatedRequest[]
-  /** When the run ended; what waits then counts with its wait so far. */
+  /** Time at which the run ended, milliseconds of simulated time. A request still waiting then counts with its wait up to this time. */
   readonly endedAt: number
   readonly loads: LoadCounts
   readonly steps: readonly StepCounts[]
   readonly service: ServiceRecord
 }
 
-/** What may be set besides the trace and the policy. */
+/** Optional inputs of a run besides the trace and the policy. */
 export interface SimulationOptions {
-  /** @returns whether a load of the adapter that ends now fails */
+  /** @returns whether the load of the adapter that finishes at `now` fails */
   readonly loadFails?: (adapter: string, now: number) => boolean
-  /** Another stream of requests in place of the trace's. */
+  /** Requests to replay in place of the requests of the trace. */
   readonly requests?: readonly TraceRequest[]
 }
 
+/** Interval between two engine reports to the router. */
 const REPORT_INTERVAL_MILLISECONDS = 200
-/** Time after the last arrival in which what waits may still be served, milliseconds. */
+/** Time after the last arrival in which waiting requests may still be served, milliseconds. */
 const DRAIN_MILLISECONDS = 10_000
-/** The plain bound on a queue without a guard. */
+/** Maximum requests in the queue of one engine when the policy has no overload guard. */
 const MAXIMUM_QUEUED_REQUESTS = 500
+/** Age at which a sample of an engine's service rate counts 1/e as much as a new sample. */
 const RATE_MEMORY_MILLISECONDS = 10_000
+/** Weighted tokens per millisecond of an engine whose batch is full. */
 const FULL_BATCH_RATE = BATCH_CAPACITY * OUTPUT_TOKEN_WEIGHT / stepMilliseconds(BATCH_CAPACITY, 0)
 
-/** One run. */
+/** One run of one policy on one trace. */
 export class Simulation {
   private readonly events = new EventQueue()
   private readonly engines: SimulatedEngine[]
@@ -50,7 +53,7 @@
   private readonly requests: SimulatedRequest[]
   private readonly endsAt: number
   private now = 0
-  /** Loads wanted or under way at the last report. */
+  /** Loads pending or in progress on all engines at the last report. */
   private pendingLoads = 0
 
   constructor (private readonly trace: Trace, private readonly policy: PolicyBundle, options: SimulationOptions = {}) {
@@ -73,7 +76,11 @@
     for (const [team, weight] of trace.weights) this.setWeight(team, weight)
   }
 
-  /** @returns what was counted */
+  /**
+   * Runs the simulation to its end.
+   *
+   * @returns the counters and per-request results
+   */
   run (): SimulationResult {
     for (const request of this.requests) this.events.at(request.enqueuedAt, (now) => this.handleArrival(request, now))
     for (const { atMilliseconds, engine } of this.trace.restarts) {
@@ -137,7 +144,7 @@
     else this.loads.changed()
   }
 
-  /** Expects what waits before a request under fair queueing, at the rate of late. */
+  /** Predicts the wait from the weighted tokens queued before the request and the recent service rate of the engine. */
   private forecast (request: SimulatedRequest, engine: SimulatedEngine): WaitForecast {
     const rate = this.rates[engine.index]?.rate ?? FULL_BATCH_RATE
     const ahead = engine.queue.tokensAhead?.(request) ?? 0
@@ -147,10 +154,10 @@
     return { firstTokenMilliseconds: Math.max(load, ahead / rate), serviceMilliseconds }
   }
 
-  private refuseQueued (engine: SimulatedEngine, given: { readonly item: SimulatedRequest, readonly refusal: Refusal }, now: number): void {
-    engine.recordDequeued(given.item, now)
-    this.service.addWaiting(given.item.team, -1)
-    this.refuse(given.item, now)
+  private refuseQueued (engine: SimulatedEngine, removed: { readonly item: SimulatedRequest, readonly refusal: Refusal }, now: number): void {
+    engine.recordDequeued(removed.item, now)
+    this.service.addWaiting(removed.item.team, -1)
+    this.refuse(removed.item, now)
   }
 
   private refuse (request: SimulatedRequest, now: number): void {
@@ -164,7 +171,7 @@
     request.endedAt = now
   }
 
-  /** Begins a step on an engine that rests. */
+  /** Begins a step on the engine unless a step is in progress. */
   private beginStepIfIdle (engine: SimulatedEngine, now: number): void {
     if (engine.stepping) return
     const before = engine.running.length
@@ -201,7 +208,7 @@
     this.loads.run(now)
   }
 
-  /** A stream that was cut off goes on elsewhere from its last token. */
+  /** Routes a stream that an engine restart interrupted. It continues after its last token but its prompt must be read again. */
   private resumeStream (request: SimulatedRequest, now: number): void {
     request.promptTokensLeft = request.trace.promptTokens
     this.route(request, now, true)
@@ -227,7 +234,7 @@
         firstTokenMilliseconds: 0,
         serviceMilliseconds: request.maximumTokens / 2 * stepMilliseconds(BATCH_CAPACITY, 0)
       })
-      for (const given of guard.expire(engine.queue, service, now)) this.refuseQueued(engine, given, now)
+      for (const removed of guard.expire(engine.queue, service, now)) this.refuseQueued(engine, removed, now)
       return
     }
     for (const request of [...engine.queue.items()]) {
--- a/packages/load/src/policy/simulation/weight-store.ts
+++ b/packages/load/src/policy/simulation/weight-store.ts
@@ -1,41 +1,42 @@
-/** The weight store on the fake clock: one transfer at a time runs at full speed, sharing loses efficiency. */
+/** The weight store on the simulated clock: a single transfer runs at full speed, concurrent transfers lose efficiency. */
 
 interface Transfer {
+  /** Remaining duration of the transfer at full speed, milliseconds. */
   left: number
   readonly finish: (now: number) => void
 }
 
-/** With k transfers at once the whole store slows down by 1 + penalty * (k - 1), as the stand-in platform does. */
+/** With k concurrent transfers the whole store slows down by 1 + penalty * (k - 1), like the store of the stand-in platform. */
 const SHARING_PENALTY = 0.25
 
-/** Transfers under processor sharing. */
+/** Runs transfers that share the speed of the store equally. */
 export class SimulatedWeightStore {
   private readonly transfers = new Set<Transfer>()
   private advancedAt = 0
 
-  /** @param loadMilliseconds - time of one transfer alone */
+  /** @param loadMilliseconds - duration of a single transfer without concurrent transfers */
   constructor (private readonly loadMilliseconds: number) {}
 
-  /** @returns transfers under way */
+  /** @returns the number of transfers in progress */
   get active (): number {
     return this.transfers.size
   }
 
-  /** Begins a transfer; `finish` is called by {@link SimulatedWeightStore.advance} when it is done. */
+  /** Begins a transfer; {@link SimulatedWeightStore.advance} calls `finish` when the transfer has ended. */
   begin (now: number, finish: (now: number) => void): void {
     this.advance(now)
     this.transfers.add({ left: this.loadMilliseconds, finish })
   }
 
-  /** @returns when the next transfer ends if none begins before, or undefined */
+  /** @returns the time at which the next transfer ends if no other begins before, or undefined without transfers */
   nextEnd (): number | undefined {
     if (this.transfers.size === 0) return undefined
-    let least = Infinity
-    for (const transfer of this.transfers) least = Math.min(least, transfer.left)
-    return this.advancedAt + least / this.speed()
+    let shortest = Infinity
+    for (const transfer of this.transfers) shortest = Math.min(shortest, transfer.left)
+    return this.advancedAt + shortest / this.speed()
   }
 
-  /** Brings all transfers up to now and ends those that are done. */
+  /** Advances all transfers to `now` and ends the completed ones. */
   advance (now: number): void {
     const done = this.transfers.size === 0 ? 0 : (now - this.advancedAt) * this.speed()
     this.advancedAt = now
