--- a/packages/load/src/policy/policies/baseline-eviction.ts
+++ b/packages/load/src/policy/policies/baseline-eviction.ts
@@ -1,20 +1,20 @@
-/** Evictions to compare with. */
+/** Eviction policies for comparison with the product's policy. */
 import { EvictionPolicy, UseRates } from '@limpetwinch/decisions'
 import type { SlotView } from '@limpetwinch/decisions'
 
-/** Picks the unpinned slot with the least value. */
+/** Evicts the unpinned slot with the lowest value; subclasses define the value. */
 abstract class LeastValueEviction extends EvictionPolicy {
   recordUse (_adapter: string, _team: string, _tokens: number, _now: number): void {}
 
   victim (slots: readonly SlotView[], _incoming: string, now: number): string | undefined {
     let victim: SlotView | undefined
-    let least = Infinity
+    let lowestValue = Infinity
     for (const slot of slots) {
       if (slot.pins > 0) continue
       const value = this.value(slot, now)
-      if (value >= least) continue
+      if (value >= lowestValue) continue
       victim = slot
-      least = value
+      lowestValue = value
     }
     if (victim !== undefined) this.evicted(victim)
     return victim?.adapter
@@ -25,14 +25,14 @@
   protected evicted (_slot: SlotView): void {}
 }
 
-/** Least recently used. */
+/** Evicts the least recently used adapter. */
 export class LeastRecentlyUsedEviction extends LeastValueEviction {
   protected value (slot: SlotView): number {
     return slot.lastUsedAt
   }
 }
 
-/** Least frequently used, counted since the run began. */
+/** Evicts the least frequently used adapter, counted since the start of the run. */
 export class LeastFrequentlyUsedEviction extends LeastValueEviction {
   private readonly uses = new Map<string, number>()
 
@@ -45,7 +45,7 @@
   }
 }
 
-/** Greedy-dual with frequency: uses times cost over size (both 1 here), above a level that rises with each eviction. */
+/** Greedy-dual with frequency: the value is the number of uses times cost over size (both 1 here) plus a level that each eviction raises. */
 export class GreedyDualEviction extends LeastValueEviction {
   private level = 0
   private readonly values = new Map<string, number>()
@@ -69,7 +69,7 @@
 
 const PRODUCTIVITY_HALF_LIFE_MILLISECONDS = 30_000
 
-/** Output for each unit of memory: tokens served of late for a slot, all slots being of one size. */
+/** Evicts the adapter with the lowest recent token rate per unit of memory; all slots have the same size. */
 export class ProductivityEviction extends LeastValueEviction {
   private readonly rates = new UseRates({ halfLifeMilliseconds: PRODUCTIVITY_HALF_LIFE_MILLISECONDS })
 
@@ -77,7 +77,7 @@
     this.rates.recordUse(adapter, tokens, now)
   }
 
-  /** @returns tokens in a millisecond of an adapter */
+  /** @returns recent tokens per millisecond of an adapter */
   productivity (adapter: string, now: number): number {
     return this.rates.tokenRate(adapter, now)
   }
@@ -87,11 +87,12 @@
   }
 }
 
-/** Tokens of a usual request, so that a productivity can be told as requests. */
+/** Tokens of a typical request, which convert a token rate to requests. */
 const TYPICAL_REQUEST_TOKENS = 360
+/** Period for which the requests of an evicted adapter are estimated. */
 const EVICTION_COST_HORIZON_MILLISECONDS = 10_000
 
-/** The router is told what leaves an engine, and so takes the least productive adapter of the whole data centre. */
+/** Also reports the cost of an eviction to the router, so that the least productive adapter of all engines is evicted. */
 export class GlobalProductivityEviction extends ProductivityEviction {
   override cost (slots: readonly SlotView[], wanted: number, now: number): number {
     const values = slots.map((slot) => this.value(slot, now) * EVICTION_COST_HORIZON_MILLISECONDS / TYPICAL_REQUEST_TOKENS + (slot.pins > 0 ? 1 : 0))
--- a/packages/load/src/policy/policies/baseline-load-order.ts
+++ b/packages/load/src/policy/policies/baseline-load-order.ts
@@ -1,8 +1,8 @@
-/** First come, first served loads. */
+/** Load order of first come, first served, for comparison with the product's order. */
 import { LoadOrderingPolicy } from '@limpetwinch/decisions'
 import type { LoadCandidate } from '@limpetwinch/decisions'
 
-/** The load whose first request waits longest. */
+/** Begins the load whose first request has waited longest. */
 export class ArrivalLoadOrder extends LoadOrderingPolicy {
   urgency (load: LoadCandidate, now: number): number {
     return now - load.waitingSince
--- a/packages/load/src/policy/policies/baseline-queue.ts
+++ b/packages/load/src/policy/policies/baseline-queue.ts
@@ -1,8 +1,8 @@
-/** First come, first served among the requests that could run: what one would take without fairness. */
+/** Queue of first come, first served among the requests that can run, for comparison with the fair queue. */
 import { FairQueue } from '@limpetwinch/decisions'
 import type { QueuedRequest } from '@limpetwinch/decisions'
 
-/** Knows no teams and no priorities. */
+/** Queue in order of arrival that ignores teams and priorities. */
 export class ArrivalOrderQueue<Item extends QueuedRequest> extends FairQueue<Item> {
   private readonly waiting = new Map<string, Item>()
 
--- a/packages/load/src/policy/policies/baseline-routing.ts
+++ b/packages/load/src/policy/policies/baseline-routing.ts
@@ -1,9 +1,9 @@
-/** Routing that one would take without knowing of adapters, or knowing of nothing else. */
+/** Routing policies for comparison: one that ignores adapters, and one that considers only the adapter. */
 import type { EndpointId } from '@limpetwinch/core'
 import { RoutingPolicy, rendezvousWeight } from '@limpetwinch/decisions'
 import type { EndpointView, RoutingRequest } from '@limpetwinch/decisions'
 
-/** The endpoint with the fewest requests. */
+/** Chooses the endpoint with the fewest requests. */
 export class LeastLoadedRouting extends RoutingPolicy {
   choose (_question: RoutingRequest, endpoints: readonly EndpointView[]): EndpointId | undefined {
     let best: EndpointView | undefined
@@ -16,7 +16,7 @@
   observe (): void {}
 }
 
-/** The adapter's home by rendezvous hashing, whatever its queue. */
+/** Chooses an endpoint from the adapter by rendezvous hashing, regardless of queue lengths. */
 export class StickyRouting extends RoutingPolicy {
   choose (question: RoutingRequest, endpoints: readonly EndpointView[]): EndpointId | undefined {
     const key = question.adapter ?? question.team
--- a/packages/load/src/policy/policies/policies-under-test.ts
+++ b/packages/load/src/policy/policies/policies-under-test.ts
@@ -1,4 +1,4 @@
-/** The policies in the table. */
+/** The policies that the experiment compares. */
 import { OverloadGuard, PopularityLoadAhead, ServiceAccounting, StallEvictionPolicy, StallLoadOrderingPolicy, VirtualTimeFairQueue, WeightedRoutingPolicy, reservedPlacesFor } from '@limpetwinch/decisions'
 import type { EvictionPolicy } from '@limpetwinch/decisions'
 import { BATCH_CAPACITY } from '../simulation/engine-timing.js'
@@ -10,25 +10,26 @@
 import { ArrivalOrderQueue } from './baseline-queue.js'
 import { LeastLoadedRouting, StickyRouting } from './baseline-routing.js'
 
+/** Number of later loads after which a load counts 1/e as much in the share of its team. */
 const LOAD_ACCOUNTING_MEMORY = 200
 
-/** What may differ between forms of the product's own policy. */
+/** Options in which the variants of the product's policy differ. */
 interface ProductOptions {
   readonly batchEfficiencyWeight: number
   readonly eviction?: EvictionPolicy
 }
 
-/** @returns the product's decision classes as the entry instance makes them */
-function product (size: DeploymentSize, form: ProductOptions): PolicyBundle {
-  const ledger = new ServiceAccounting()
-  const reservedPlaces = reservedPlacesFor(form.batchEfficiencyWeight, BATCH_CAPACITY)
+/** @returns the product's decision classes, created as in an entry instance */
+function product (size: DeploymentSize, options: ProductOptions): PolicyBundle {
+  const accounting = new ServiceAccounting()
+  const reservedPlaces = reservedPlacesFor(options.batchEfficiencyWeight, BATCH_CAPACITY)
   return {
-    routing: new WeightedRoutingPolicy({ batchEfficiencyWeight: form.batchEfficiencyWeight, loadsPerSecond: size.loadsPerSecond }),
-    eviction: form.eviction ?? new StallEvictionPolicy(),
+    routing: new WeightedRoutingPolicy({ batchEfficiencyWeight: options.batchEfficiencyWeight, loadsPerSecond: size.loadsPerSecond }),
+    eviction: options.eviction ?? new StallEvictionPolicy(),
     loadOrder: new StallLoadOrderingPolicy(),
-    makeQueue: () => new VirtualTimeFairQueue<SimulatedRequest>({ accounting: ledger, reservedPlaces }),
+    makeQueue: () => new VirtualTimeFairQueue<SimulatedRequest>({ accounting, reservedPlaces }),
     loadAhead: new PopularityLoadAhead(),
-    accounting: ledger,
+    accounting,
     loadAccounting: new ServiceAccounting({ memoryTokens: LOAD_ACCOUNTING_MEMORY }),
     overloadGuard: new OverloadGuard<SimulatedRequest>()
   }
@@ -43,20 +44,20 @@
   }
 }
 
-/** The product's policy at three weightings. */
+/** The product's policy with three weights of batch efficiency against load stalls. */
 export const PRODUCT_POLICIES: readonly PolicyUnderTest[] = [
   { name: 'limpetwinch', make: (size) => product(size, { batchEfficiencyWeight: 0.5 }) },
   { name: 'limpetwinch, stalls first', make: (size) => product(size, { batchEfficiencyWeight: 0 }) },
   { name: 'limpetwinch, batches first', make: (size) => product(size, { batchEfficiencyWeight: 1 }) }
 ]
 
-/** What one would otherwise take. */
+/** Simple policies as baselines. */
 export const BASELINE_POLICIES: readonly PolicyUnderTest[] = [
   { name: 'least loaded', make: () => baseline(new LeastLoadedRouting()) },
   { name: 'sticky', make: () => baseline(new StickyRouting()) }
 ]
 
-/** The product's policy with another eviction. */
+/** The product's policy with other eviction policies. */
 export const VARIANT_POLICIES: readonly PolicyUnderTest[] = [
   variant('least recently used', () => new LeastRecentlyUsedEviction()),
   variant('least frequently used', () => new LeastFrequentlyUsedEviction()),
@@ -65,7 +66,7 @@
   variant('productivity, global', () => new GlobalProductivityEviction())
 ]
 
-/** All of them, in the order of the table. */
+/** All policies in the order of the table. */
 export const POLICIES_UNDER_TEST: readonly PolicyUnderTest[] = [...PRODUCT_POLICIES, ...BASELINE_POLICIES, ...VARIANT_POLICIES]
 
 function variant (name: string, eviction: () => EvictionPolicy): PolicyUnderTest {
--- a/packages/load/src/policy/results/clairvoyant.ts
+++ b/packages/load/src/policy/results/clairvoyant.ts
@@ -1,29 +1,29 @@
-/** What could be reached at best, about: one who knows the future, with loads as the only limit. */
+/** Approximation of the best reachable load stalls: a scheduler that knows the future and is limited only by the rate of loads. */
 import { adapterKeyOf } from '../traces/trace.js'
 import type { Trace } from '../traces/trace.js'
 import { percentilesOf } from './percentiles.js'
 import type { PercentilesAndMaximum } from './percentiles.js'
 
-/** The reference beside a trace's figures. */
+/** Reference figures of a trace. */
 export interface ClairvoyantReference {
   readonly load_stall_ms: PercentilesAndMaximum
   readonly loads: number
 }
 
-/** Requests looked at ahead for the next adapter that will be wanted. */
+/** Maximum future requests searched for the next adapter to load. */
 const LOOK_AHEAD_REQUESTS = 3_000
 
 /**
- * All slots of all engines are one cache, requests need no time to run, and loads run one at a time.
+ * Replays a trace with all slots of all engines as one cache, requests that take no time to run, and one load at a time.
  *
- * The adapter whose next use is farthest leaves. When nobody waits, the pipeline loads what will be wanted next. No order
- * of loads is proved best for a percentile, so several are tried, and the whole is a reference with every advantage, not
- * a proved bound.
+ * The adapter whose next use is farthest in the future is evicted. When no request waits, the next needed adapter is loaded
+ * ahead. No order of loads is proved to be best for a percentile, so several orders are tried, and the result is an
+ * optimistic reference and not a proved bound.
  */
 class Clairvoyant {
   private readonly keys: readonly string[]
   private readonly times: readonly number[]
-  /** Places of each adapter's requests still to come, the next one last. */
+  /** Indexes of the future requests of each adapter, the next request last. */
   private readonly uses = new Map<string, number[]>()
   private readonly held = new Set<string>()
   private readonly waiting = new Map<string, number[]>()
@@ -33,8 +33,8 @@
   private loads = 0
 
   /**
-   * @param trace - the trace
-   * @param waitingCountExponent - the load with the most age times waiters to this power goes first
+   * @param trace - the trace to replay
+   * @param waitingCountExponent - the load with the largest product of age and number of waiting requests to this power goes first
    */
   constructor (private readonly trace: Trace, private readonly waitingCountExponent: number) {
     this.keys = trace.requests.map(adapterKeyOf)
@@ -49,7 +49,7 @@
     }
   }
 
-  /** @returns the stalls of all requests */
+  /** @returns the percentiles of the load stalls and the number of loads */
   run (): ClairvoyantReference {
     const loadMilliseconds = 1_000 / this.trace.size.loadsPerSecond
     const restarts = [...this.trace.restarts]
@@ -95,18 +95,18 @@
 
   private mostUrgentLoad (now: number): string | undefined {
     let best: string | undefined
-    let most = -1
+    let highestUrgency = -1
     for (const [key, indexes] of this.waiting) {
       const urgency = indexes.length ** this.waitingCountExponent * (now - (this.times[indexes[0] as number] as number) + 1)
-      if (urgency <= most) continue
+      if (urgency <= highestUrgency) continue
       best = key
-      most = urgency
+      highestUrgency = urgency
     }
     if (best !== undefined) this.makeRoom()
     return best
   }
 
-  /** Loads ahead only when what leaves is wanted later than what comes. */
+  /** Chooses an adapter to load ahead, but evicts only an adapter whose next use is later than that of the loaded one. */
   private nextLoadAhead (next: number): string | undefined {
     for (let index = next; index < Math.min(this.keys.length, next + LOOK_AHEAD_REQUESTS); index++) {
       const key = this.keys[index] as string
@@ -142,7 +142,7 @@
     return this.uses.get(key)?.at(-1) ?? Infinity
   }
 
-  /** Those wanted last are taken to have been on the engine that restarts. */
+  /** Removes the slots of one engine; the adapters with the farthest next use count as the adapters of the engine that restarts. */
   private restartOneEngine (): void {
     const lost = this.held.size - this.trace.size.slots * (this.trace.size.engines - 1)
     for (let count = 0; count < lost; count++) {
@@ -152,10 +152,10 @@
   }
 }
 
-/** From first come, first served to nothing but the number of waiters. */
+/** Exponents of the tried orders of loads: 0 is first come, first served; a high one orders almost only by the number of waiting requests. */
 const WAITING_COUNT_EXPONENTS: readonly number[] = [0, 0.25, 1, 4]
 
-/** @returns the reference for a trace: for each figure the least of all orders of loads */
+/** @returns the reference for a trace: for each figure the minimum over all tried orders of loads */
 export function clairvoyantReferenceOf (trace: Trace): ClairvoyantReference {
   const runs = WAITING_COUNT_EXPONENTS.map((power) => new Clairvoyant(trace, power).run())
   const least = (figure: (run: ClairvoyantReference) => number) => Math.min(...runs.map(figure))
--- a/packages/load/src/policy/results/markdown.ts
+++ b/packages/load/src/policy/results/markdown.ts
@@ -1,8 +1,8 @@
-/** The page of figures, made from the runs. */
+/** Generates the Markdown page of figures from the reports of the runs. */
 import type { ClairvoyantReference } from './clairvoyant.js'
 import type { RunReport } from './run-report.js'
 
-/** What the page is made of. */
+/** Content of the page. */
 export interface MarkdownPage {
   readonly seed: number
   readonly command: string
--- a/packages/load/src/policy/results/plots.ts
+++ b/packages/load/src/policy/results/plots.ts
@@ -1,4 +1,4 @@
-/** Plots as SVG. */
+/** Renders line plots as SVG. */
 import { init, use } from 'echarts/core'
 import { LineChart } from 'echarts/charts'
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components'
@@ -12,7 +12,7 @@
   readonly points: readonly (readonly [number, number])[]
 }
 
-/** A plot of lines. */
+/** A line plot with its axis titles. */
 export interface LinePlot {
   readonly title: string
   readonly horizontal: string
@@ -42,15 +42,15 @@
 }
 
 /**
- * @param values - any values
- * @returns the share of them that is at most so large, from the median on
+ * @param values - durations, milliseconds
+ * @returns points from the 50th to the 99.8th percentile: the percentile, and the value at it in seconds
  */
 export function distributionOf (values: readonly number[]): [number, number][] {
   const sorted = Float64Array.from(values).sort()
   const points: [number, number][] = []
-  for (let place = 50; place <= 99.8; place += 0.2) {
-    const index = Math.min(sorted.length - 1, Math.ceil(place / 100 * sorted.length) - 1)
-    points.push([Math.round(place * 10) / 10, Math.round((sorted[index] ?? 0) / 10) / 100])
+  for (let percentile = 50; percentile <= 99.8; percentile += 0.2) {
+    const index = Math.min(sorted.length - 1, Math.ceil(percentile / 100 * sorted.length) - 1)
+    points.push([Math.round(percentile * 10) / 10, Math.round((sorted[index] ?? 0) / 10) / 100])
   }
   return points
 }
--- a/packages/load/src/policy/results/policy-bounds.ts
+++ b/packages/load/src/policy/results/policy-bounds.ts
@@ -1,21 +1,21 @@
-/** What the policy may not fall behind; each bound lies a little above what was measured when it was set. */
+/** Limits on the figures of the policies; each limit leaves a small margin to the figure measured when the limit was set. */
 
-/** A figure of one run. */
+/** Name of a figure of a run that is checked. */
 export type CheckedFigure = 'stall p95' | 'stall p99' | 'batch efficiency' | 'batch efficiency while waiting' | 'completed' |
   'first token in a flood' | 'worst share'
 
-/** One bound. */
+/** Limit of one figure of one policy on one trace. */
 export interface PolicyBound {
   readonly trace: string
   readonly policy: string
   readonly figure: CheckedFigure
-  /** Whether the figure is divided by the better baseline's. */
+  /** `better baseline` divides the figure by the figure of the better baseline before it is compared. */
   readonly against: 'better baseline' | 'nothing'
   readonly kind: 'at most' | 'at least'
   readonly bound: number
 }
 
-/** Traces in the check are shorter than in the table, so their figures differ from it. */
+/** Length of each checked trace, seconds. Checked traces are shorter than the traces of the table, so their figures differ from the table. */
 export const CHECKED_SECONDS: Readonly<Record<string, number>> = {
   'panel sitting': 200,
   'football night': 60,
@@ -26,7 +26,7 @@
   'cold restarts': 300
 }
 
-/** All bounds that are checked. */
+/** All committed bounds. */
 export const POLICY_BOUNDS: readonly PolicyBound[] = [
   bound('panel sitting', 'limpetwinch', 'stall p95', 'better baseline', 'at most', 0.37),
   bound('panel sitting', 'limpetwinch', 'stall p99', 'better baseline', 'at most', 0.395),
--- a/packages/load/src/policy/results/policy-check.ts
+++ b/packages/load/src/policy/results/policy-check.ts
@@ -1,4 +1,4 @@
-/** Compares the policy's figures with the committed bounds. */
+/** Compares the figures of the policies with the committed bounds. */
 import { BASELINE_POLICIES, POLICIES_UNDER_TEST } from '../policies/policies-under-test.js'
 import { DEFAULT_DEPLOYMENT_SIZE, generateTraces, runPolicy } from '../policy-experiment.js'
 import type { PolicyUnderTest } from '../simulation/policy-bundle.js'
@@ -7,18 +7,18 @@
 import { round } from './percentiles.js'
 import type { RunReport } from './run-report.js'
 
-/** One bound with what was measured. */
+/** One bound with the measured figure. */
 export interface CheckedBound extends PolicyBound {
   readonly measured: number
   readonly holds: boolean
 }
 
-/** The seed of all checked traces. */
+/** Seed of all checked traces. */
 const CHECKED_SEED = 1
 
 /**
- * @param bounds - what to check
- * @returns each bound with the figure of a run made now
+ * @param bounds - the bounds to check
+ * @returns each bound with the figure of a new run
  */
 export function checkPolicy (bounds: readonly PolicyBound[]): CheckedBound[] {
   const runs = new RunCache()
@@ -29,7 +29,7 @@
   })
 }
 
-/** Runs each pair of trace and policy once. */
+/** Runs each pair of trace and policy once and keeps the report; runs it again when the control run is needed and missing. */
 class RunCache {
   private readonly reports = new Map<string, RunReport>()
 
@@ -37,10 +37,10 @@
   run (traceName: string, policy: PolicyUnderTest, withControl: boolean): RunReport {
     const key = `${traceName}: ${policy.name}`
     const known = this.reports.get(key)
-    const enough = known !== undefined && (!withControl || known.fairness.worst_first_token_ratio !== undefined)
-    if (enough) return known
+    const reusable = known !== undefined && (!withControl || known.fairness.worst_first_token_ratio !== undefined)
+    if (reusable) return known
     const trace = generateTraces(CHECKED_SEED, DEFAULT_DEPLOYMENT_SIZE, CHECKED_SECONDS[traceName]).find(({ name }) => name === traceName)
-    if (trace === undefined) throw new Error(`A bound names the trace '${traceName}', which is not made.`)
+    if (trace === undefined) throw new Error(`A bound names the trace '${traceName}', which does not exist.`)
     const { control, ...plain } = trace
     const report = runPolicy(withControl ? trace : plain, policy)
     this.reports.set(key, report)
@@ -50,7 +50,7 @@
 
 function measure (bound: PolicyBound, runs: RunCache): number {
   const policy = POLICIES_UNDER_TEST.find(({ name }) => name === bound.policy)
-  if (policy === undefined) throw new Error(`A bound names the policy '${bound.policy}', which is not under test.`)
+  if (policy === undefined) throw new Error(`A bound names the policy '${bound.policy}', which does not exist.`)
   const withControl = bound.figure === 'first token in a flood'
   const own = figureOf(runs.run(bound.trace, policy, withControl), bound.figure)
   if (bound.against === 'nothing') return own
--- a/packages/load/src/policy/results/policy-plots.ts
+++ b/packages/load/src/policy/results/policy-plots.ts
@@ -1,4 +1,4 @@
-/** The two plots beside the table. */
+/** The two plots that accompany the table of figures. */
 import { BASELINE_POLICIES, PRODUCT_POLICIES } from '../policies/policies-under-test.js'
 import { Simulation } from '../simulation/simulation.js'
 import type { PolicyUnderTest } from '../simulation/policy-bundle.js'
@@ -7,10 +7,10 @@
 import { distributionOf, svgOf } from './plots.js'
 import type { PlotLine } from './plots.js'
 
-/** Seconds that one point of the shares stands for. */
+/** Time span of one point of the plot of tokens by team, seconds. */
 const POINT_SECONDS = 10
 
-/** @returns the distribution of load stalls of the product's policies and the baselines */
+/** @returns an SVG plot of the distribution of load stalls under the product's policies and the baselines */
 export function stallPlot (trace: Trace): string {
   const lines = [...PRODUCT_POLICIES, ...BASELINE_POLICIES].map((policy) => {
     const result = run(trace, policy)
@@ -20,10 +20,10 @@
   return svgOf({ title: `Load stalls: ${trace.name}`, horizontal: 'share of requests with at most this stall, %', vertical: 'stall, s', lines })
 }
 
-/** @returns each team's tokens over time under the product's policy */
+/** @returns an SVG plot of the tokens of each team over time under the product's policy */
 export function sharePlot (trace: Trace): string {
   const [policy] = PRODUCT_POLICIES
-  if (policy === undefined) throw new Error('There is no policy of the product to plot.')
+  if (policy === undefined) throw new Error('The list of product policies is empty, so there is nothing to plot.')
   const lines = linesByTeam(run(trace, policy))
   return svgOf({ title: `Tokens by team: ${trace.name}, ${policy.name}`, horizontal: 'time, s', vertical: 'weighed tokens a second', lines })
 }
--- a/packages/load/src/policy/results/run-report.ts
+++ b/packages/load/src/policy/results/run-report.ts
@@ -1,4 +1,4 @@
-/** The figures of one run, as the JSON document has them. */
+/** The figures of one run in the form of the JSON document. */
 import type { SimulationResult } from '../simulation/simulation.js'
 import type { StepCounts } from '../simulation/simulated-engine.js'
 import type { SimulatedRequest } from '../simulation/simulated-request.js'
@@ -7,34 +7,34 @@
 import { percentilesOf, round } from './percentiles.js'
 import type { Percentiles, PercentilesAndMaximum } from './percentiles.js'
 
-/** One team's figures. */
+/** Figures of one team. */
 export interface TeamReport {
   readonly tokens: number
-  /** Tokens while it was backlogged, over its weighted share of what the backlogged teams had; null when it never was. */
+  /** Tokens served while the team was backlogged, divided by its weighted share of the tokens of all backlogged teams; null without a backlog. */
   readonly share_ratio: number | null
   readonly first_token_p95_ms: number
   readonly completed: number
   readonly refused: number
 }
 
-/** Who had how much. */
+/** Fairness between teams. */
 export interface FairnessReport {
-  /** The share ratio farthest from 1 among teams that were backlogged for long; null when none was. */
+  /** The share ratio farthest from 1 among teams that were backlogged long enough; null without such a team. */
   readonly worst_share_ratio: number | null
-  /** Where the trace has a flood: the largest p95 of the first token of another team, over that without the flood. */
+  /** For a trace with a flood: largest ratio, over the other teams, of the p95 time to the first token with the flood to that without. */
   readonly worst_first_token_ratio?: number
   readonly per_team: Readonly<Record<string, TeamReport>>
 }
 
-/** One run. */
+/** Figures of one policy on one trace. */
 export interface RunReport {
   readonly trace: string
   readonly policy: string
   readonly load_stall_ms: PercentilesAndMaximum
   readonly first_token_ms: Percentiles
-  /** Sequences in all steps over what the steps could hold. */
+  /** Sequences in all steps, divided by the capacity of these steps. */
   readonly batch_efficiency: number
-  /** The same, of the steps taken while requests waited for their engine. */
+  /** The same ratio for steps taken while requests waited in the queue of the engine; null without such steps. */
   readonly batch_efficiency_while_waiting: number | null
   readonly loads: number
   readonly evictions: number
@@ -45,14 +45,15 @@
   readonly fairness: FairnessReport
 }
 
-/** A team that was backlogged for a moment only has too few tokens for a ratio. */
+/** Minimum fair tokens for a share ratio to count as the worst; a short backlog has too few tokens for a meaningful ratio. */
 const MINIMUM_FAIR_TOKENS = 5_000
 
 /**
- * @param trace - the trace
+ * @param trace - the trace that was replayed
  * @param policy - name of the policy
- * @param result - what the run counted
- * @param control - the run without the flood
+ * @param result - result of the run
+ * @param control - result of the run without the flood, if the trace has one
+ * @returns the figures of the run
  */
 export function reportOf (trace: Trace, policy: string, result: SimulationResult, control?: SimulationResult): RunReport {
   const { requests, endedAt } = result
@@ -61,7 +62,7 @@
   return {
     trace: trace.name,
     policy,
-    // A request that never got its adapter counts with its wait so far.
+    // A request whose adapter was never loaded counts with its wait up to the end of the run.
     load_stall_ms: percentilesOf(measured(trace, result).map((request) => request.totalStallAt(endedAt))),
     first_token_ms: { p50, p95, p99 },
     batch_efficiency: efficiency(result.steps, (counts) => counts.sequences, (counts) => counts.steps) ?? 0,
@@ -80,7 +81,7 @@
   return result.requests.filter((request) => request.enqueuedAt >= trace.measuredFromMilliseconds)
 }
 
-/** A request without a first token counts with its wait so far. */
+/** Times to the first token; a request without a first token counts with its wait until its end or the end of the run. */
 function firstTokens (trace: Trace, result: SimulationResult, team?: string): number[] {
   const requests = measured(trace, result)
   const chosen = team === undefined ? requests : requests.filter((request) => request.team === team)
@@ -104,8 +105,8 @@
   for (const team of teams) {
     const share = backlogged.get(team)
     const ratio = share === undefined ? null : round(share.tokens / share.fairTokens, 4)
-    const long = share !== undefined && share.fairTokens >= MINIMUM_FAIR_TOKENS
-    if (long && ratio !== null && (worst === null || Math.abs(ratio - 1) > Math.abs(worst - 1))) worst = ratio
+    const longBacklog = share !== undefined && share.fairTokens >= MINIMUM_FAIR_TOKENS
+    if (longBacklog && ratio !== null && (worst === null || Math.abs(ratio - 1) > Math.abs(worst - 1))) worst = ratio
     const own = result.requests.filter((request) => request.team === team)
     perTeam[team] = {
       tokens: Math.round(result.service.tokensOf(team)),
--- a/packages/load/src/policy/traces/random.ts
+++ b/packages/load/src/policy/traces/random.ts
@@ -4,13 +4,13 @@
 
 const RESOLUTION = 0x3fff_ffff
 
-/** A stream of random numbers; two with the same seed and label are the same. */
+/** A stream of random numbers; streams with the same seed and label are identical. */
 export class Random {
   private readonly generator: RandomGenerator
 
   /**
-   * @param seed - of the whole run
-   * @param label - keeps the streams of one run apart
+   * @param seed - seed of the whole run
+   * @param label - distinguishes the streams of one run
    */
   constructor (seed: number, label: string) {
     let mixed = seed | 0
@@ -18,22 +18,22 @@
     this.generator = xoroshiro128plus(mixed)
   }
 
-  /** @returns a number from 0 to below 1 */
+  /** @returns a number from 0 inclusive to 1 exclusive */
   unit (): number {
     return unsafeUniformIntDistribution(0, RESOLUTION, this.generator) / (RESOLUTION + 1)
   }
 
-  /** @returns a whole number from `least` to `most` */
-  integer (least: number, most: number): number {
-    return unsafeUniformIntDistribution(least, most, this.generator)
+  /** @returns an integer from `minimum` to `maximum`, both inclusive */
+  integer (minimum: number, maximum: number): number {
+    return unsafeUniformIntDistribution(minimum, maximum, this.generator)
   }
 
-  /** @returns a time between two events of a Poisson process, with this mean */
+  /** @returns an interval between two events of a Poisson process with this mean interval */
   exponential (mean: number): number {
     return -Math.log(1 - this.unit()) * mean
   }
 
-  /** Puts the items into random order, in place. */
+  /** Shuffles the items in place. */
   shuffle<Item> (items: Item[]): Item[] {
     for (let index = items.length - 1; index > 0; index--) {
       const other = this.integer(0, index)
@@ -45,13 +45,13 @@
   }
 }
 
-/** Ranks drawn with a chance proportional to `1 / (rank + 1) ** skew`. */
+/** Draws ranks with a probability proportional to `1 / (rank + 1) ** skew`. */
 export class ZipfRanks {
   private readonly cumulative: Float64Array
 
   /**
-   * @param count - ranks 0 to count - 1
-   * @param skew - 0 is uniform
+   * @param count - number of ranks, which are 0 to count - 1
+   * @param skew - exponent of the distribution; 0 is uniform
    */
   constructor (count: number, skew: number) {
     this.cumulative = new Float64Array(count)
@@ -62,15 +62,15 @@
     }
   }
 
-  /** @returns a rank */
+  /** @returns a random rank */
   draw (random: Random): number {
     const last = this.cumulative.length - 1
-    const wanted = random.unit() * (this.cumulative[last] ?? 0)
+    const drawn = random.unit() * (this.cumulative[last] ?? 0)
     let low = 0
     let high = last
     while (low < high) {
       const middle = (low + high) >>> 1
-      if ((this.cumulative[middle] ?? 0) > wanted) high = middle
+      if ((this.cumulative[middle] ?? 0) > drawn) high = middle
       else low = middle + 1
     }
     return low
--- a/packages/load/src/policy/traces/trace-file.ts
+++ b/packages/load/src/policy/traces/trace-file.ts
@@ -1,4 +1,4 @@
-/** Reads a trace from JSON lines. */
+/** Reads a trace from a file of JSON lines. */
 import { readFileSync } from 'node:fs'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -18,9 +18,9 @@
 })
 
 /**
- * @param path - a file with one request on each line
- * @param size - the engines to replay it on
- * @returns the trace in the order of time, or `invalid-trace` with the line that is wrong
+ * @param path - path of a file with one request on each line
+ * @param size - size of the deployment on which the trace is replayed
+ * @returns the trace in order of time, or the error `invalid-trace` with the number of the first invalid line
  */
 export function readTraceFile (path: string, size: DeploymentSize): Result<Trace, LimpetwinchError> {
   const requests: TraceRequest[] = []
--- a/packages/load/src/policy/traces/trace.ts
+++ b/packages/load/src/policy/traces/trace.ts
@@ -1,46 +1,46 @@
-/** What the experiments replay: requests with their times, and restarts. */
+/** Trace that an experiment replays: requests with their arrival times, and engine restarts. */
 
-/** One request of a trace; the same fields as one line of a trace file. */
+/** One request of a trace, with the fields of one line of a trace file. */
 export interface TraceRequest {
   readonly atMilliseconds: number
   readonly team: string
   readonly adapter: string
   readonly version: string
-  /** Class of priority, such as `interactive`. */
+  /** Priority class, such as `interactive`. */
   readonly priorityClass: string
   readonly promptTokens: number
   readonly outputTokens: number
   readonly idempotent: boolean
 }
 
-/** An engine that restarts cold. */
+/** A restart of an engine, which loses its loaded adapters and running requests. */
 export interface TraceRestart {
   readonly atMilliseconds: number
   /** Index of the engine. */
   readonly engine: number
 }
 
-/** The engines that a trace is replayed on. */
+/** Size of the deployment on which a trace is replayed. */
 export interface DeploymentSize {
   readonly engines: number
   readonly slots: number
   readonly loadsPerSecond: number
 }
 
-/** A trace with what belongs to it. */
+/** A trace with the deployment size, the team weights and the restarts of its replay. */
 export interface Trace {
   readonly name: string
   readonly size: DeploymentSize
-  /** In the order of their times. */
+  /** Requests in order of arrival time. */
   readonly requests: readonly TraceRequest[]
-  /** Weights between teams; 1 for a team not named. */
+  /** Weights of the teams; 1 for a team without an entry. */
   readonly weights: ReadonlyMap<string, number>
   readonly restarts: readonly TraceRestart[]
-  /** Requests before this fill the empty slots; they are run and counted as completed, but not in the percentiles. */
+  /** Earlier requests fill the empty slots; they are replayed and counted as completed, but left out of the percentiles. */
   readonly measuredFromMilliseconds: number
-  /** The same without the flood, for comparison of the other teams. */
+  /** The requests without the flood, for a control run that shows its effect on the other teams. */
   readonly control?: readonly TraceRequest[]
-  /** The team whose flood the control run leaves out. */
+  /** The team that sends the flood. */
   readonly floodTeam?: string
 }
 
--- a/packages/load/test/policy/policy-check.test.ts
+++ b/packages/load/test/policy/policy-check.test.ts
@@ -3,12 +3,12 @@
 import { checkPolicy } from '../../src/policy/results/policy-check.js'
 
 describe('bench check', () => {
-  it('finds every committed bound kept', { timeout: 300_000 }, () => {
+  it('meets every committed bound', { timeout: 300_000 }, () => {
     const worse = checkPolicy(POLICY_BOUNDS).filter((bound) => !bound.holds)
     expect(worse).toEqual([])
   })
 
-  it('tells a figure that is worse than its bound', () => {
+  it('reports a figure that is worse than its bound', () => {
     const [checked] = checkPolicy([{
       trace: 'three times slots',
       policy: 'limpetwinch',
--- a/packages/load/test/policy/simulation.test.ts
+++ b/packages/load/test/policy/simulation.test.ts
@@ -31,14 +31,14 @@
   return Array.from({ length: count }, (_, index) => request(from + index * every, 'team', adapter, outputTokens))
 }
 
-function merged (...streams: readonly TraceRequest[][]): TraceRequest[] {
+function merge (...streams: readonly TraceRequest[][]): TraceRequest[] {
   return streams.flat().sort((left, right) => left.atMilliseconds - right.atMilliseconds)
 }
 
 describe('simulation', () => {
-  it('gives the same figures for the same seed and others for another', () => {
+  it('gives the same figures for the same seed and different figures for another seed', () => {
     const size = { engines: 3, slots: 4, loadsPerSecond: 4 }
-    const run = (seed: number) => generateTraces(seed, size, 15).map((made) => runPolicy(made, product))
+    const run = (seed: number) => generateTraces(seed, size, 15).map((generated) => runPolicy(generated, product))
     const first = run(SEED)
     expect(run(SEED)).toEqual(first)
     expect(run(SEED + 1)).not.toEqual(first)
@@ -46,16 +46,16 @@
 
   it('accounts for every request of every trace', () => {
     const size = { engines: 3, slots: 4, loadsPerSecond: 4 }
-    for (const made of generateTraces(SEED, size, 15)) {
+    for (const generated of generateTraces(SEED, size, 15)) {
       for (const policy of [product, sticky]) {
-        const report = runPolicy(made, policy)
+        const report = runPolicy(generated, policy)
         const known = report.completed + report.refused + report.waiting_at_end + report.lost
-        expect(known).toBe(made.requests.length)
+        expect(known).toBe(generated.requests.length)
       }
     }
   })
 
-  it('counts a request that never got its adapter with its wait so far', () => {
+  it('counts a request whose adapter was never loaded with its wait up to the end of the run', () => {
     const test = trace([request(0, 'team', 'a'), request(1_000, 'team', 'b')])
     const result = new Simulation(test, product.make(test.size), { loadFails: (adapter) => adapter.includes('/b@') }).run()
     const report = reportOf(test, 'product', result)
@@ -63,19 +63,18 @@
     expect(report.load_stall_ms.max).toBeGreaterThanOrEqual(result.endedAt - 1_000)
   })
 
-  it('gives the clairvoyant reference no more stall than the policies', () => {
+  it('reports no longer stalls for the clairvoyant reference than for the policies', () => {
     const [panel] = generateTraces(SEED, undefined, 60) as [Trace]
     expect(clairvoyantReferenceOf(panel).load_stall_ms.p95).toBeLessThanOrEqual(runPolicy(panel, product).load_stall_ms.p95)
   })
 })
 
 describe('failures', () => {
-  // The caller of another adapter is answered at once although one adapter's weights never load. Each failed try
-  // holds the one full-speed place of the weight store; tried again at once, it would hold it for ever. The backoff
-  // lets the next load go first.
-  it('lets other loads go on while one keeps failing', () => {
+  // Guards against one adapter whose weights never load delaying the loads of others. Each failed attempt occupies the
+  // weight store, which runs one load at a time; without a backoff, immediate retries would occupy it permanently.
+  it('lets other loads proceed while one keeps failing', () => {
     const others = Array.from({ length: 6 }, (_, index) => request(1_000 + index * 2_000, 'team', `good-${index}`))
-    const test = trace(merged(steady('bad', 0, 14_000, 500), others), 2, 4)
+    const test = trace(merge(steady('bad', 0, 14_000, 500), others), 2, 4)
     const result = new Simulation(test, product.make(test.size), { loadFails: (adapter) => adapter.includes('/bad@') }).run()
     const good = result.requests.filter((item) => item.adapter.includes('/good-'))
     expect(good.every((item) => item.state === 'completed')).toBe(true)
@@ -84,8 +83,8 @@
     expect(result.loads.failedLoads).toBeLessThan(12)
   })
 
-  // The caller's stream goes on although its engine restarts cold: the request waits for its adapter again, and is
-  // answered after one more load. Without waiting anew, it would be run on an engine that does not hold its adapter.
+  // Guards against running an interrupted request without its adapter. After a cold restart, the request must wait for
+  // its adapter again, which takes one more load; otherwise it would run on an engine that does not hold the adapter.
   it('answers requests of an engine that restarts cold', () => {
     const test = { ...trace(steady('a', 0, 6_000, 300, 60)), restarts: [{ engine: 0, atMilliseconds: 3_000 }] }
     const result = new Simulation(test, product.make(test.size)).run()
@@ -93,19 +92,20 @@
     expect(result.loads.loads).toBe(2)
   })
 
-  // A popular adapter falls silent and others take its place. Its slot has to go, or the new ones would push each other
-  // out of the slots that are left and each would be loaded again and again.
-  it('gives the slots of adapters that fell silent to those that rise', () => {
-    const before = merged(steady('old-1', 0, 30_000, 400), steady('old-2', 200, 30_000, 400))
-    const after = merged(steady('new-1', 30_000, 60_000, 400), steady('new-2', 30_200, 60_000, 400))
+  // Guards against slots kept by adapters that were popular but are no longer used. The adapters that became popular
+  // would evict each other from the remaining slots and be loaded again and again.
+  it('gives the slots of adapters that became idle to adapters that became popular', () => {
+    const before = merge(steady('old-1', 0, 30_000, 400), steady('old-2', 200, 30_000, 400))
+    const after = merge(steady('new-1', 30_000, 60_000, 400), steady('new-2', 30_200, 60_000, 400))
     const test = trace([...before, ...after])
     const result = new Simulation(test, product.make(test.size)).run()
     expect(result.loads.loads).toBeLessThanOrEqual(8)
     expect(result.requests.every((item) => item.state === 'completed')).toBe(true)
   })
 
-  // Long requests pin every slot while another adapter is wanted. Evicting one would answer from another adapter, so
-  // the load waits until a request has ended, and then goes. A policy that evicts a pinned one makes the run throw.
+  // Guards against evicting a pinned adapter when all slots are pinned and another adapter must be loaded. The pinned
+  // request would be answered by another adapter, so the load waits until a request has ended. An eviction of a pinned
+  // slot makes the run throw.
   it('waits for a pin to end when all slots are pinned', () => {
     const test = trace([request(0, 'team', 'a', 200), request(10, 'team', 'b', 200), request(1_500, 'team', 'c')])
     const result = new Simulation(test, product.make(test.size)).run()
@@ -114,16 +114,16 @@
     expect(last?.endedStallMilliseconds).toBeGreaterThan((first?.endedAt ?? 0) - 1_500)
   })
 
-  // One team sends far more than all engines can serve. The others are hardly slower: their turn comes first by virtual
-  // time, and places are kept from the team that floods.
-  it('keeps a flood of one team from the others', () => {
+  // Guards against a team that sends more than all engines can serve and so delays the other teams. Virtual time orders
+  // the requests of the other teams first, and reserved batch places are not available to the flooding team.
+  it('protects the other teams from a flood of one team', () => {
     const flood = Array.from({ length: 4_000 }, (_, index) => request(index * 10, 'flood', 'f', 80))
     const calm = Array.from({ length: 80 }, (_, index) => request(250 + index * 500, 'calm', 'c', 40))
-    const test = trace(merged(flood, calm), 2, 4)
+    const test = trace(merge(flood, calm), 2, 4)
     const result = new Simulation(test, product.make(test.size)).run()
     const waits = result.requests.filter((item) => item.team === 'calm').map((item) => item.firstTokenAt - item.enqueuedAt)
-    const late = waits.slice(20).filter((wait) => wait < 0 || wait > 1_000)
-    expect(late).toEqual([])
+    const delayed = waits.slice(20).filter((wait) => wait < 0 || wait > 1_000)
+    expect(delayed).toEqual([])
     expect(result.requests.filter((item) => item.team === 'flood' && item.state === 'refused').length).toBeGreaterThan(0)
   })
 })
