--- a/packages/load/src/bench/control/control-deployment.ts
+++ b/packages/load/src/bench/control/control-deployment.ts
@@ -1,4 +1,4 @@
-/** What the control bench runs against: a platform, engines and many entry instances of one data centre. */
+/** Deployment that the control bench measures: a platform, engines and several entry instances of one data centre. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { createRequire } from 'node:module'
 import { tmpdir } from 'node:os'
@@ -25,19 +25,19 @@
 })
 const callsSchema = z.object({ reads: z.number(), writes: z.number(), watches: z.number() })
 
-/** What one instance says of itself. */
+/** Status that an entry instance reports. */
 export type InstanceStatus = z.infer<typeof statusSchema>
-/** Calls that the platform counted. */
+/** Number of calls to the object store that the platform counted. */
 export type PlatformCalls = z.infer<typeof callsSchema>
 
-/** One running entry instance. */
+/** A running entry instance. */
 export interface RunningEntry {
   readonly instance: string
   readonly admin: string
   readonly launched: LaunchedProcess
 }
 
-/** The processes of one bench; {@link ControlDeployment.stop} ends them all. */
+/** The processes of one bench run; {@link ControlDeployment.stop} ends all of them. */
 export class ControlDeployment {
   readonly entries: RunningEntry[] = []
   private readonly administratorKey = makeKey()
@@ -45,7 +45,13 @@
   private platform = ''
   private folder = ''
 
-  /** @returns nothing, or the first failure */
+  /**
+   * Starts all processes.
+   *
+   * @param instances - number of entry instances
+   * @param engines - number of engines
+   * @returns nothing, or the first failure
+   */
   async start (instances: number, engines: number): Promise<Result<void, LimpetwinchError>> {
     this.folder = await mkdtemp(join(tmpdir(), 'limpetwinch-bench-'))
     const platform = await this.launch('platform', '@limpetwinch/stand-ins', 'limpetwinch-stand-in-platform', [], listeningLine)
@@ -64,19 +70,19 @@
     return started.find((result) => result.isErr()) ?? ok(undefined)
   }
 
-  /** @returns what an instance says of itself */
+  /** @returns the status that an instance reports */
   async status (entry: RunningEntry): Promise<InstanceStatus> {
     const answer = await request(`${entry.admin}/admin/status`, { headers: { authorization: `Bearer ${this.administratorKey.key}` } })
     return statusSchema.parse(await answer.body.json())
   }
 
-  /** @returns calls that the platform has counted */
+  /** @returns the number of calls that the platform has counted */
   async calls (): Promise<PlatformCalls> {
     const answer = await request(`${this.platform}/control/calls`)
     return callsSchema.parse(await answer.body.json())
   }
 
-  /** Ends all processes; a stopped one is let go on first, or it would not end. */
+  /** Ends all processes. Entry instances are killed, since an instance paused by `SIGSTOP` would not handle another signal. */
   async stop (): Promise<void> {
     for (const { launched } of this.entries) sendSignal(launched, 'SIGKILL')
     for (const launched of [...this.processes].reverse()) await launched.stop()
@@ -115,6 +121,6 @@
   try {
     process.kill(launched.processId, signal)
   } catch {
-    // It has ended already, which is what the bench wanted.
+    // The process has ended already, so there is nothing to signal.
   }
 }
--- a/packages/load/src/bench/control/control-phases.ts
+++ b/packages/load/src/bench/control/control-phases.ts
@@ -1,4 +1,4 @@
-/** The figures of the control bench. */
+/** The measurements of the control bench. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { sendSignal } from './control-deployment.js'
 import type { ControlDeployment, InstanceStatus, RunningEntry } from './control-deployment.js'
@@ -6,22 +6,24 @@
 const POLL_INTERVAL_MILLISECONDS = 20
 const MAXIMUM_WAIT_MILLISECONDS = 60_000
 
-/** Control traffic and calls at rest, for each instance and second unless said otherwise. */
+/** Control traffic and store calls without requests, per instance and second unless stated otherwise. */
 export interface IdleFigures {
   readonly bytesPerSecond: number
   readonly bytesPerSecondByKind: Readonly<Record<string, number>>
-  /** Share of one core, reports of engines included. */
+  /** Processor time as a share of one core, including the handling of engine reports. */
   readonly processorShare: number
-  /** Of the whole data centre. */
+  /** Store calls per second of the whole data centre. */
   readonly storeReadsPerSecond: number
   readonly storeWritesPerSecond: number
   readonly storeWatchesPerSecond: number
 }
 
 /**
- * Measures at rest: no requests, nothing fails.
+ * Measures an idle deployment: no requests and no failures.
  *
- * @param seconds - how long
+ * @param deployment - a started deployment
+ * @param seconds - duration of the measurement, seconds
+ * @returns the measured figures
  */
 export async function measureIdle (deployment: ControlDeployment, seconds: number): Promise<IdleFigures> {
   const before = await sample(deployment)
@@ -43,20 +45,20 @@
   }
 }
 
-/** @returns milliseconds until every other instance holds a silent one for suspect; it is let go on afterwards */
+/** @returns milliseconds until every other instance reports a paused instance as suspect; the paused instance is resumed afterwards */
 export async function measureUnresponsiveInstance (deployment: ControlDeployment): Promise<number | undefined> {
-  const [silent, ...others] = deployment.entries
-  if (silent === undefined) return undefined
-  sendSignal(silent.launched, 'SIGSTOP')
+  const [paused, ...others] = deployment.entries
+  if (paused === undefined) return undefined
+  sendSignal(paused.launched, 'SIGSTOP')
   const taken = await timeUntil(async () => await everyStatus(deployment, others, (status) =>
-    status.members.some((member) => member.instance === silent.instance && member.state === 'suspect')))
-  sendSignal(silent.launched, 'SIGCONT')
+    status.members.some((member) => member.instance === paused.instance && member.state === 'suspect')))
+  sendSignal(paused.launched, 'SIGCONT')
   await timeUntil(async () => await everyStatus(deployment, others, (status) =>
-    status.members.some((member) => member.instance === silent.instance && member.state === 'alive')))
+    status.members.some((member) => member.instance === paused.instance && member.state === 'alive')))
   return taken
 }
 
-/** @returns milliseconds from the end of an owner until a new owner says of each of its endpoints that it serves it */
+/** @returns milliseconds from the kill of an owner until each endpoint is healthy and has another owner */
 export async function measureKilledOwner (deployment: ControlDeployment): Promise<number | undefined> {
   const [first, ...rest] = deployment.entries
   if (first === undefined || rest.length === 0) return undefined
@@ -88,7 +90,7 @@
   return statuses.every(holds)
 }
 
-/** @returns how long it took, or undefined when it did not come to pass */
+/** @returns the milliseconds until the condition held, or undefined when it did not hold within the maximum wait */
 async function timeUntil (holds: () => Promise<boolean>): Promise<number | undefined> {
   const began = performance.now()
   while (performance.now() - began < MAXIMUM_WAIT_MILLISECONDS) {
--- a/packages/load/src/bench/path/bare-relay.ts
+++ b/packages/load/src/bench/path/bare-relay.ts
@@ -1,13 +1,13 @@
-/** A relay that only passes bytes on: what relaying costs on this machine before limpetwinch does anything of its own. */
+/** A relay that only forwards bytes, which shows the cost of relaying on this machine without any work of limpetwinch. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Agent, request } from 'undici'
 
-/** Path under which the relay tells its own usage. */
+/** Path at which the relay reports its own processor time. */
 export const USAGE_PATH = '/usage'
 
-/** Passes each request on to one engine, and each chunk of the answer back. */
+/** Forwards each request to one engine and each chunk of the response back. */
 export class BareRelay {
   private readonly engine: string
   private readonly agent = new Agent({ connections: 4096, pipelining: 1 })
@@ -21,13 +21,13 @@
     })
   }
 
-  /** @returns the URL */
+  /** @returns the URL at which the relay listens */
   async listen (): Promise<string> {
     await new Promise<void>((resolve) => { this.server.listen(0, '127.0.0.1', resolve) })
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Ends all connections. */
+  /** Closes the server and all connections. */
   async close (): Promise<void> {
     this.server.closeAllConnections()
     await new Promise((resolve) => { this.server.close(resolve) })
@@ -42,14 +42,14 @@
     }
     const chunks: Buffer[] = []
     for await (const chunk of incoming) chunks.push(chunk as Buffer)
-    const answer = await request(this.engine + (incoming.url ?? ''), {
+    const response = await request(this.engine + (incoming.url ?? ''), {
       method: 'POST',
       dispatcher: this.agent,
       headers: { 'content-type': 'application/json' },
       body: Buffer.concat(chunks)
     })
-    outgoing.writeHead(answer.statusCode, { 'content-type': 'text/event-stream' })
-    for await (const chunk of answer.body) outgoing.write(chunk)
+    outgoing.writeHead(response.statusCode, { 'content-type': 'text/event-stream' })
+    for await (const chunk of response.body) outgoing.write(chunk)
     outgoing.end()
   }
 }
--- a/packages/load/src/bench/path/bench-deployment.ts
+++ b/packages/load/src/bench/path/bench-deployment.ts
@@ -1,4 +1,4 @@
-/** What the path bench runs against: a platform, engines and one entry instance. */
+/** Deployment that the path bench measures: a platform, engines and one entry instance. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { createRequire } from 'node:module'
 import { tmpdir } from 'node:os'
@@ -13,14 +13,14 @@
 import { USAGE_PATH } from './bare-relay.js'
 import { BASE_MODEL, BATCH_CAPACITY, benchSettings, ENGINE_SLOTS } from './bench-settings.js'
 
-/** Processor time and memory of the entry process. */
+/** Processor time and memory that a process has used. */
 export interface ProcessUsage {
   readonly at: number
   readonly processorMicroseconds: number
   readonly residentBytes: number
 }
 
-/** How large the deployment is. */
+/** Size of the deployment. */
 export interface BenchSize {
   readonly engines: number
   readonly adapters: number
@@ -38,7 +38,7 @@
   process: z.object({ cpuUserMicroseconds: z.number(), cpuSystemMicroseconds: z.number(), residentBytes: z.number() })
 })
 
-/** The processes of one bench; {@link BenchDeployment.stop} ends them all. */
+/** The processes of one bench run; {@link BenchDeployment.stop} ends all of them. */
 export class BenchDeployment {
   readonly callerKey = makeKey()
   caller = ''
@@ -48,7 +48,12 @@
   private admin = ''
   private folder: string | undefined
 
-  /** @returns nothing, or the first failure */
+  /**
+   * Starts all processes.
+   *
+   * @param size - number of engines and configured adapters
+   * @returns nothing, or the first failure
+   */
   async start (size: BenchSize): Promise<Result<void, LimpetwinchError>> {
     const platform = await this.launch('platform', '@limpetwinch/stand-ins', 'limpetwinch-stand-in-platform', ['--list-lag', '0', '--loads-per-second', '100'], listeningLine)
     if (platform.isErr()) return err(platform.error)
@@ -59,7 +64,7 @@
     return await this.startEntry(url)
   }
 
-  /** @returns what the entry process has used so far, read from its own status */
+  /** @returns the processor time and memory that the entry process has used so far, read from its status */
   async usage (): Promise<ProcessUsage> {
     const answer = await request(`${this.admin}/admin/status`, { headers: { authorization: `Bearer ${this.administratorKey.key}` } })
     const { process: used } = statusSchema.parse(await answer.body.json())
@@ -71,9 +76,9 @@
   }
 
   /**
-   * Starts a relay that only passes bytes on to the first engine.
+   * Starts a relay process that only forwards bytes to and from the first engine.
    *
-   * @returns its URL and usage
+   * @returns the URL of the relay and a function that reads its processor time
    */
   async startRelay (): Promise<Result<{ url: string, usage: () => Promise<Pick<ProcessUsage, 'at' | 'processorMicroseconds'>> }, LimpetwinchError>> {
     const relay = await this.launch('relay', '@limpetwinch/load', 'limpetwinch-load', ['bench', 'relay', '--engine', this.engines[0] ?? ''], listeningLine)
--- a/packages/load/src/bench/path/bench-settings.ts
+++ b/packages/load/src/bench/path/bench-settings.ts
@@ -1,24 +1,24 @@
 /** Operator settings of the path bench. */
 import type { DevelopmentKey, SettingsFile } from '@limpetwinch/stand-ins'
 
-/** The one base model. */
+/** The base model of all engines and adapters. */
 export const BASE_MODEL = 'base-1'
-/** Slots of each engine. */
+/** Adapter slots of each engine. */
 export const ENGINE_SLOTS = 8
-/** Sequences in a step of each engine: so many that the engines do not bound the rate. */
+/** Maximum sequences in a step of each engine, high enough that the engines do not limit the rate. */
 export const BATCH_CAPACITY = 1024
-/** Models that the load asks for. */
+/** Models that the load requests. */
 export const LOADED_MODELS: readonly string[] = ['team-0/adapter-0@1', 'team-0/adapter-1@1', 'team-0/adapter-2@1', 'team-0/adapter-3@1']
 
-/** A team's object must stay below the store's megabyte. */
+/** Maximum adapters per team: the object store limits the settings of a team to one megabyte. */
 const ADAPTERS_PER_TEAM = 1000
 const NO_LIMIT = 1_000_000_000
 
 /**
- * @param key - the callers' key of all teams
- * @param adapters - how many in all
- * @param engines - URLs
- * @returns the settings by path
+ * @param key - API key of the callers, the same for all teams
+ * @param adapters - total number of adapters
+ * @param engines - URLs of the engines
+ * @returns the settings files
  */
 export function benchSettings (key: DevelopmentKey, adapters: number, engines: readonly string[]): SettingsFile[] {
   const teams = Math.ceil(adapters / ADAPTERS_PER_TEAM)
--- a/packages/load/src/bench/path/load-workers.ts
+++ b/packages/load/src/bench/path/load-workers.ts
@@ -1,4 +1,4 @@
-/** Load from processes of their own, so that the load does not share a processor with what is measured. */
+/** Load from separate worker processes, so that the load does not use processor time of the measured process. */
 import { fileURLToPath } from 'node:url'
 import { LaunchedProcess } from '@limpetwinch/stand-ins'
 import { err, ok, Result } from 'neverthrow'
@@ -6,13 +6,14 @@
 import type { WorkerResult, WorkerSpec } from './worker-spec.js'
 
 const BINARY = fileURLToPath(new URL('../../bin/limpetwinch-load.js', import.meta.url))
+/** Time beyond the duration of the load in which a worker must print its result. */
 const START_AND_STOP_ALLOWANCE_MILLISECONDS = 60_000
 
 /**
- * Runs workers side by side.
+ * Runs workers concurrently.
  *
- * @param specs - the work of each
- * @returns what each measured, or the first failure
+ * @param specs - specification of each worker
+ * @returns the result of each worker, or the first failure
  */
 export async function runWorkers (specs: readonly WorkerSpec[]): Promise<Result<WorkerResult[], LimpetwinchError>> {
   const results = await Promise.all(specs.map((spec, index) => runOne(spec, `load worker ${index + 1}`)))
--- a/packages/load/src/bench/path/machine.ts
+++ b/packages/load/src/bench/path/machine.ts
@@ -1,23 +1,23 @@
-/** What the machine itself costs, without which processor figures of two machines can't be compared. */
+/** Description of the machine and its socket cost, which are needed to compare processor figures between machines. */
 import { createServer, connect } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { availableParallelism, loadavg } from 'node:os'
 import { setImmediate as turn } from 'node:timers/promises'
 
-/** The machine at the time of a bench. */
+/** Properties of the machine at the start of a bench. */
 export interface Machine {
   readonly processors: number
   readonly node: string
-  /** Over one minute before the bench. */
+  /** Load average of the minute before the bench. */
   readonly loadAverage: number
-  /** Processor microseconds of one small write to a loopback socket and its read, both in one process. */
+  /** Processor time of one small write to a loopback socket and its read, both in one process, microseconds. */
   readonly socketMicroseconds: number
 }
 
 const WRITES = 20_000
 const TOKEN_EVENT_BYTES = 200
 
-/** @returns the machine, measured in this process */
+/** @returns the properties of the machine, measured in this process */
 export async function describeMachine (): Promise<Machine> {
   const loadAverage = loadavg()[0] ?? 0
   return { processors: availableParallelism(), node: process.version, loadAverage, socketMicroseconds: await measureSocket() }
--- a/packages/load/src/bench/path/memory-phase.ts
+++ b/packages/load/src/bench/path/memory-phase.ts
@@ -1,4 +1,4 @@
-/** Memory of an instance by the number of configured adapters. */
+/** Measures the memory of an instance by the number of configured adapters. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
@@ -12,7 +12,7 @@
 const READINGS = 5
 const READING_INTERVAL_MILLISECONDS = 500
 
-/** @returns resident memory of a fresh instance at each size, and the slope */
+/** @returns the resident memory of a new instance for each number of adapters, and the bytes per adapter */
 export async function measureMemory (): Promise<Result<MemorySlope, LimpetwinchError>> {
   const points: { adapters: number, residentBytes: number }[] = []
   for (const adapters of ADAPTER_COUNTS) {
--- a/packages/load/src/bench/path/path-phases.ts
+++ b/packages/load/src/bench/path/path-phases.ts
@@ -1,4 +1,4 @@
-/** The phases of the path bench that put load on one instance. */
+/** The phases of the path bench that send load to one instance. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
@@ -11,19 +11,19 @@
 import type { FirstTokenComparison, HighestRate, ProcessorCost, ProcessorPhase } from './path-report.js'
 import type { WorkerResult, WorkerSpec } from './worker-spec.js'
 
-/** How much load, for how long. */
+/** Amount and duration of the load. */
 export interface PhaseOptions {
   readonly seconds: number
   readonly workers: number
   readonly outputTokens: number
 }
 
-/** Tells how much processor time a process has used. */
+/** Reads the processor time that a process has used. */
 type ReadUsage = () => Promise<{ readonly at: number, readonly processorMicroseconds: number }>
 
 interface MeasuredLoad {
   readonly results: readonly WorkerResult[]
-  /** Processor microseconds of the measured process in each second of wall time. */
+  /** Processor microseconds of the measured process per second of wall time. */
   readonly microsecondsPerSecond: number
   readonly seconds: number
 }
@@ -31,35 +31,36 @@
 const SEED = 1
 const PROMPT_TOKENS = 64
 const CALLERS = 128
-/** The compiler takes so long to see the whole path: figures of a young process are several times worse. */
+/** Duration of the warm-up: until the JIT compiler has optimised the whole path, figures are several times worse. */
 const WARM_UP_SECONDS = 8
 const IDLE_SECONDS = 3
-/** Answers of the second phase are so many times longer, and as many times fewer. */
+/** Factor by which responses of the second phase are longer and requests fewer. */
 const LONG_ANSWER_FACTOR = 8
+/** Rate of the direct requests to the engines as a share of the rate through the instance. */
 const STRAIGHT_RATE_SHARE = 0.5
 const MICROSECONDS_PER_SECOND = 1_000_000
 
-/** Runs phases against a started deployment. */
+/** Runs the phases against a started deployment. */
 export class PathPhases {
   private readonly deployment: BenchDeployment
   private readonly options: PhaseOptions
 
   /**
-   * @param deployment - started
-   * @param options - how much load
+   * @param deployment - a started deployment
+   * @param options - amount and duration of the load
    */
   constructor (deployment: BenchDeployment, options: PhaseOptions) {
     this.deployment = deployment
     this.options = options
   }
 
-  /** Loads the adapters and lets the compiler see the path. */
+  /** Loads the adapters and lets the JIT compiler optimise the path. */
   async warmUp (): Promise<Result<void, LimpetwinchError>> {
     const spec = this.spec({ mode: 'closed', callers: CALLERS }, this.options.outputTokens, WARM_UP_SECONDS)
     return (await runWorkers([spec])).map(() => undefined)
   }
 
-  /** @returns the rate at which as many callers as wish can be served */
+  /** @returns the rate that the instance reaches under a closed loop of many callers */
   async highestRate (): Promise<Result<HighestRate, LimpetwinchError>> {
     const { workers, outputTokens } = this.options
     const specs = Array.from({ length: workers }, (_, index) => ({
@@ -77,13 +78,13 @@
     })
   }
 
-  /** @returns first tokens both ways, and the processor phase that this load makes */
+  /** @returns the times to the first token through the instance and directly, and the processor phase of this load */
   async firstToken (requestsPerSecond: number): Promise<Result<{ comparison: FirstTokenComparison, phase: ProcessorPhase }, LimpetwinchError>> {
     const load = { mode: 'open' as const, throughRate: requestsPerSecond, straightRate: requestsPerSecond * STRAIGHT_RATE_SHARE }
     return (await this.measure([this.spec(load, this.options.outputTokens)])).map((measured) => {
       const through = measured.results.map((result) => result.through)
       const [first] = measured.results
-      if (first === undefined) throw new Error('a worker gave no result')
+      if (first === undefined) throw new Error('The load worker returned no result.')
       const { through: limpetwinch, straight } = first
       return {
         phase: phaseOf(measured),
@@ -103,8 +104,8 @@
   }
 
   /**
-   * @param many - the phase of many short answers
-   * @returns processor time for a request and for a token
+   * @param many - the phase with many short responses
+   * @returns the processor time per request and per token
    */
   async processorCost (many: ProcessorPhase): Promise<Result<ProcessorCost, LimpetwinchError>> {
     const idleMicrosecondsPerSecond = await this.idleMicrosecondsPerSecond()
@@ -116,11 +117,11 @@
   }
 
   /**
-   * Puts the same load on a relay that only passes bytes on.
+   * Sends the same load to a relay that only forwards bytes.
    *
    * @param relay - a started relay
-   * @param many - the phase of many short answers that limpetwinch had
-   * @returns its processor time for a request and for a token
+   * @param many - the phase with many short responses through limpetwinch
+   * @returns the processor time of the relay per request and per token
    */
   async relayCost (relay: { readonly url: string, readonly usage: ReadUsage }, many: ProcessorPhase): Promise<Result<ProcessorCost, LimpetwinchError>> {
     const { outputTokens } = this.options
@@ -129,9 +130,9 @@
     if (warmed.isErr()) return err(warmed.error)
     const idleMicrosecondsPerSecond = await this.idleMicrosecondsPerSecond(relay.usage)
     const phases: ProcessorPhase[] = []
-    for (const longer of [1, LONG_ANSWER_FACTOR]) {
-      const load = { mode: 'open' as const, throughRate: 0, straightRate: many.requestsPerSecond / longer }
-      const measured = await this.measure([{ ...this.spec(load, outputTokens * longer), engines: [relay.url] }], relay.usage)
+    for (const factor of [1, LONG_ANSWER_FACTOR]) {
+      const load = { mode: 'open' as const, throughRate: 0, straightRate: many.requestsPerSecond / factor }
+      const measured = await this.measure([{ ...this.spec(load, outputTokens * factor), engines: [relay.url] }], relay.usage)
       if (measured.isErr()) return err(measured.error)
       phases.push(phaseOf(measured.value, 'straight'))
     }
@@ -152,7 +153,7 @@
     const before = await usage()
     const results = await runWorkers(specs)
     const after = await usage()
-    // Workers take a moment to start, in which the process is idle; the load itself runs for the seconds told.
+    // The measured process is idle while workers start, so its time is divided by the duration of the load only.
     const processor = after.processorMicroseconds - before.processorMicroseconds
     return results.map((all) => ({ results: all, microsecondsPerSecond: processor / this.options.seconds, seconds: this.options.seconds }))
   }
@@ -172,8 +173,8 @@
   }
 }
 
-function phaseOf ({ results, microsecondsPerSecond, seconds }: MeasuredLoad, way: keyof WorkerResult = 'through'): ProcessorPhase {
-  const summaries = results.map((result) => result[way])
+function phaseOf ({ results, microsecondsPerSecond, seconds }: MeasuredLoad, path: keyof WorkerResult = 'through'): ProcessorPhase {
+  const summaries = results.map((result) => result[path])
   return {
     requestsPerSecond: sum(summaries, (summary) => summary.requests) / seconds,
     tokensPerSecond: sum(summaries, (summary) => summary.tokens) / seconds,
--- a/packages/load/src/bench/path/path-report.ts
+++ b/packages/load/src/bench/path/path-report.ts
@@ -1,29 +1,29 @@
-/** What the path bench prints. */
+/** Report of the path bench and the calculations behind it. */
 import type { TimeSummary } from '../../driving/load-metrics.js'
 import type { Machine } from './machine.js'
 
-/** The highest rate of one instance. */
+/** Highest request rate of one instance. */
 export interface HighestRate {
   readonly requestsPerSecond: number
   readonly tokensPerSecond: number
-  /** Processor time of the entry process over wall time; about 1 when it, and not the load, was the bound. */
+  /** Processor time of the entry process divided by wall time; about 1 when the entry process, and not the load tool, limited the rate. */
   readonly entryProcessorShare: number
   readonly failed: number
 }
 
-/** First tokens through limpetwinch against straight to the engines, at the same time. */
+/** Time to the first token through limpetwinch, compared with concurrent direct requests to the engines. */
 export interface FirstTokenComparison {
   readonly requestsPerSecond: number
   readonly through: TimeSummary
   readonly straight: TimeSummary
-  /** Milliseconds added. */
+  /** Milliseconds that limpetwinch adds. */
   readonly added: { readonly p50: number, readonly p99: number }
-  /** By how much the load tool sent late, milliseconds at p99; both ways suffer from it alike. */
+  /** Delay of the load tool in sending requests, p99, milliseconds; it affects both kinds of requests equally. */
   readonly latenessP99: number
   readonly failed: number
 }
 
-/** Processor time of one process. */
+/** Processor time of one process per request and per token. */
 export interface ProcessorCost {
   readonly microsecondsPerRequest: number
   readonly microsecondsPerToken: number
@@ -31,21 +31,21 @@
   readonly phases: readonly ProcessorPhase[]
 }
 
-/** One phase from which the cost is computed. */
+/** One phase of load from which the cost is computed. */
 export interface ProcessorPhase {
   readonly requestsPerSecond: number
   readonly tokensPerSecond: number
-  /** Processor microseconds in each second of wall time. */
+  /** Processor microseconds per second of wall time. */
   readonly microsecondsPerSecond: number
 }
 
-/** Memory of the entry process by configured adapters. */
+/** Memory of the entry process by number of configured adapters. */
 export interface MemorySlope {
   readonly points: readonly { readonly adapters: number, readonly residentBytes: number }[]
   readonly bytesPerAdapter: number
 }
 
-/** Whether a figure is within its aim. */
+/** Comparison of a figure with its target value. */
 export interface AimCheck {
   readonly figure: string
   readonly measured: number
@@ -53,14 +53,14 @@
   readonly met: boolean
 }
 
-/** The whole document. */
+/** The complete report. */
 export interface PathReport {
   readonly machine: Machine
   readonly outputTokens: number
   readonly highestRate: HighestRate
   readonly firstToken: FirstTokenComparison
   readonly processor: ProcessorCost
-  /** The same of a relay that only passes bytes on, under the same load in the same run: the machine's own share. */
+  /** Cost of a relay that only forwards bytes, under the same load in the same run: the share that is due to the machine. */
   readonly bareRelay: ProcessorCost
   readonly memory: MemorySlope | undefined
   readonly aims: readonly AimCheck[]
@@ -68,7 +68,7 @@
 
 const AIMS = { addedP50: 1, addedP99: 3, microsecondsPerToken: 15, bytesPerAdapter: 800 }
 
-/** @returns each figure against its aim */
+/** @returns the comparison of each figure with its target value */
 export function checkAims (firstToken: FirstTokenComparison, processor: ProcessorCost, memory: MemorySlope | undefined): AimCheck[] {
   return [
     check('first token added at p50, ms', firstToken.added.p50, AIMS.addedP50),
@@ -83,12 +83,12 @@
 }
 
 /**
- * Solves for the cost of one request and of one token from two phases with the same tokens in a second.
+ * Computes the cost of one request and of one token from two phases with about the same number of tokens per second.
  *
- * @param many - many short answers
- * @param few - few long answers
- * @param idle - processor microseconds in a second without load
- * @returns microseconds
+ * @param many - phase with many short responses
+ * @param few - phase with few long responses
+ * @param idle - processor microseconds per second without load
+ * @returns the processor microseconds per request and per token
  */
 export function solveCost (many: ProcessorPhase, few: ProcessorPhase, idle: number): { microsecondsPerRequest: number, microsecondsPerToken: number } {
   // Two equations: microseconds = idle + requests * perRequest + tokens * perToken.
@@ -101,11 +101,11 @@
   }
 }
 
-/** @returns the slope of a straight line through points, by least squares */
+/** @returns the slope of the least-squares line through the points */
 export function slopeOf (points: readonly { readonly x: number, readonly y: number }[]): number {
   const meanX = points.reduce((sum, point) => sum + point.x, 0) / points.length
   const meanY = points.reduce((sum, point) => sum + point.y, 0) / points.length
-  const shared = points.reduce((sum, { x, y }) => sum + (x - meanX) * (y - meanY), 0)
-  const spread = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0)
-  return shared / spread
+  const covariance = points.reduce((sum, { x, y }) => sum + (x - meanX) * (y - meanY), 0)
+  const variance = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0)
+  return covariance / variance
 }
--- a/packages/load/src/bench/path/worker-spec.ts
+++ b/packages/load/src/bench/path/worker-spec.ts
@@ -1,8 +1,8 @@
-/** What a load worker is told, and what it answers. */
+/** Specification and result of a load worker process. */
 import { z } from 'zod'
 import type { MetricsSummary } from '../../driving/load-metrics.js'
 
-/** The work of one process. */
+/** Schema of the specification of one worker. */
 export const workerSpecSchema = z.object({
   entry: z.string(),
   key: z.string(),
@@ -13,17 +13,17 @@
   promptTokens: z.int().positive(),
   outputTokens: z.int().positive(),
   load: z.discriminatedUnion('mode', [
-    /** So many callers, each sending its next request after its last. */
+    /** A number of callers; each sends its next request when its previous one has ended. */
     z.object({ mode: z.literal('closed'), callers: z.int().positive() }),
-    /** Requests a second through the instance and straight to the engines, both at once. */
+    /** Requests per second through the instance and directly to the engines, concurrently. */
     z.object({ mode: z.literal('open'), throughRate: z.number().min(0), straightRate: z.number().min(0) })
   ])
 })
 
-/** The work of one process. */
+/** Specification of one worker. */
 export type WorkerSpec = z.infer<typeof workerSpecSchema>
 
-/** What it measured. */
+/** Measurements of one worker: through the instance, and directly at the engines. */
 export interface WorkerResult {
   readonly through: MetricsSummary
   readonly straight: MetricsSummary
--- a/packages/load/test/bench/bare-relay.test.ts
+++ b/packages/load/test/bench/bare-relay.test.ts
@@ -4,7 +4,7 @@
 import { runWorker } from '../../src/bench/path/run-worker.js'
 
 describe('bare relay', () => {
-  it('passes whole answers on, as a worker sees them, and tells its usage', async () => {
+  it('forwards complete responses to a load worker and reports its processor time', async () => {
     const engine = new StandInEngine({ stepMilliseconds: 1 })
     const relay = new BareRelay(await engine.listen())
     const url = await relay.listen()
--- a/packages/load/test/bench/path-report.test.ts
+++ b/packages/load/test/bench/path-report.test.ts
@@ -3,7 +3,7 @@
 import { slopeOf, solveCost } from '../../src/bench/path/path-report.js'
 
 describe('figures of the path bench', () => {
-  it('finds the cost of a request and of a token again', () => {
+  it('recovers the cost of a request and of a token', () => {
     const phase = (requestsPerSecond: number, tokensPerSecond: number): Parameters<typeof solveCost>[0] =>
       ({ requestsPerSecond, tokensPerSecond, microsecondsPerSecond: 5_000 + requestsPerSecond * 300 + tokensPerSecond * 12 })
     const cost = solveCost(phase(200, 3_200), phase(23, 2_900), 5_000)
@@ -11,11 +11,11 @@
     expect(cost.microsecondsPerToken).toBeCloseTo(12)
   })
 
-  it('finds the slope of a line again', () => {
+  it('recovers the slope of a line', () => {
     expect(slopeOf([{ x: 3, y: 100 + 3 * 7 }, { x: 70, y: 100 + 70 * 7 }, { x: 140, y: 100 + 140 * 7 }])).toBeCloseTo(7)
   })
 
-  it('configures as many adapters as asked for, each object below a megabyte', () => {
+  it('configures the requested number of adapters, each settings object below a megabyte', () => {
     const files = benchSettings({ key: 'k', sha256: '0'.repeat(64) }, 2_500, ['http://127.0.0.1:1'])
     const teams = files.filter((file) => file.path.startsWith('/teams/'))
     const counts = teams.map((file) => Object.keys((JSON.parse(file.text) as { adapters: object }).adapters).length)
