--- a/packages/load/src/driving/closed-loop.ts
+++ b/packages/load/src/driving/closed-loop.ts
@@ -1,20 +1,22 @@
-/** Closed-loop load: so many callers, each sending its next request when its last one has ended; finds the highest rate. */
+/** Closed-loop load: each of a number of callers sends its next request when its previous one has ended, which finds the highest rate. */
 import type { LoadTarget } from '../targets/load-target.js'
 import type { TraceLine } from '../trace/trace.js'
 import { requestOf } from './open-loop.js'
 import type { RequestDriver } from './request-driver.js'
 
-/** What the callers do. */
+/** Callers, duration and requests of a closed loop. */
 export interface ClosedLoop {
   readonly callers: number
   readonly seconds: number
-  /** Drawn from in turn. */
+  /** Requests that the callers take in turn, repeatedly. */
   readonly lines: readonly TraceLine[]
 }
 
 /**
- * @param loop - callers, time, requests
- * @param target - where to
+ * Runs closed-loop load until its duration has passed and all requests have ended.
+ *
+ * @param loop - callers, duration and requests
+ * @param target - where the requests are sent
  * @param driver - sends each request
  */
 export async function runClosedLoop (loop: ClosedLoop, target: LoadTarget, driver: RequestDriver): Promise<void> {
--- a/packages/load/src/driving/load-metrics.ts
+++ b/packages/load/src/driving/load-metrics.ts
@@ -1,9 +1,9 @@
-/** What the load tool measures: times as histograms, outcomes as counts. */
+/** Metrics of the load tool: times as histograms, outcomes as counts. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import type { LoadEnd } from '../targets/load-target.js'
 
-/** Times of one kind, milliseconds. */
+/** Count and percentiles of one kind of time, milliseconds. */
 export interface TimeSummary {
   readonly count: number
   readonly p50: number
@@ -12,14 +12,14 @@
   readonly maximum: number
 }
 
-/** The figures of a run. */
+/** Figures of a run. */
 export interface MetricsSummary {
   readonly requests: number
   readonly outcomes: Readonly<Record<string, number>>
-  /** Failures by their code. */
+  /** Number of failures by code. */
   readonly codes: Readonly<Record<string, number>>
   readonly tokens: number
-  /** By how much requests were sent later than the trace said: above a few milliseconds the load tool itself is short of time. */
+  /** Delay between the time of a request in the trace and its sending; more than a few milliseconds mean that the load tool is overloaded. */
   readonly lateness: TimeSummary
   readonly firstToken: TimeSummary
   readonly betweenTokens: TimeSummary
@@ -40,19 +40,19 @@
   private readonly betweenTokens = histogram()
   private readonly whole = histogram()
 
-  /** Notes by how much a request was sent late, milliseconds. */
-  sent (late: number): void {
+  /** Records a sent request with its delay after the due time, milliseconds. */
+  sent (delay: number): void {
     this.requests += 1
-    record(this.lateness, late)
+    record(this.lateness, delay)
   }
 
-  /** Notes a token: the first one with the time since its request was due, others with the time since the one before. */
+  /** Records a token with the time since the request was due for the first token, and since the previous token for others, milliseconds. */
   token (first: boolean, milliseconds: number): void {
     this.tokens += 1
     record(first ? this.firstToken : this.betweenTokens, milliseconds)
   }
 
-  /** Notes an end, with the time since the request was due, milliseconds. */
+  /** Records the end of a request with the time since the request was due, milliseconds. */
   ended (end: LoadEnd, milliseconds: number): void {
     count(this.outcomes, end.outcome)
     if (end.outcome === 'answered') record(this.whole, milliseconds)
--- a/packages/load/src/driving/open-loop.ts
+++ b/packages/load/src/driving/open-loop.ts
@@ -1,4 +1,4 @@
-/** Open-loop load: each request is sent at its time, however the ones before it fare. */
+/** Open-loop load: each request is sent at its time, regardless of the progress of earlier requests. */
 import { randomUUID } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { LoadRequest, LoadTarget } from '../targets/load-target.js'
@@ -7,10 +7,10 @@
 import type { RequestDriver } from './request-driver.js'
 
 /**
- * Sends a trace.
+ * Sends the requests of a trace and waits until all have ended.
  *
- * @param trace - in the order of its times
- * @param targets - used in turn
+ * @param trace - trace lines in order of time
+ * @param targets - targets that receive the requests in turn
  * @param driver - sends each request
  */
 export async function runOpenLoop (trace: readonly TraceLine[], targets: readonly LoadTarget[], driver: RequestDriver): Promise<void> {
@@ -28,7 +28,7 @@
 
 const ANSWER_SEED = 1
 
-/** @returns the request of a trace line, under a new id */
+/** @returns the request of a trace line, with a new id */
 export function requestOf (line: TraceLine): LoadRequest {
   const id = randomUUID()
   return {
--- a/packages/load/src/driving/request-driver.ts
+++ b/packages/load/src/driving/request-driver.ts
@@ -1,46 +1,46 @@
-/** Sends single requests, and notes what the caller sees in measures and history. */
+/** Sends single requests and records what the caller sees in the metrics and the history. */
 import type { HistoryEvent } from '../history/index.js'
 import type { LoadRequest, LoadTarget } from '../targets/load-target.js'
 import type { LoadMetrics } from './load-metrics.js'
 
-/** Takes history events; undefined where no history is wanted. */
+/** Receives history events; undefined when no history is recorded. */
 export type HistorySink = ((event: HistoryEvent) => void) | undefined
 
-/** Drives requests at targets. */
+/** Sends requests to targets and records their progress. */
 export class RequestDriver {
-  private readonly measures: LoadMetrics
+  private readonly metrics: LoadMetrics
   private readonly history: HistorySink
 
   /**
-   * @param measures - where times and outcomes go
-   * @param history - where events go
+   * @param metrics - collects times and outcomes
+   * @param history - receives the events
    */
-  constructor (measures: LoadMetrics, history: HistorySink) {
-    this.measures = measures
+  constructor (metrics: LoadMetrics, history: HistorySink) {
+    this.metrics = metrics
     this.history = history
   }
 
   /**
-   * Sends one request and follows it to its end.
+   * Sends one request and records its progress until it ends.
    *
-   * @param target - where to
-   * @param request - what
-   * @param due - monotonic time at which it should have been sent; times count from there, so that a tool or a target
-   *   that falls behind can't hide it
+   * @param target - where the request is sent
+   * @param request - the request to send
+   * @param due - monotonic time at which the request should have been sent, milliseconds; times are measured from then on, so
+   *   that a delay of the load tool or of the target is included
    */
   async drive (target: LoadTarget, request: LoadRequest, due: number): Promise<void> {
-    this.measures.sent(performance.now() - due)
+    this.metrics.sent(performance.now() - due)
     this.recordSent(target, request)
     let tokens = 0
     let latest = due
     const end = await target.send(request, (text) => {
       const now = performance.now()
-      this.measures.token(tokens === 0, now - latest)
+      this.metrics.token(tokens === 0, now - latest)
       latest = now
       this.history?.({ event: 'request-part', at: Date.now(), request: request.id, position: tokens, text })
       tokens += 1
     })
-    this.measures.ended(end, performance.now() - due)
+    this.metrics.ended(end, performance.now() - due)
     this.history?.({ event: 'request-ended', at: Date.now(), request: request.id, ...end })
   }
 
--- a/packages/load/test/driving/driving.test.ts
+++ b/packages/load/test/driving/driving.test.ts
@@ -33,17 +33,17 @@
 }
 
 describe('open loop', () => {
-  // A target stalls. Callers in the world do not wait for one another, so the next requests are sent all the same; a
-  // tool that waited would send less during the stall and so hide it.
-  it('sends on while earlier requests stall, and writes what it saw', async () => {
+  // Guards against a load tool that waits for a stalled target before it sends the next request. Real callers do not
+  // wait for each other; a tool that waits sends less load during the stall and so hides the stall.
+  it('keeps sending while earlier requests stall, and records metrics and history', async () => {
     const target = new HeldTarget()
-    const measures = new LoadMetrics()
+    const metrics = new LoadMetrics()
     const events: HistoryEvent[] = []
-    const done = runOpenLoop([line(0), line(1), line(2, 'failing')], [target], new RequestDriver(measures, (event) => events.push(event)))
+    const done = runOpenLoop([line(0), line(1), line(2, 'failing')], [target], new RequestDriver(metrics, (event) => events.push(event)))
     await vi.waitFor(() => expect(target.release).toHaveLength(3))
     for (const release of target.release) release()
     await done
-    expect(measures.summary()).toMatchObject({
+    expect(metrics.summary()).toMatchObject({
       requests: 3, tokens: 6, outcomes: { answered: 2, unknown: 1 }, codes: { 'connection-lost': 1 }, firstToken: { count: 3 }, whole: { count: 2 }
     })
     const first = events.filter((event) => 'request' in event && 'request' in events[0]! && event.request === events[0].request)
@@ -55,14 +55,14 @@
     ])
   })
 
-  it('counts times from when a request was due', async () => {
+  it('measures times from the time at which a request was due', async () => {
     const target = new HeldTarget()
-    const measures = new LoadMetrics()
-    const driver = new RequestDriver(measures, undefined)
+    const metrics = new LoadMetrics()
+    const driver = new RequestDriver(metrics, undefined)
     const done = driver.drive(target, { id: 'r', team: 't', adapter: 'a', version: undefined, priorityClass: 'normal', prompt: '', maximumTokens: 2, seed: 1, idempotent: true, key: undefined }, performance.now() - 60_000)
     target.release[0]?.()
     await done
-    const { lateness, firstToken, whole } = measures.summary()
+    const { lateness, firstToken, whole } = metrics.summary()
     expect(Math.min(lateness.p50, firstToken.p50, whole.p50)).toBeGreaterThanOrEqual(59_900)
   })
 })
