--- a/packages/load/src/targets/engine-target.ts
+++ b/packages/load/src/targets/engine-target.ts
@@ -1,4 +1,4 @@
-/** Load sent straight to a stand-in engine, to compare with. */
+/** Target that sends load directly to a stand-in engine, for comparison. */
 import { Agent, request } from 'undici'
 import { readEvents } from './event-reader.js'
 import { CONNECTION_LOST, LoadTarget } from './load-target.js'
@@ -11,13 +11,13 @@
 
 const PRIORITY = 5
 
-/** One engine, asked for the base model: its adapter slots are its owner's to fill, and a step costs the same either way. */
+/** One engine. Requests use the base model, since only the owner of the engine loads adapters, and a step costs the same with or without an adapter. */
 export class EngineTarget extends LoadTarget {
   override readonly name: string
   private readonly url: string
   private readonly agent = new Agent({ connections: 4096, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
 
-  /** @param url - the engine's URL */
+  /** @param url - URL of the engine */
   constructor (url: string) {
     super()
     this.name = url
@@ -42,13 +42,13 @@
         await response.body.dump()
         return { outcome: 'not_run', code: `status-${response.statusCode}` }
       }
-      let whole = false
+      let complete = false
       await readEvents(response.body, (data) => {
         const event = JSON.parse(data) as EngineEvent
         if (event.text !== undefined) onText(event.text)
-        if (event.end !== undefined) whole = true
+        if (event.end !== undefined) complete = true
       })
-      return whole ? { outcome: 'answered' } : { outcome: 'unknown', code: CONNECTION_LOST }
+      return complete ? { outcome: 'answered' } : { outcome: 'unknown', code: CONNECTION_LOST }
     } catch {
       return { outcome: 'unknown', code: CONNECTION_LOST }
     }
--- a/packages/load/src/targets/entry-target.ts
+++ b/packages/load/src/targets/entry-target.ts
@@ -1,4 +1,4 @@
-/** Load sent through limpetwinch. */
+/** Target that sends load through limpetwinch. */
 import { Agent, request } from 'undici'
 import type { Dispatcher } from 'undici'
 import { z } from 'zod'
@@ -13,7 +13,7 @@
   readonly error?: unknown
 }
 
-/** One entry instance, asked for streamed text completions. */
+/** One entry instance, to which requests for streamed text completions are sent. */
 export class EntryTarget extends LoadTarget {
   override readonly name: string
   private readonly url: string
@@ -21,8 +21,8 @@
   private readonly agent = new Agent({ connections: 4096, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 })
 
   /**
-   * @param url - the instance's caller URL
-   * @param keyOf - a team's key
+   * @param url - caller URL of the instance
+   * @param keyOf - returns the API key of a team
    */
   constructor (url: string, keyOf: (team: string) => string) {
     super()
@@ -37,7 +37,7 @@
       if (response.statusCode !== 200) return failureOf(await response.body.text())
       return await this.read(response, onText)
     } catch (problem) {
-      return lost(problem)
+      return transportFailure(problem)
     }
   }
 
@@ -62,11 +62,11 @@
   }
 
   private async read (response: Dispatcher.ResponseData, onText: (text: string) => void): Promise<LoadEnd> {
-    let whole = false
+    let complete = false
     let failure: LoadEnd | undefined
     await readEvents(response.body, (data) => {
       if (data === '[DONE]') {
-        whole = true
+        complete = true
         return
       }
       const chunk = JSON.parse(data) as Chunk
@@ -75,8 +75,8 @@
       if (text !== '') onText(text)
     })
     if (failure !== undefined) return failure
-    // Without the end mark the answer is not whole, also when the connection ended in order.
-    if (!whole) return { outcome: 'unknown', code: CONNECTION_LOST }
+    // Without the end marker the response is truncated, even if the connection was closed normally.
+    if (!complete) return { outcome: 'unknown', code: CONNECTION_LOST }
     const { 'x-limpetwinch-team': team, 'x-limpetwinch-adapter': adapter, 'x-limpetwinch-version': version } = response.headers
     return { outcome: 'answered', adapter: `${String(team)}/${String(adapter)}`, version: String(version) }
   }
@@ -91,8 +91,8 @@
   }
 }
 
-function lost (problem: unknown): LoadEnd {
-  // Nothing can have run where no connection came to be.
+function transportFailure (problem: unknown): LoadEnd {
+  // No request can have run if no connection was established.
   if ((problem as { code?: string }).code === 'ECONNREFUSED') return { outcome: 'not_run', code: 'connection-refused' }
   return { outcome: 'unknown', code: CONNECTION_LOST }
 }
--- a/packages/load/src/targets/load-target.ts
+++ b/packages/load/src/targets/load-target.ts
@@ -1,51 +1,52 @@
-/** Where load is sent. */
+/** Targets of the load: the request, its result and the base class. */
 
 /** One request of the load. */
 export interface LoadRequest {
   readonly id: string
   readonly team: string
   readonly adapter: string
-  /** Undefined for the version current at admission. */
+  /** Version of the adapter; undefined for the version that is current at admission. */
   readonly version: string | undefined
   readonly priorityClass: string
   readonly prompt: string
   readonly maximumTokens: number
-  /** Always given, so that the checker can compute the answer anew. */
+  /** Seed of the generation, always set so that the history checker can compute the expected answer. */
   readonly seed: number
   readonly idempotent: boolean
-  /** The caller's own key of a request that may run once. */
+  /** Idempotency key of a request that may run at most once. */
   readonly key: string | undefined
 }
 
-/** What is known of a request in the end. */
+/** Outcome of a request as the caller knows it. */
 export type LoadOutcome = 'answered' | 'not_run' | 'unknown'
 
-/** How a request ended. */
+/** End of a request. */
 export interface LoadEnd {
   readonly outcome: LoadOutcome
   readonly code?: string
-  /** What the answer says it was made with: `team/adapter`, and the version. */
+  /** Adapter that the response names, as `team/adapter`. */
   readonly adapter?: string
+  /** Version of the adapter that the response names. */
   readonly version?: string
 }
 
-/** Code of a connection that ended without an outcome. */
+/** Code of a request whose connection ended before its outcome was known. */
 export const CONNECTION_LOST = 'connection-lost'
 
-/** A target that answers with a stream of texts. */
+/** A target that responds with a stream of texts. */
 export abstract class LoadTarget {
-  /** The name in histories. */
+  /** Name of the target in histories. */
   abstract readonly name: string
 
   /**
-   * Sends a request once; it is never repeated.
+   * Sends a request once, without retries.
    *
-   * @param request - what to send
-   * @param onText - gets each text as it comes
-   * @returns how it ended
+   * @param request - the request to send
+   * @param onText - called with each text when it arrives
+   * @returns how the request ended
    */
   abstract send (request: LoadRequest, onText: (text: string) => void): Promise<LoadEnd>
 
-  /** Closes the connections. */
+  /** Closes all connections of the target. */
   abstract close (): Promise<void>
 }
--- a/packages/load/test/targets/targets.test.ts
+++ b/packages/load/test/targets/targets.test.ts
@@ -22,7 +22,7 @@
 }
 const SERVED = { 'x-limpetwinch-team': 'team', 'x-limpetwinch-adapter': 'poet', 'x-limpetwinch-version': '1' }
 
-async function entryThat (answers: RequestListener): Promise<EntryTarget> {
+async function entryTargetFor (answers: RequestListener): Promise<EntryTarget> {
   const server = createServer(answers)
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   const target = new EntryTarget(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, () => 'secret')
@@ -41,9 +41,9 @@
 }
 
 describe('load through limpetwinch', () => {
-  it('sends what the trace says and takes the answer up whole', async () => {
+  it('sends the fields of the trace and reads the complete response', async () => {
     let seen: unknown
-    const target = await entryThat((request, response) => {
+    const target = await entryTargetFor((request, response) => {
       let body = ''
       request.on('data', (chunk) => { body += chunk })
       request.on('end', () => {
@@ -58,21 +58,21 @@
     })
   })
 
-  it('takes a stream without its end mark for no answer', async () => {
-    const target = await entryThat((_, response) => { response.writeHead(200, SERVED).end('data: {"choices":[{"text":"a"}]}\n\n') })
+  it('reports an unknown outcome for a stream without its end marker', async () => {
+    const target = await entryTargetFor((_, response) => { response.writeHead(200, SERVED).end('data: {"choices":[{"text":"a"}]}\n\n') })
     expect((await send(target)).end).toEqual({ outcome: 'unknown', code: 'connection-lost' })
   })
 
-  it('takes outcome and code from an error, before and during a stream', async () => {
+  it('reads outcome and code of an error before and during a stream', async () => {
     const error = JSON.stringify({ error: { code: 'overloaded', outcome: 'not_run' } })
-    const refused = await entryThat((_, response) => { response.writeHead(503).end(error) })
+    const refused = await entryTargetFor((_, response) => { response.writeHead(503).end(error) })
     expect((await send(refused)).end).toEqual({ outcome: 'not_run', code: 'overloaded' })
-    const failing = await entryThat((_, response) => { response.writeHead(200, SERVED).end(`data: ${error.replace('not_run', 'unknown')}\n\n`) })
+    const failing = await entryTargetFor((_, response) => { response.writeHead(200, SERVED).end(`data: ${error.replace('not_run', 'unknown')}\n\n`) })
     expect((await send(failing)).end).toEqual({ outcome: 'unknown', code: 'overloaded' })
   })
 
-  it('tells a connection that never came to be from one that was lost', async () => {
-    const lost = await entryThat((request) => { request.socket.destroy() })
+  it('distinguishes a connection that was never established from a lost one', async () => {
+    const lost = await entryTargetFor((request) => { request.socket.destroy() })
     expect((await send(lost)).end).toEqual({ outcome: 'unknown', code: 'connection-lost' })
     const server = createServer()
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
@@ -84,8 +84,8 @@
   })
 })
 
-describe('load straight to the engine', () => {
-  it('takes the answer up whole, and a refusal as not run', async () => {
+describe('load sent directly to the engine', () => {
+  it('reads the complete response and reports a refusal as not run', async () => {
     const engine = new StandInEngine({ stepMilliseconds: 1 })
     const target = new EngineTarget(await engine.listen())
     onTestFinished(async () => {
@@ -99,7 +99,7 @@
 })
 
 describe('event reader', () => {
-  it('reads events cut anywhere, also inside a character', async () => {
+  it('reads events that are split at any byte, including inside a character', async () => {
     const bytes = Buffer.from('data: ẹ̀kọ́\n\n: comment\n\ndata: two\n\n')
     for (let cut = 0; cut <= bytes.length; cut += 1) {
       const seen: string[] = []
