--- a/packages/load/src/trace/prompt-text.ts
+++ b/packages/load/src/trace/prompt-text.ts
@@ -1,12 +1,12 @@
-/** Prompts of the load: alike at the start for one adapter, so that prefixes can be cached, and each unique at its end. */
+/** Generates prompts that share a prefix for each adapter, so that prefix caching applies, and have a unique end. */
 
 const CHARACTERS_PER_TOKEN = 4
 const FILLER = 'report of the meeting '
 
 /**
- * @param model - `team/adapter`, whose prompts start alike
- * @param id - makes the prompt unique
- * @param tokens - about so many tokens; the id may make it longer
+ * @param model - `team/adapter`, which determines the shared prefix
+ * @param id - unique end of the prompt
+ * @param tokens - approximate number of tokens; a long id can exceed it
  * @returns the prompt
  */
 export function promptText (model: string, id: string, tokens: number): string {
--- a/packages/load/src/trace/trace.ts
+++ b/packages/load/src/trace/trace.ts
@@ -1,4 +1,4 @@
-/** Traces: which request comes when. */
+/** Traces of the load tool: requests with their arrival times, read from a file or drawn from a seed. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { err, ok } from 'neverthrow'
@@ -17,15 +17,15 @@
   idempotent: z.boolean().default(true)
 })
 
-/** One line of a trace; the names are those of the file. */
+/** One line of a trace, with the field names of the file. */
 export type TraceLine = z.infer<typeof traceLineSchema>
 
-/** What a trace is drawn from. */
+/** Options of a trace that is drawn from a seed. */
 export interface TraceDrawOptions {
   readonly seed: number
   readonly requestsPerSecond: number
   readonly seconds: number
-  /** `team/adapter` or `team/adapter@version`, the most popular first. */
+  /** Models as `team/adapter` or `team/adapter@version`, the most popular first. */
   readonly models: readonly string[]
   /** Popularity of the model at rank r is 1 / r ** skew. */
   readonly skew: number
@@ -39,10 +39,10 @@
 const MILLISECONDS_PER_SECOND = 1000
 
 /**
- * Reads a trace.
+ * Reads a trace from a file.
  *
- * @param file - JSON lines
- * @returns its lines in the order of their times, or the first line that is none
+ * @param file - path of a file of JSON lines
+ * @returns the lines in order of time, or a message that names the first invalid line
  */
 export async function readTrace (file: string): Promise<Result<TraceLine[], string>> {
   const lines: TraceLine[] = []
@@ -57,7 +57,7 @@
   return ok(lines.sort((one, other) => one.at_ms - other.at_ms))
 }
 
-/** @returns the line, or why it is none */
+/** @returns the parsed line, or the reason why it is invalid */
 export function parseLine (text: string): Result<TraceLine, string> {
   let body: unknown
   try {
--- a/packages/load/test/trace/trace.test.ts
+++ b/packages/load/test/trace/trace.test.ts
@@ -17,12 +17,12 @@
 }
 
 describe('trace', () => {
-  it('is the same for the same seed and another for another', () => {
+  it('is identical for the same seed and different for another seed', () => {
     expect(drawTrace(DRAW)).toEqual(drawTrace(DRAW))
     expect(drawTrace({ ...DRAW, seed: 8 })).not.toEqual(drawTrace(DRAW))
   })
 
-  it('has the rate, the popularity and the share of requests at most once that were asked for', () => {
+  it('has the requested rate, popularity and share of requests that run at most once', () => {
     const lines = drawTrace(DRAW)
     const shareOf = (adapter: string): number => lines.filter((line) => line.adapter === adapter).length / lines.length
     expect(lines.length / 20).toBeCloseTo(100, -1)
@@ -32,7 +32,7 @@
     expect(lines.find((line) => line.adapter === 'middling')).not.toHaveProperty('version')
   })
 
-  it('goes forward in time within its length, whatever is drawn', () => {
+  it('is in order of time within its duration for any drawn options', () => {
     fc.assert(fc.property(fc.integer(), fc.integer({ min: 1, max: 200 }), (seed, requestsPerSecond) => {
       const times = drawTrace({ ...DRAW, seed, requestsPerSecond, seconds: 2 }).map((line) => line.at_ms)
       expect(times).toEqual([...times].sort((one, other) => one - other))
@@ -40,7 +40,7 @@
     }), { seed: 1, numRuns: 50 })
   })
 
-  it('reads its lines and refuses others', () => {
+  it('parses valid lines and rejects others', () => {
     const line = '{"at_ms": 5, "team": "a", "adapter": "b", "prompt_tokens": 3, "output_tokens": 2}'
     expect(parseLine(line)._unsafeUnwrap()).toMatchObject({ class: 'normal', idempotent: true })
     expect(parseLine('{').isErr()).toBe(true)
@@ -49,7 +49,7 @@
 })
 
 describe('prompts of the load', () => {
-  it('start alike for one adapter, end unique and have the tokens asked for', () => {
+  it('share a prefix for one adapter, end unique and have the requested length', () => {
     const one = promptText('a/b', 'id-1', 100)
     const other = promptText('a/b', 'id-2', 100)
     expect(one).toHaveLength(400)
