--- a/packages/load/src/bin/limpetwinch-load.ts
+++ b/packages/load/src/bin/limpetwinch-load.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The load and experiment tool. */
+/** Starts the command line interface of the load and experiment tool. */
 import { execute } from '@oclif/core'
 import { LimpetwinchError } from '@limpetwinch/core'
 
