--- a/packages/load/src/commands/bench/check.ts
+++ b/packages/load/src/commands/bench/check.ts
@@ -1,10 +1,10 @@
-/** `limpetwinch-load bench check`. */
+/** Command `limpetwinch-load bench check`. */
 import { Command } from '@oclif/core'
 import { POLICY_BOUNDS } from '../../policy/results/policy-bounds.js'
 import { checkPolicy } from '../../policy/results/policy-check.js'
 import type { CheckedBound } from '../../policy/results/policy-check.js'
 
-/** The document that `--json` prints. */
+/** Document that `bench check --json` prints. */
 export interface CheckDocument {
   readonly bench: 'check'
   readonly bounds: readonly CheckedBound[]
@@ -12,7 +12,7 @@
 
 /** Fails when a deterministic figure is worse than its committed bound. */
 export default class BenchCheck extends Command {
-  static override description = 'Compare counted figures with the committed bounds; exit 1 when one is worse.'
+  static override description = 'Compare the deterministic figures of the policies with the committed bounds; exits 1 when a figure is worse.'
   static override enableJsonFlag = true
 
   override async run (): Promise<CheckDocument> {
@@ -26,6 +26,6 @@
 
 function line (bound: CheckedBound): string {
   const over = bound.against === 'nothing' ? '' : ` over that of the ${bound.against}`
-  const verdict = bound.holds ? 'holds' : 'WORSE'
-  return `${verdict}  ${bound.trace}, ${bound.policy}: ${bound.figure}${over} ${bound.measured} (${bound.kind} ${bound.bound})`
+  const status = bound.holds ? 'holds' : 'WORSE'
+  return `${status}  ${bound.trace}, ${bound.policy}: ${bound.figure}${over} ${bound.measured} (${bound.kind} ${bound.bound})`
 }
--- a/packages/load/src/commands/bench/control.ts
+++ b/packages/load/src/commands/bench/control.ts
@@ -1,4 +1,4 @@
-/** `limpetwinch-load bench control`. */
+/** Command `limpetwinch-load bench control`. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { Command, Flags } from '@oclif/core'
 import { ControlDeployment } from '../../bench/control/control-deployment.js'
@@ -7,24 +7,25 @@
 import { describeMachine } from '../../bench/path/machine.js'
 import type { Machine } from '../../bench/path/machine.js'
 
-/** What was measured with one number of instances. */
+/** Measurements with one number of instances. */
 interface SizeFigures {
   readonly instances: number
   readonly rest: IdleFigures
-  /** Milliseconds; absent when it did not come to pass within a minute. */
+  /** Milliseconds until a paused instance was suspect for all others; undefined when this took more than a minute. */
   readonly silentPeer: number | undefined
+  /** Milliseconds until the endpoints of a killed owner were healthy under new owners; undefined after a minute or with one instance. */
   readonly killedOwner: number | undefined
 }
 
-/** Measures the control traffic between instances. */
+/** Measures the control traffic between instances and how soon failed instances are replaced. */
 export default class BenchControl extends Command {
-  static override description = 'Measure instances among themselves, with real processes: bytes, processor and store calls at rest, and how soon a silent or dead one is replaced.'
+  static override description = 'Measure the coordination of instances with real processes: bytes, processor time and store calls without requests, and the time until an unresponsive instance is suspected and a killed owner is replaced.'
   static override enableJsonFlag = true
   static override flags = {
     instances: Flags.string({ default: '2,4,8', description: 'numbers of instances, one deployment each' }),
     engines: Flags.integer({ default: 4, min: 1, description: 'engines of each deployment' }),
-    settle: Flags.integer({ default: 15, min: 0, description: 'seconds before the time at rest, in which owners are evened out' }),
-    seconds: Flags.integer({ default: 10, min: 2, description: 'how long the time at rest is' })
+    settle: Flags.integer({ default: 15, min: 0, description: 'seconds before the idle measurement, in which ownership of the engines is balanced' }),
+    seconds: Flags.integer({ default: 10, min: 2, description: 'duration of the idle measurement in seconds' })
   }
 
   override async run (): Promise<{ machine: Machine, engines: number, sizes: SizeFigures[] }> {
--- a/packages/load/src/commands/bench/path.ts
+++ b/packages/load/src/commands/bench/path.ts
@@ -1,4 +1,4 @@
-/** `limpetwinch-load bench path`. */
+/** Command `limpetwinch-load bench path`. */
 import { Command, Flags } from '@oclif/core'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
@@ -12,16 +12,16 @@
 const ENGINES = 2
 const ADAPTERS = 3_000
 
-/** Measures the request path. */
+/** Measures the request path of one entry instance. */
 export default class BenchPath extends Command {
-  static override description = 'Measure one instance against straight calls to the stand-in engines, in one run: first token, rate, processor, memory.'
+  static override description = 'Measure one instance in comparison with direct requests to the stand-in engines in the same run: time to first token, rate, processor time and memory.'
   static override enableJsonFlag = true
   static override flags = {
-    seconds: Flags.integer({ default: 8, min: 2, description: 'how long each phase takes' }),
-    workers: Flags.integer({ default: 2, min: 1, description: 'processes of load that look for the highest rate' }),
+    seconds: Flags.integer({ default: 8, min: 2, description: 'duration of each phase in seconds' }),
+    workers: Flags.integer({ default: 2, min: 1, description: 'load worker processes that measure the highest rate' }),
     'output-tokens': Flags.integer({ default: 16, min: 1, description: 'tokens of each answer' }),
-    memory: Flags.boolean({ default: true, allowNo: true, description: 'measure memory by adapters, which takes three more deployments' }),
-    check: Flags.boolean({ default: false, description: 'exit 1 when an aim is missed' })
+    memory: Flags.boolean({ default: true, allowNo: true, description: 'measure memory per configured adapter, which starts three more deployments' }),
+    check: Flags.boolean({ default: false, description: 'exit with code 1 when a figure misses its target' })
   }
 
   override async run (): Promise<PathReport> {
--- a/packages/load/src/commands/bench/policy.ts
+++ b/packages/load/src/commands/bench/policy.ts
@@ -1,4 +1,4 @@
-/** `limpetwinch-load bench policy`. */
+/** Command `limpetwinch-load bench policy`. */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { Command, Flags } from '@oclif/core'
@@ -12,30 +12,30 @@
 import { readTraceFile } from '../../policy/traces/trace-file.js'
 import type { Trace } from '../../policy/traces/trace.js'
 
-/** The document that `--json` prints. */
+/** Document that `bench policy --json` prints. */
 export interface PolicyBenchDocument {
   readonly bench: 'policy'
   readonly seed: number
   readonly runs: readonly RunReport[]
-  /** The clairvoyant reference of each trace, when asked for. */
+  /** The clairvoyant reference of each trace, when it was requested. */
   readonly optima?: Readonly<Record<string, ClairvoyantReference>>
 }
 
-/** Replays traces on small engines with the product's decision classes and with others. */
+/** Replays traces on simulated engines with the product's decision classes and with baselines. */
 export default class BenchPolicy extends Command {
-  static override description = 'Measure the decisions: replay traces on small engines on a fake clock.'
+  static override description = 'Measure the decision policies: replay traces on simulated engines with a simulated clock.'
   static override enableJsonFlag = true
   static override flags = {
-    seed: Flags.integer({ default: 1, description: 'Seed of the made traces.' }),
-    trace: Flags.string({ description: 'Replay this file of JSON lines instead of the made traces.' }),
+    seed: Flags.integer({ default: 1, description: 'Seed of the generated traces.' }),
+    trace: Flags.string({ description: 'Replay this file of JSON lines instead of the generated traces.' }),
     slots: Flags.integer({ default: DEFAULT_DEPLOYMENT_SIZE.slots, min: 1, description: 'Adapter slots of each engine.' }),
     engines: Flags.integer({ default: DEFAULT_DEPLOYMENT_SIZE.engines, min: 1, description: 'Number of engines.' }),
-    'loads-per-second': Flags.string({ default: String(DEFAULT_DEPLOYMENT_SIZE.loadsPerSecond), description: 'Loads a second, one at a time.' }),
-    seconds: Flags.integer({ default: DEFAULT_TRACE_SECONDS, min: 1, description: 'Length of the made traces.' }),
+    'loads-per-second': Flags.string({ default: String(DEFAULT_DEPLOYMENT_SIZE.loadsPerSecond), description: 'Loads per second; loads run one at a time.' }),
+    seconds: Flags.integer({ default: DEFAULT_TRACE_SECONDS, min: 1, description: 'Length of the generated traces in seconds.' }),
     optimum: Flags.boolean({ default: false, description: 'Add the clairvoyant reference of each trace.' }),
     markdown: Flags.string({ description: 'Write the page of figures and its plots into this folder.' }),
-    policies: Flags.string({ multiple: true, description: 'Run only policies whose name starts so.' }),
-    traces: Flags.string({ multiple: true, description: 'Run only made traces whose name starts so.' })
+    policies: Flags.string({ multiple: true, description: 'Run only policies whose name starts with this text; can be repeated.' }),
+    traces: Flags.string({ multiple: true, description: 'Run only traces whose name starts with this text; can be repeated.' })
   }
 
   override async run (): Promise<PolicyBenchDocument> {
@@ -71,12 +71,12 @@
   private traces (seed: number, size: Trace['size'], seconds: number, file: string | undefined): Trace[] {
     if (file === undefined) return generateTraces(seed, size, seconds)
     const trace = readTraceFile(file, size)
-    return [trace.match((read) => read, (failure) => this.error(failure.message, { exit: 2 }))]
+    return [trace.match((parsed) => parsed, (failure) => this.error(failure.message, { exit: 2 }))]
   }
 }
 
-function matchesAnyPrefix (starts: readonly string[] | undefined, name: string): boolean {
-  return starts === undefined || starts.some((start) => name.startsWith(start))
+function matchesAnyPrefix (prefixes: readonly string[] | undefined, name: string): boolean {
+  return prefixes === undefined || prefixes.some((prefix) => name.startsWith(prefix))
 }
 
 function line (report: RunReport): string {
--- a/packages/load/src/commands/check-history.ts
+++ b/packages/load/src/commands/check-history.ts
@@ -1,4 +1,4 @@
-/** `limpetwinch-load check-history`. */
+/** Command `limpetwinch-load check-history`. */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { Command, Flags } from '@oclif/core'
@@ -9,18 +9,18 @@
 
 const EXIT_DELAY_MILLISECONDS = 1_000
 
-/** Runs real parts under faults and checks their histories. */
+/** Runs deployments of real components under injected faults and checks their histories. */
 export default class CheckHistory extends Command {
-  static override description = 'Run deployments under faults and check their histories; exits 1 on a violation, which with --mutant is what should be, and 3 when a run came to no history.'
+  static override description = 'Run deployments under faults and check their histories; exits 1 on a violation, which is expected with --mutant, and 3 when a run produced no history.'
   static override enableJsonFlag = true
   static override flags = {
-    seed: Flags.integer({ default: 1, min: 1, description: 'everything chosen follows from it; with --runs 1 it is the seed of the run itself' }),
-    runs: Flags.integer({ default: 20, min: 1, description: 'how many histories' }),
-    concurrency: Flags.integer({ default: 4, min: 1, description: 'runs at a time' }),
-    mutant: Flags.string({ options: [...MUTANT_NAMES], description: 'put this wrong part into every instance, and stop when it is caught' }),
-    fault: Flags.string({ multiple: true, options: FAULTS.map((fault) => fault.kind), description: 'only faults of this kind; may be given again' }),
-    'no-faults': Flags.boolean({ description: 'let nothing go wrong' }),
-    keep: Flags.string({ description: 'folder for the histories, for limpetwinch-load check' })
+    seed: Flags.integer({ default: 1, min: 1, description: 'seed of all random choices; with --runs 1 it is the seed of the run itself' }),
+    runs: Flags.integer({ default: 20, min: 1, description: 'number of runs, each with one history' }),
+    concurrency: Flags.integer({ default: 4, min: 1, description: 'maximum concurrent runs' }),
+    mutant: Flags.string({ options: [...MUTANT_NAMES], description: 'inject this faulty component into every instance, and stop when a check detects it' }),
+    fault: Flags.string({ multiple: true, options: FAULTS.map((fault) => fault.kind), description: 'inject only faults of this kind; can be repeated' }),
+    'no-faults': Flags.boolean({ description: 'inject no faults' }),
+    keep: Flags.string({ description: 'folder to which the histories are written, as input of limpetwinch-load check' })
   }
 
   override async run (): Promise<CampaignReport> {
@@ -38,7 +38,7 @@
     this.print(report)
     if (flags.mutant !== undefined) this.log(`mutant ${flags.mutant}: ${caught(report, flags.mutant) ? 'caught' : 'not caught'}`)
     process.exitCode = exitCodeOf(report)
-    // Instances that were killed inside this process leave tasks that wait for engines which are gone.
+    // Instances that were killed inside this process leave pending tasks that wait for removed engines and would keep the process alive.
     setTimeout(() => process.exit(), EXIT_DELAY_MILLISECONDS).unref()
     return report
   }
@@ -55,7 +55,7 @@
   return report.failed.length > 0 ? 3 : 0
 }
 
-/** A mutant is caught by the check of the promise that it breaks; others that fall with it do not count. */
+/** A mutant counts as caught only if the check of the promise that it breaks reports a violation. */
 function caught (report: CampaignReport, mutant: string): boolean {
   return report.violations.some(({ promise }) => promise === promiseBrokenBy(mutant))
 }
--- a/packages/load/src/commands/check.ts
+++ b/packages/load/src/commands/check.ts
@@ -1,9 +1,9 @@
-/** `limpetwinch-load check`. */
+/** Command `limpetwinch-load check`. */
 import { Args, Command, Flags } from '@oclif/core'
 import { DEFAULT_BOUNDS, HistoryChecker, readHistoryFiles, standInAnswer } from '../history/index.js'
 import type { HistoryEvent, Violation } from '../history/index.js'
 
-/** What `check --json` prints. */
+/** Document that `check --json` prints. */
 export interface CheckReport {
   readonly events: number
   readonly requests: number
@@ -11,22 +11,22 @@
   readonly violations: readonly Violation[]
 }
 
-/** Checks recorded histories against every promise. */
+/** Checks recorded histories against all promises of the product. */
 export default class Check extends Command {
-  static override description = 'Check histories, written as JSON lines, against every promise; exits 1 on a violation and 2 on a line that is no event.'
+  static override description = 'Check histories, written as JSON lines, against every promise; exits 1 on a violation and 2 on an invalid line.'
   static override enableJsonFlag = true
   static override strict = false
   static override args = { file: Args.string({ required: true, description: 'history files, read as one history' }) }
   static override flags = {
-    'leaving-grace': Flags.integer({ default: DEFAULT_BOUNDS.leavingGrace, description: 'until when a leaving endpoint may receive new work, ms' }),
-    'settings-in-force': Flags.integer({ default: DEFAULT_BOUNDS.settingsInForce, description: 'how soon accepted settings are in force, ms' }),
-    fairness: Flags.integer({ default: DEFAULT_BOUNDS.fairness, description: 'most by which the weighed service of two backlogged teams differs, tokens' })
+    'leaving-grace': Flags.integer({ default: DEFAULT_BOUNDS.leavingGrace, description: 'time for which a leaving endpoint may still receive new work, ms' }),
+    'settings-in-force': Flags.integer({ default: DEFAULT_BOUNDS.settingsInForce, description: 'time within which accepted settings must be in force, ms' }),
+    fairness: Flags.integer({ default: DEFAULT_BOUNDS.fairness, description: 'maximum difference in weighted service between two backlogged teams, tokens' })
   }
 
   override async run (): Promise<CheckReport> {
     const { argv, flags } = await this.parse(Check)
     const events = (await readHistoryFiles(argv as string[])).match(
-      (read) => read,
+      (parsed) => parsed,
       ({ file, line, reason }) => this.error(`${file}:${line}: ${reason}. Write one event a line, by docs/reference/stand-in-protocols.md.`, { exit: 2 })
     )
     const checker = new HistoryChecker(standInAnswer, {
--- a/packages/load/src/commands/version.ts
+++ b/packages/load/src/commands/version.ts
@@ -1,7 +1,7 @@
-/** `limpetwinch-load version`. */
+/** Command `limpetwinch-load version`. */
 import { Command } from '@oclif/core'
 
-/** Prints the release. */
+/** Prints the release and the version of Node.js. */
 export default class Version extends Command {
   static override description = 'Print the release and the Node.js that runs it.'
   static override enableJsonFlag = true
