--- a/packages/load/src/policy/results/clairvoyant.ts
+++ b/packages/load/src/policy/results/clairvoyant.ts
@@ -68,7 +68,10 @@
       if (this.loading === undefined) loadEnds = Infinity
       else if (loadEnds <= now || loadEnds === Infinity) loadEnds = now + loadMilliseconds
     }
-    return { load_stall_ms: percentilesOf(this.stalls.filter((_, index) => (this.times[index] ?? 0) >= this.trace.measuredFromMilliseconds)), loads: this.loads }
+    return {
+      load_stall_ms: percentilesOf(this.stalls.filter((_, index) => (this.times[index] ?? 0) >= this.trace.measuredFromMilliseconds)),
+      loads: this.loads
+    }
   }
 
   private arrive (index: number): void {
--- a/packages/load/src/policy/traces/generated-traces.ts
+++ b/packages/load/src/policy/traces/generated-traces.ts
@@ -27,12 +27,12 @@
 /** Number of adapters; current deployments have about as many. */
 const ADAPTERS = 3_000
 const TEAMS = 30
-/** Share of each trace that is left out of the percentiles: engines start empty, and only the trace of cold restarts measures loading them. */
+/** Share of each trace that is left out of the percentiles, since all engines start empty; only the trace of cold restarts shows empty engines. */
 const WARM_UP_SHARE = 0.25
 /** Approximate output tokens that a simulated engine generates per second with a full batch. */
 const ENGINE_TOKENS_PER_SECOND = 500
 
-/** A long tail of rarely used adapters; 35% of the requests reuse one of the last 40 adapters. */
+/** A long tail of rarely used adapters that must still answer; 35% of the requests return to one of the last 40 adapters, as a panel does. */
 function panelSitting (options: TraceOptions): Trace {
   const random = new Random(options.seed, 'panel sitting')
   const adapters = generateAdapters(random, TEAMS, ADAPTERS)
@@ -76,7 +76,8 @@
     return own[ranks.draw(random)] as AdapterName
   }
   const requestsPerSecond = capacityRequestsPerSecond(options, DEFAULT_REQUEST_SHAPE) * 2
-  const trace = traceOf('deadline crowd', options, generateRequests({ random, seconds: options.seconds, requestsPerSecond, shape: DEFAULT_REQUEST_SHAPE, pick }))
+  const trace = traceOf('deadline crowd', options,
+    generateRequests({ random, seconds: options.seconds, requestsPerSecond, shape: DEFAULT_REQUEST_SHAPE, pick }))
   // Every fourth team has a higher weight; the demand of all teams is the same, so it stays backlogged too.
   const weights = new Map(Array.from({ length: teams }, (_, team) => [`team-${team}`, team % 4 === 0 ? 1.5 : 1]))
   return { ...trace, weights }
@@ -133,7 +134,8 @@
   const adapters = generateAdapters(random, TEAMS, ADAPTERS)
   const ranks = new ZipfRanks(ADAPTERS, 1.3)
   const pick = (): AdapterName => adapters[ranks.draw(random)] as AdapterName
-  const trace = traceOf('cold restarts', options, generateRequests({ random, seconds: options.seconds, requestsPerSecond: 20, shape: DEFAULT_REQUEST_SHAPE, pick }))
+  const trace = traceOf('cold restarts', options,
+    generateRequests({ random, seconds: options.seconds, requestsPerSecond: 20, shape: DEFAULT_REQUEST_SHAPE, pick }))
   const each = options.seconds * 1_000 * 0.75 / options.size.engines
   const restarts: TraceRestart[] = Array.from({ length: options.size.engines }, (_, engine) =>
     ({ engine, atMilliseconds: Math.round(options.seconds * 1_000 * 0.2 + engine * each) }))
