--- a/packages/load/src/bench/path/path-report.ts
+++ b/packages/load/src/bench/path/path-report.ts
@@ -105,7 +105,7 @@
 export function slopeOf (points: readonly { readonly x: number, readonly y: number }[]): number {
   const meanX = points.reduce((sum, point) => sum + point.x, 0) / points.length
   const meanY = points.reduce((sum, point) => sum + point.y, 0) / points.length
-  const covariance = points.reduce((sum, { x, y }) => sum + (x - meanX) * (y - meanY), 0)
-  const variance = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0)
-  return covariance / variance
+  const sumOfProducts = points.reduce((sum, { x, y }) => sum + (x - meanX) * (y - meanY), 0)
+  const sumOfSquares = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0)
+  return sumOfProducts / sumOfSquares
 }
