--- a/packages/load/src/targets/engine-target.ts
+++ b/packages/load/src/targets/engine-target.ts
@@ -24,17 +24,17 @@
     this.url = url
   }
 
-  override async send (asked: LoadRequest, onText: (text: string) => void): Promise<LoadEnd> {
+  override async send (loadRequest: LoadRequest, onText: (text: string) => void): Promise<LoadEnd> {
     try {
       const response = await request(`${this.url}/generate`, {
         method: 'POST',
         dispatcher: this.agent,
         headers: { 'content-type': 'application/json' },
         body: JSON.stringify({
-          requestId: asked.id,
-          prompt: asked.prompt,
-          maximumTokens: asked.maximumTokens,
-          seed: asked.seed,
+          requestId: loadRequest.id,
+          prompt: loadRequest.prompt,
+          maximumTokens: loadRequest.maximumTokens,
+          seed: loadRequest.seed,
           priority: PRIORITY
         })
       })
--- a/packages/load/src/targets/entry-target.ts
+++ b/packages/load/src/targets/entry-target.ts
@@ -31,9 +31,9 @@
     this.keyOf = keyOf
   }
 
-  override async send (asked: LoadRequest, onText: (text: string) => void): Promise<LoadEnd> {
+  override async send (loadRequest: LoadRequest, onText: (text: string) => void): Promise<LoadEnd> {
     try {
-      const response = await this.post(asked)
+      const response = await this.post(loadRequest)
       if (response.statusCode !== 200) return failureOf(await response.body.text())
       return await this.read(response, onText)
     } catch (problem) {
@@ -45,19 +45,19 @@
     await this.agent.destroy()
   }
 
-  private async post (asked: LoadRequest): Promise<Dispatcher.ResponseData> {
-    const model = `${asked.team}/${asked.adapter}${asked.version === undefined ? '' : `@${asked.version}`}`
+  private async post (loadRequest: LoadRequest): Promise<Dispatcher.ResponseData> {
+    const model = `${loadRequest.team}/${loadRequest.adapter}${loadRequest.version === undefined ? '' : `@${loadRequest.version}`}`
     return await request(`${this.url}/v1/completions`, {
       method: 'POST',
       dispatcher: this.agent,
       headers: {
-        authorization: `Bearer ${this.keyOf(asked.team)}`,
+        authorization: `Bearer ${this.keyOf(loadRequest.team)}`,
         'content-type': 'application/json',
-        'x-limpetwinch-class': asked.priorityClass,
-        ...(asked.idempotent ? {} : { 'x-limpetwinch-idempotent': 'false' }),
-        ...(asked.key === undefined ? {} : { 'idempotency-key': asked.key })
+        'x-limpetwinch-class': loadRequest.priorityClass,
+        ...(loadRequest.idempotent ? {} : { 'x-limpetwinch-idempotent': 'false' }),
+        ...(loadRequest.key === undefined ? {} : { 'idempotency-key': loadRequest.key })
       },
-      body: JSON.stringify({ model, prompt: asked.prompt, max_tokens: asked.maximumTokens, seed: asked.seed, stream: true })
+      body: JSON.stringify({ model, prompt: loadRequest.prompt, max_tokens: loadRequest.maximumTokens, seed: loadRequest.seed, stream: true })
     })
   }
 
