--- a/packages/load/src/commands/bench/control.ts
+++ b/packages/load/src/commands/bench/control.ts
@@ -57,8 +57,8 @@
 
   private print ({ instances, rest, silentPeer, killedOwner }: SizeFigures): void {
     const { bytesPerSecond, processorShare, storeReadsPerSecond, storeWritesPerSecond, storeWatchesPerSecond } = rest
-    this.log(`${instances} instances at rest: ${bytesPerSecond.toFixed(0)} bytes/s and ${(100 * processorShare).toFixed(2)}% of a core each`)
-    this.log(`  store calls/s of all: ${storeReadsPerSecond.toFixed(2)} reads, ${storeWritesPerSecond.toFixed(2)} writes, ${storeWatchesPerSecond.toFixed(2)} watches`)
-    this.log(`  silent peer suspect after ${silentPeer?.toFixed(0) ?? 'more than 60000'} ms, killed owner replaced after ${killedOwner?.toFixed(0) ?? 'more than 60000'} ms`)
+    this.log(`${instances} instances without requests: ${bytesPerSecond.toFixed(0)} bytes/s and ${(100 * processorShare).toFixed(2)}% of a core each`)
+    this.log(`  store calls/s of all instances: ${storeReadsPerSecond.toFixed(2)} reads, ${storeWritesPerSecond.toFixed(2)} writes, ${storeWatchesPerSecond.toFixed(2)} watches`)
+    this.log(`  paused instance suspect after ${silentPeer?.toFixed(0) ?? 'more than 60000'} ms, killed owner replaced after ${killedOwner?.toFixed(0) ?? 'more than 60000'} ms`)
   }
 }
--- a/packages/load/src/commands/bench/path.ts
+++ b/packages/load/src/commands/bench/path.ts
@@ -58,10 +58,10 @@
   }
 
   private print ({ machine, highestRate, firstToken, processor, bareRelay, memory, aims }: PathReport): void {
-    this.log(`machine: ${machine.processors} processors at load ${machine.loadAverage.toFixed(1)}, ${machine.socketMicroseconds.toFixed(1)} microseconds for one small write and read`)
+    this.log(`machine: ${machine.processors} processors at load ${machine.loadAverage.toFixed(1)}, ${machine.socketMicroseconds.toFixed(1)} microseconds for one small socket write and read`)
     this.log(`highest rate ${highestRate.requestsPerSecond.toFixed(0)} requests/s, ${highestRate.tokensPerSecond.toFixed(0)} tokens/s, ${highestRate.entryProcessorShare.toFixed(2)} processors, ${highestRate.failed} failed`)
     this.log(`first token at ${firstToken.requestsPerSecond.toFixed(0)} requests/s: added ${firstToken.added.p50.toFixed(2)} ms p50, ${firstToken.added.p99.toFixed(2)} ms p99, ${firstToken.failed} failed`)
-    this.log(`  straight ${firstToken.straight.p50.toFixed(2)} ms p50, ${firstToken.straight.p99.toFixed(2)} ms p99; the load itself was ${firstToken.latenessP99.toFixed(2)} ms late at p99`)
+    this.log(`  direct ${firstToken.straight.p50.toFixed(2)} ms p50, ${firstToken.straight.p99.toFixed(2)} ms p99; the load tool was ${firstToken.latenessP99.toFixed(2)} ms late at p99`)
     this.log(`processor ${processor.microsecondsPerRequest.toFixed(0)} microseconds/request, ${processor.microsecondsPerToken.toFixed(1)} microseconds/token`)
     this.log(`  a bare relay: ${bareRelay.microsecondsPerRequest.toFixed(0)} microseconds/request, ${bareRelay.microsecondsPerToken.toFixed(1)} microseconds/token`)
     if (memory !== undefined) this.log(`memory ${memory.bytesPerAdapter.toFixed(0)} bytes/adapter`)
--- a/packages/load/src/commands/run.ts
+++ b/packages/load/src/commands/run.ts
@@ -75,7 +75,7 @@
     this.log(`${summary.requests} requests, ${summary.tokens} tokens, outcomes ${JSON.stringify(summary.outcomes)} ${JSON.stringify(summary.codes)}`)
     for (const name of ['lateness', 'firstToken', 'betweenTokens', 'whole'] as const) {
       const { p50, p95, p99, maximum } = summary[name]
-      this.log(`${name.padEnd(14)} p50 ${p50.toFixed(2)} ms, p95 ${p95.toFixed(2)} ms, p99 ${p99.toFixed(2)} ms, most ${maximum.toFixed(2)} ms`)
+      this.log(`${name.padEnd(14)} p50 ${p50.toFixed(2)} ms, p95 ${p95.toFixed(2)} ms, p99 ${p99.toFixed(2)} ms, maximum ${maximum.toFixed(2)} ms`)
     }
   }
 }
