--- a/packages/load/src/commands/bench/path.ts
+++ b/packages/load/src/commands/bench/path.ts
@@ -1,4 +1,4 @@
-/** `limpetwinch-load bench path`. */
+/** Command `limpetwinch-load bench path`. */
 import { Command, Flags } from '@oclif/core'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import type { Result } from 'neverthrow'
@@ -12,16 +12,16 @@
 const ENGINES = 2
 const ADAPTERS = 3_000
 
-/** Measures the request path. */
+/** Measures the request path of one entry instance. */
 export default class BenchPath extends Command {
-  static override description = 'Measure one instance against straight calls to the stand-in engines, in one run: first token, rate, processor, memory.'
+  static override description = 'Measure one instance in comparison with direct requests to the stand-in engines in the same run: time to first token, rate, processor time and memory.'
   static override enableJsonFlag = true
   static override flags = {
-    seconds: Flags.integer({ default: 8, min: 2, description: 'how long each phase takes' }),
-    workers: Flags.integer({ default: 2, min: 1, description: 'processes of load that look for the highest rate' }),
+    seconds: Flags.integer({ default: 8, min: 2, description: 'duration of each phase in seconds' }),
+    workers: Flags.integer({ default: 2, min: 1, description: 'load worker processes that measure the highest rate' }),
     'output-tokens': Flags.integer({ default: 16, min: 1, description: 'tokens of each answer' }),
-    memory: Flags.boolean({ default: true, allowNo: true, description: 'measure memory by adapters, which takes three more deployments' }),
-    check: Flags.boolean({ default: false, description: 'exit 1 when an aim is missed' })
+    memory: Flags.boolean({ default: true, allowNo: true, description: 'measure memory per configured adapter, which starts three more deployments' }),
+    check: Flags.boolean({ default: false, description: 'exit with code 1 when a figure misses its target' })
   }
 
   override async run (): Promise<PathReport> {
@@ -58,10 +58,10 @@
   }
 
   private print ({ machine, highestRate, firstToken, processor, bareRelay, memory, aims }: PathReport): void {
-    this.log(`machine: ${machine.processors} processors at load ${machine.loadAverage.toFixed(1)}, ${machine.socketMicroseconds.toFixed(1)} microseconds for one small write and read`)
+    this.log(`machine: ${machine.processors} processors at load ${machine.loadAverage.toFixed(1)}, ${machine.socketMicroseconds.toFixed(1)} microseconds for one small socket write and read`)
     this.log(`highest rate ${highestRate.requestsPerSecond.toFixed(0)} requests/s, ${highestRate.tokensPerSecond.toFixed(0)} tokens/s, ${highestRate.entryProcessorShare.toFixed(2)} processors, ${highestRate.failed} failed`)
     this.log(`first token at ${firstToken.requestsPerSecond.toFixed(0)} requests/s: added ${firstToken.added.p50.toFixed(2)} ms p50, ${firstToken.added.p99.toFixed(2)} ms p99, ${firstToken.failed} failed`)
-    this.log(`  straight ${firstToken.straight.p50.toFixed(2)} ms p50, ${firstToken.straight.p99.toFixed(2)} ms p99; the load itself was ${firstToken.latenessP99.toFixed(2)} ms late at p99`)
+    this.log(`  direct ${firstToken.straight.p50.toFixed(2)} ms p50, ${firstToken.straight.p99.toFixed(2)} ms p99; the load tool was ${firstToken.latenessP99.toFixed(2)} ms late at p99`)
     this.log(`processor ${processor.microsecondsPerRequest.toFixed(0)} microseconds/request, ${processor.microsecondsPerToken.toFixed(1)} microseconds/token`)
     this.log(`  a bare relay: ${bareRelay.microsecondsPerRequest.toFixed(0)} microseconds/request, ${bareRelay.microsecondsPerToken.toFixed(1)} microseconds/token`)
     if (memory !== undefined) this.log(`memory ${memory.bytesPerAdapter.toFixed(0)} bytes/adapter`)
