--- a/packages/soak/src/bin/limpetwinch-soak.ts
+++ b/packages/soak/src/bin/limpetwinch-soak.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Runs the fault soak by hand or in CI. */
+/** Command that runs soak tests with injected faults, by hand or in CI. */
 import { createWriteStream, mkdirSync } from 'node:fs'
 import { join } from 'node:path'
 import { Command, Flags } from '@oclif/core'
@@ -12,28 +12,28 @@
 const VIOLATION_EXIT_CODE = 1
 
 class SoakCommand extends Command {
-  static override description = 'Runs deployments of real processes under faults and checks the promises; exits 1 on a violation.'
+  static override description = 'Runs deployments of real processes under injected faults and checks their guarantees; exits with code 1 on a violation.'
 
   static override flags = {
-    seed: Flags.integer({ min: 1, description: 'of the first run; a fresh one by default' }),
-    runs: Flags.integer({ default: 1, min: 1, description: 'how many, with seeds that follow each other' }),
-    concurrency: Flags.integer({ default: 1, min: 1, description: 'runs at a time' }),
-    seconds: Flags.integer({ default: 15, min: 1, description: 'in which faults begin' }),
-    faults: Flags.integer({ default: 6, min: 0, description: 'how many happen in a run' }),
-    fault: Flags.string({ multiple: true, options: SOAK_FAULTS.map(({ kind }) => kind), description: 'only faults of this kind; may be given again' }),
-    instances: Flags.integer({ default: 3, min: 1, max: 200, description: 'ingress instances' }),
-    engines: Flags.integer({ default: 4, min: 1, max: 200, description: 'model servers' }),
-    slots: Flags.integer({ default: 4, min: 1, max: 50, description: 'adapters of one model server' }),
-    keep: Flags.string({ description: 'folder for the logs of the instances' })
+    seed: Flags.integer({ min: 1, description: 'seed of the first run; random by default' }),
+    runs: Flags.integer({ default: 1, min: 1, description: 'number of runs, with consecutive seeds' }),
+    concurrency: Flags.integer({ default: 1, min: 1, description: 'number of runs in parallel' }),
+    seconds: Flags.integer({ default: 15, min: 1, description: 'length of the period in which faults start, in seconds' }),
+    faults: Flags.integer({ default: 6, min: 0, description: 'number of faults in a run' }),
+    fault: Flags.string({ multiple: true, options: SOAK_FAULTS.map(({ kind }) => kind), description: 'inject only faults of this kind; can be given several times' }),
+    instances: Flags.integer({ default: 3, min: 1, max: 200, description: 'number of ingress instances' }),
+    engines: Flags.integer({ default: 4, min: 1, max: 200, description: 'number of model servers' }),
+    slots: Flags.integer({ default: 4, min: 1, max: 50, description: 'adapter slots of each model server' }),
+    keep: Flags.string({ description: 'folder for the logs of the instances; not kept by default' })
   }
 
   override async run (): Promise<void> {
     const { flags } = await this.parse(SoakCommand)
-    const first = flags.seed ?? 1 + Math.floor(Math.random() * MAXIMUM_SEED)
-    const seeds = Array.from({ length: flags.runs }, (_, index) => first + index)
+    const firstSeed = flags.seed ?? 1 + Math.floor(Math.random() * MAXIMUM_SEED)
+    const seeds = Array.from({ length: flags.runs }, (_, index) => firstSeed + index)
     const faults = SOAK_FAULTS.filter(({ kind }) => flags.fault === undefined || flags.fault.includes(kind))
     const outcomes: SoakOutcome[] = []
-    const work = async (): Promise<void> => {
+    const runSeeds = async (): Promise<void> => {
       for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
         const size = { instances: flags.instances, engines: flags.engines, webServers: 2, adapterSlots: flags.slots }
         const outcome = await new SoakRun({ seed, seconds: flags.seconds, size, faults, faultCount: flags.faults, onLog: createLogWriter(flags.keep, seed) }).run()
@@ -41,9 +41,9 @@
         this.printOutcome(outcome)
       }
     }
-    await Promise.all(Array.from({ length: flags.concurrency }, work))
+    await Promise.all(Array.from({ length: flags.concurrency }, runSeeds))
     const sum = (figure: (outcome: SoakOutcome) => number): number => outcomes.reduce((total, outcome) => total + figure(outcome), 0)
-    this.log(`${outcomes.length} runs, ${sum(({ faults: made }) => made.length)} faults, ${sum(({ requests }) => requests)} requests, ${sum(({ served }) => served)} served, ${sum(({ violations }) => violations.length)} violations`)
+    this.log(`${outcomes.length} runs, ${sum(({ faults: injected }) => injected.length)} faults, ${sum(({ requests }) => requests)} requests, ${sum(({ served }) => served)} served, ${sum(({ violations }) => violations.length)} violations`)
     process.exitCode = outcomes.some(({ violations }) => violations.length > 0) ? VIOLATION_EXIT_CODE : 0
   }
 
@@ -56,7 +56,7 @@
   }
 }
 
-/** @returns where the lines of a run go */
+/** @returns a function that writes log lines of a run to a file in the folder; without a folder, one that drops them */
 function createLogWriter (folder: string | undefined, seed: number): (instance: string, line: string) => void {
   if (folder === undefined) return () => {}
   mkdirSync(folder, { recursive: true })
--- a/packages/soak/src/checks/endpoint-checks.ts
+++ b/packages/soak/src/checks/endpoint-checks.ts
@@ -1,14 +1,15 @@
-/** Promises about what endpoints run and are ordered. */
+/** Checks of the requests that endpoints run and of the load orders that engines receive. */
 import type { SampleRoute, StandInRun } from '@limpetwinch/platform'
 import { SoakCheck } from './soak-check.js'
 import type { SoakEvidence, Violation } from './soak-check.js'
 
+/** Routes whose requests must not be retried once they may have run. */
 const AT_MOST_ONCE_ROUTES: ReadonlySet<SampleRoute> = new Set(['once', 'enter'])
-/** New work on a leaving endpoint ends within so long of the store's word. */
+/** Time after which a leaving endpoint gets no new requests, from the store's announcement that the endpoint leaves. */
 const LEAVING_PROPAGATION_MILLISECONDS = 2_000
-/** What instances and the store were through shortly before still tells. */
+/** Margin around a fault of an instance or of the store within which the fault can still have an effect. */
 const FAULT_MARGIN_MILLISECONDS = 3_000
-/** Two instances that order one engine are so far apart. */
+/** Lease duration: minimum time between orders of two different load owners to one engine. */
 const LEASE_MILLISECONDS = 3_000
 
 function runsByRequest ({ deployment }: SoakEvidence): Map<string, StandInRun[]> {
@@ -23,7 +24,7 @@
   return { message, from: at, to: at, request }
 }
 
-/** What may not be repeated runs once at most. */
+/** Checks that requests that must not be retried run at most once. */
 export class AtMostOnceCheck extends SoakCheck {
   override readonly promise = 'at-most-once'
 
@@ -31,11 +32,11 @@
     const runs = runsByRequest(evidence)
     return evidence.record.requests
       .filter(({ request }) => AT_MOST_ONCE_ROUTES.has(request.route) && (runs.get(request.id)?.length ?? 0) > 1)
-      .map((seen) => this.violationOf(seen, `${seen.request.id} ran ${runs.get(seen.request.id)?.length} times`))
+      .map((observed) => this.violationOf(observed, `${observed.request.id} ran ${runs.get(observed.request.id)?.length} times`))
   }
 }
 
-/** Who is told that a request has not run can rely on it. */
+/** Checks that a request whose response says that it has not run did not run, for requests that must not be retried. */
 export class NotRunClaimCheck extends SoakCheck {
   override readonly promise = 'not-run'
 
@@ -43,11 +44,11 @@
     const runs = runsByRequest(evidence)
     return evidence.record.requests
       .filter(({ request, answer }) => answer.saysNotRun && AT_MOST_ONCE_ROUTES.has(request.route) && runs.has(request.id))
-      .map((seen) => this.violationOf(seen, `${seen.request.id} was answered ${seen.answer.status} and ran`))
+      .map((observed) => this.violationOf(observed, `${observed.request.id} was answered ${observed.answer.status} and ran`))
   }
 }
 
-/** Nothing runs that nobody sent, or by another adapter than was asked for. */
+/** Checks that each run belongs to a request that was sent and uses the adapter that the request asks for. */
 export class RightAdapterCheck extends SoakCheck {
   override readonly promise = 'right-adapter'
 
@@ -59,7 +60,7 @@
   }
 }
 
-/** A leaving endpoint gets no new work, unless the store or an instance was in trouble around it. */
+/** Checks that a leaving endpoint gets no new requests, unless a fault of the store or of an instance was close in time. */
 export class LeavingEndpointCheck extends SoakCheck {
   override readonly promise = 'leaving-endpoint'
 
@@ -73,7 +74,7 @@
   }
 }
 
-/** An engine is never ordered to hold more adapters than it has slots. */
+/** Checks that an engine is never ordered to hold more adapters than it has slots. */
 export class SlotCapacityCheck extends SoakCheck {
   override readonly promise = 'slots'
 
@@ -86,18 +87,18 @@
   }
 }
 
-/** Two instances do not order one engine within a lease; orders that the engine refused by their token do not count. */
+/** Checks that two instances never order loads of one engine within one lease. Orders with a stale fencing token do not count: the engine refused them. */
 export class SingleLoadOwnerCheck extends SoakCheck {
   override readonly promise = 'one-holder'
   private readonly staleTokenStatus = 412
 
   override violations ({ deployment }: SoakEvidence): Violation[] {
     return deployment.engines.flatMap(({ options, orders }) => {
-      const taken = orders.filter(({ status }) => status !== this.staleTokenStatus)
-      return taken.flatMap((order, index) => {
-        const before = taken[index - 1]
-        if (before === undefined || before.holder === order.holder || order.at - before.at >= LEASE_MILLISECONDS) return []
-        return [{ message: `${options.id} was ordered by ${before.holder} and ${order.at - before.at} ms later by ${order.holder}`, from: before.at, to: order.at }]
+      const accepted = orders.filter(({ status }) => status !== this.staleTokenStatus)
+      return accepted.flatMap((order, index) => {
+        const previous = accepted[index - 1]
+        if (previous === undefined || previous.holder === order.holder || order.at - previous.at >= LEASE_MILLISECONDS) return []
+        return [{ message: `${options.id} was ordered by ${previous.holder} and ${order.at - previous.at} ms later by ${order.holder}`, from: previous.at, to: order.at }]
       })
     })
   }
--- a/packages/soak/src/checks/index.ts
+++ b/packages/soak/src/checks/index.ts
@@ -1,10 +1,10 @@
-/** All checks. */
+/** List of all checks of the soak. */
 import { ResponseDeadlineCheck, UnexpectedEndCheck, PlannedStopCheck, RecoveryCheck, CompleteStreamCheck } from './response-checks.js'
 import { CrashBudgetCheck, FalseQuarantineCheck } from './crash-checks.js'
 import { AtMostOnceCheck, LeavingEndpointCheck, NotRunClaimCheck, SingleLoadOwnerCheck, RightAdapterCheck, SlotCapacityCheck } from './endpoint-checks.js'
 import type { SoakCheck } from './soak-check.js'
 
-/** One of each promise. */
+/** One check for each guarantee. */
 export const SOAK_CHECKS: readonly SoakCheck[] = [
   new CompleteStreamCheck(), new ResponseDeadlineCheck(), new PlannedStopCheck(), new RecoveryCheck(), new UnexpectedEndCheck(),
   new AtMostOnceCheck(), new NotRunClaimCheck(), new RightAdapterCheck(), new LeavingEndpointCheck(), new SlotCapacityCheck(), new SingleLoadOwnerCheck(),
--- a/packages/soak/src/checks/response-checks.ts
+++ b/packages/soak/src/checks/response-checks.ts
@@ -1,44 +1,44 @@
-/** Promises about what callers get. */
+/** Checks of the responses that callers receive, and of instances that end unexpectedly. */
 import type { ObservedRequest } from '../soak-record.js'
 import { SoakCheck } from './soak-check.js'
 import type { SoakEvidence, Violation } from './soak-check.js'
 
-/** A process that was asked to stop, or a fault nearby, may be told of so late that the request is judged unfairly. */
+/** Margin around a fault. Recorded times can differ from when a stop or fault takes effect; requests within the margin count as affected. */
 const FAULT_MARGIN_MILLISECONDS = 200
-/** A final answer comes no later than so long after the caller's deadline. */
+/** Maximum delay of a complete response after the caller's deadline. */
 const DEADLINE_TOLERANCE_MILLISECONDS = 1_000
 
-/** A stream that ended as whole has each event once, in order, of one adapter. */
+/** Checks that a stream has each event once and in order, all of the requested adapter, and that a complete stream has all its events. */
 export class CompleteStreamCheck extends SoakCheck {
   override readonly promise = 'whole-answer'
 
   override violations ({ record }: SoakEvidence): Violation[] {
-    return [...record.requests, ...record.probes].flatMap((seen) => {
-      const { request, answer } = seen
+    return [...record.requests, ...record.probes].flatMap((observed) => {
+      const { request, answer } = observed
       if (request.adapter === undefined || answer.status !== 200) return []
-      const wrong = answer.events.find(({ id, adapter }, index) => id !== index + 1 || adapter !== request.adapter)
-      if (wrong !== undefined) return [this.violationOf(seen, `${request.id} for ${request.adapter}: event ${wrong.id} of ${wrong.adapter} out of place`)]
-      if (answer.whole && answer.events.length !== request.events) return [this.violationOf(seen, `${request.id} ended as whole after ${answer.events.length} of ${request.events} events`)]
+      const misplaced = answer.events.find(({ id, adapter }, index) => id !== index + 1 || adapter !== request.adapter)
+      if (misplaced !== undefined) return [this.violationOf(observed, `${request.id} for ${request.adapter}: event ${misplaced.id} of ${misplaced.adapter} out of place`)]
+      if (answer.whole && answer.events.length !== request.events) return [this.violationOf(observed, `${request.id} ended as complete after ${answer.events.length} of ${request.events} events`)]
       return []
     })
   }
 }
 
-/** Somebody who waits gets a final answer in time, or a connection that ends. */
+/** Checks that each request ends in time, with a response or a closed connection, unless a fault hit its instance. */
 export class ResponseDeadlineCheck extends SoakCheck {
   override readonly promise = 'every-request-ended'
 
   override violations ({ record }: SoakEvidence): Violation[] {
-    return record.requests.flatMap((seen) => {
-      const { request, answer, instance, sentAt, endedAt } = seen
+    return record.requests.flatMap((observed) => {
+      const { request, answer, instance, sentAt, endedAt } = observed
       if (answer.milliseconds <= request.deadlineMilliseconds + DEADLINE_TOLERANCE_MILLISECONDS) return []
-      const excused = record.faultsDuring(sentAt, endedAt, FAULT_MARGIN_MILLISECONDS).some(({ target, kind }) => target === instance || kind === 'kill-all-instances')
-      return excused ? [] : [this.violationOf(seen, `${request.id} at ${instance} ended ${Math.round(answer.milliseconds)} ms after it was sent, deadline ${request.deadlineMilliseconds} ms`)]
+      const isExcused = record.faultsDuring(sentAt, endedAt, FAULT_MARGIN_MILLISECONDS).some(({ target, kind }) => target === instance || kind === 'kill-all-instances')
+      return isExcused ? [] : [this.violationOf(observed, `${request.id} at ${instance} ended ${Math.round(answer.milliseconds)} ms after it was sent, deadline ${request.deadlineMilliseconds} ms`)]
     })
   }
 }
 
-/** A stop as planned cuts off no request that was sent before it. */
+/** Checks that the planned stop of an instance truncates no request sent before it, unless a fault of another kind was close in time. */
 export class PlannedStopCheck extends SoakCheck {
   override readonly promise = 'planned-stop'
 
@@ -46,8 +46,8 @@
     const stops = record.faults.filter(({ kind }) => kind === 'stop-instance')
     return stops.flatMap((stop) => record.requests
       .filter(({ instance, sentAt, endedAt }) => instance === stop.target && sentAt < stop.from - FAULT_MARGIN_MILLISECONDS && endedAt > stop.from)
-      .filter((seen) => seen.answer.failure !== undefined && this.areAllPlannedStops(record.faultsDuring(seen.sentAt, seen.endedAt, FAULT_MARGIN_MILLISECONDS)))
-      .map((seen) => this.violationOf(seen, `${seen.request.id} was cut off by the stop of ${stop.target}: ${seen.answer.failure}`)))
+      .filter((observed) => observed.answer.failure !== undefined && this.areAllPlannedStops(record.faultsDuring(observed.sentAt, observed.endedAt, FAULT_MARGIN_MILLISECONDS)))
+      .map((observed) => this.violationOf(observed, `${observed.request.id} was truncated by the stop of ${stop.target}: ${observed.answer.failure}`)))
   }
 
   private areAllPlannedStops (faults: readonly { readonly kind: string }[]): boolean {
@@ -55,10 +55,10 @@
   }
 }
 
-/** When all faults are over, nearly everybody is served. */
+/** Checks that nearly all requests are served once all faults are over. */
 export class RecoveryCheck extends SoakCheck {
   override readonly promise = 'recovery'
-  /** A model server's queue or a load may still cost one of them. */
+  /** Less than 1, because a request can still fail on a full queue of a model server or on an adapter load. */
   private readonly minimumServedShare = 0.9
   private readonly maximumReportedFailures = 3
 
@@ -66,13 +66,13 @@
     const served = record.probes.filter((probe) => isServed(probe)).length
     if (served >= record.probes.length * this.minimumServedShare) return []
     const failed = record.probes.filter((probe) => !isServed(probe))
-    const told = failed.slice(0, this.maximumReportedFailures).map(({ request, instance, answer }) => `${request.id} at ${instance}: ${answer.status} ${answer.failure ?? answer.text.slice(0, 120)}`)
-    const message = `${served} of ${record.probes.length} requests were served after all faults were over; ${told.join('; ')}`
+    const examples = failed.slice(0, this.maximumReportedFailures).map(({ request, instance, answer }) => `${request.id} at ${instance}: ${answer.status} ${answer.failure ?? answer.text.slice(0, 120)}`)
+    const message = `${served} of ${record.probes.length} requests were served after all faults were over; ${examples.join('; ')}`
     return failed.slice(0, 1).map((probe) => this.violationOf(probe, message))
   }
 }
 
-/** Instances end only when they are ended. */
+/** Checks that no instance ends by itself, and that each one ends when told to. */
 export class UnexpectedEndCheck extends SoakCheck {
   override readonly promise = 'no-lost-instance'
 
--- a/packages/soak/src/checks/soak-check.ts
+++ b/packages/soak/src/checks/soak-check.ts
@@ -1,33 +1,33 @@
-/** A promise, checked over one run. */
+/** Base class of the checks: each one checks a guarantee over one run. */
 import type { PlatformDeployment } from '@limpetwinch/platform'
 import type { ObservedRequest, SoakRecord } from '../soak-record.js'
 
-/** What a check looks at: what callers saw, and what the stand-ins ran and were ordered. */
+/** Input of a check: requests as callers observed them, and the runs and load orders that the stand-ins recorded. */
 export interface SoakEvidence {
   readonly record: SoakRecord
   readonly deployment: PlatformDeployment
   readonly adapterSlots: number
 }
 
-/** One time that a promise was broken. Times are Unix milliseconds. */
+/** One violation of a guarantee. Times are Unix milliseconds. */
 export interface Violation {
   readonly message: string
   readonly from: number
   readonly to: number
   readonly instance?: string
-  /** Its id. */
+  /** Id of the request concerned. */
   readonly request?: string
 }
 
-/** One promise. */
+/** Check of one guarantee. */
 export abstract class SoakCheck {
-  /** Its name in reports. */
+  /** Name of the guarantee in reports. */
   abstract readonly promise: string
 
-  /** @returns each time that it was broken */
+  /** @returns each violation of the guarantee */
   abstract violations (evidence: SoakEvidence): Violation[]
 
-  /** @returns the violation that a request saw */
+  /** @returns a violation that concerns the request, over the time from its sending to its end */
   protected violationOf ({ request, instance, sentAt, endedAt }: ObservedRequest, message: string): Violation {
     return { message, from: sentAt, to: endedAt, instance, request: request.id }
   }
--- a/packages/soak/src/faults/environment-faults.ts
+++ b/packages/soak/src/faults/environment-faults.ts
@@ -1,31 +1,32 @@
-/** Faults of what stands around the instances: store, model servers, configuration. */
+/** Faults of the instances' environment: store, model servers, configuration. */
 import type { StoreServerFaults } from '@limpetwinch/platform'
 import type { SoakEnvironment } from '../soak-environment.js'
 import { SoakFault } from './soak-fault.js'
 
-/** A leaving endpoint goes on serving for a while. */
+/** Range of the time for which a leaving endpoint keeps serving. */
 const LEAVING_MILLISECONDS = { minimum: 3_000, maximum: 4_500 }
-/** Shorter ones end within a call's own time and are seen by nobody. */
+/** A shorter fault can end within the duration of one store call, and no instance notices it. */
 const MINIMUM_STORE_FAULT_MILLISECONDS = 500
 
-/** A fault of the store that is set and taken back. */
+/** A fault of the store that is set, kept for a random time and cleared. */
 abstract class StoreFault extends SoakFault {
   protected abstract readonly maximumMilliseconds: number
+  /** Fault settings that clear the fault. */
   protected abstract readonly unset: Partial<StoreServerFaults>
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    await this.recordWhile(site, undefined, async () => {
-      site.deployment.store.setFaults(this.faults(site))
-      await site.wait(MINIMUM_STORE_FAULT_MILLISECONDS, this.maximumMilliseconds)
-      site.deployment.store.setFaults(this.unset)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    await this.recordWhile(environment, undefined, async () => {
+      environment.deployment.store.setFaults(this.faults(environment))
+      await environment.wait(MINIMUM_STORE_FAULT_MILLISECONDS, this.maximumMilliseconds)
+      environment.deployment.store.setFaults(this.unset)
     })
   }
 
-  /** @returns what is set */
-  protected abstract faults (site: SoakEnvironment): Partial<StoreServerFaults>
+  /** @returns the fault settings to apply to the store */
+  protected abstract faults (environment: SoakEnvironment): Partial<StoreServerFaults>
 }
 
-/** The store refuses, or says nothing. */
+/** Makes the store refuse all calls, or leave them unanswered. */
 export class StoreDown extends StoreFault {
   override readonly kind = 'store-down'
   protected override readonly maximumMilliseconds = 4_000
@@ -36,7 +37,7 @@
   }
 }
 
-/** The store is slow. */
+/** Delays the responses of the store. */
 export class StoreSlow extends StoreFault {
   override readonly kind = 'store-slow'
   protected override readonly maximumMilliseconds = 3_000
@@ -47,7 +48,7 @@
   }
 }
 
-/** Writes take effect, and their answers are lost. */
+/** Lets writes to the store take effect but loses their responses. */
 export class StoreLosesResponses extends StoreFault {
   override readonly kind = 'store-loses-answers'
   protected override readonly maximumMilliseconds = 2_000
@@ -58,54 +59,54 @@
   }
 }
 
-/** The store forgets its history. */
+/** Compacts the store, so that watches from earlier revisions fail. */
 export class CompactStore extends SoakFault {
   override readonly kind = 'store-forgets'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    await this.recordWhile(site, undefined, async () => {
-      site.deployment.store.objects.compact()
-      await site.wait(50, 200)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    await this.recordWhile(environment, undefined, async () => {
+      environment.deployment.store.objects.compact()
+      await environment.wait(50, 200)
     })
   }
 }
 
-/** A model server ends without a word; its entry lapses, and another one comes. */
+/** Crashes a model server; its entry in the store is removed later, as on expiry, and another model server is started. */
 export class CrashEngine extends SoakFault {
   override readonly kind = 'crash-engine'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const engine = site.random.pick(site.deployment.engines.filter(({ hasEnded: isOver }) => !isOver))
-    await this.recordWhile(site, engine.options.id, async () => {
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const engine = environment.random.pick(environment.deployment.engines.filter(({ hasEnded }) => !hasEnded))
+    await this.recordWhile(environment, engine.options.id, async () => {
       await engine.crash()
-      await site.wait(800, 1_500)
+      await environment.wait(800, 1_500)
       await engine.removeEntry()
-      await site.deployment.addEngine()
+      await environment.deployment.addEngine()
     })
   }
 }
 
-/** A model server says that it leaves, serves on for a while, and goes; another one comes. */
+/** Starts another model server, and lets one announce that it is leaving, keep serving for a while, and leave. */
 export class LeavingEngine extends SoakFault {
   override readonly kind = 'leaving-engine'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const engine = site.random.pick(site.deployment.engines.filter(({ hasEnded: isOver }) => !isOver))
-    await site.deployment.addEngine()
-    await this.recordWhile(site, engine.options.id, async () => {
-      if (await engine.beginLeaving()) site.record.leavings.push({ endpoint: engine.options.id, at: Date.now() })
-      await site.wait(LEAVING_MILLISECONDS.minimum, LEAVING_MILLISECONDS.maximum)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const engine = environment.random.pick(environment.deployment.engines.filter(({ hasEnded }) => !hasEnded))
+    await environment.deployment.addEngine()
+    await this.recordWhile(environment, engine.options.id, async () => {
+      if (await engine.beginLeaving()) environment.record.leavings.push({ endpoint: engine.options.id, at: Date.now() })
+      await environment.wait(LEAVING_MILLISECONDS.minimum, LEAVING_MILLISECONDS.maximum)
       await engine.leave()
     })
   }
 }
 
-/** The operators write a newer configuration. */
+/** Writes a new configuration version to the store. */
 export class ChangeConfiguration extends SoakFault {
   override readonly kind = 'change-configuration'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    site.changeConfiguration()
-    await site.wait(50, 500)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    environment.changeConfiguration()
+    await environment.wait(50, 500)
   }
 }
--- a/packages/soak/src/faults/index.ts
+++ b/packages/soak/src/faults/index.ts
@@ -1,10 +1,10 @@
-/** All faults. */
+/** List of all faults of the soak. */
 import { StallStoreLink, KillAllInstances, KillInstance, PauseInstance, ReloadInstance, ResetStoreLink, StopInstance } from './instance-faults.js'
 import { ChangeConfiguration, CrashEngine, LeavingEngine, StoreDown, CompactStore, StoreLosesResponses, StoreSlow } from './environment-faults.js'
 import { CrashingRequest } from './request-faults.js'
 import type { SoakFault } from './soak-fault.js'
 
-/** One of each kind. The plan of a seed follows from their order: append only. */
+/** One fault of each kind. Append only: which faults a seed selects depends on the order of this list. */
 export const SOAK_FAULTS: readonly SoakFault[] = [
   new KillInstance(), new KillAllInstances(), new StopInstance(), new PauseInstance(), new ReloadInstance(), new StallStoreLink(), new ResetStoreLink(),
   new StoreDown(), new StoreSlow(), new StoreLosesResponses(), new CompactStore(), new CrashEngine(), new LeavingEngine(), new ChangeConfiguration(),
--- a/packages/soak/src/faults/instance-faults.ts
+++ b/packages/soak/src/faults/instance-faults.ts
@@ -1,113 +1,113 @@
-/** Faults of ingress instances: signals from outside, and their link to the store. */
+/** Faults of ingress instances: signals sent to a process, and faults of its link to the store. */
 import type { SoakEnvironment } from '../soak-environment.js'
 import { SoakFault } from './soak-fault.js'
 
-/** How long a process takes to end by itself after SIGTERM, and then some. */
+/** Longer than an instance needs to end by itself after SIGTERM. */
 const STOP_TIMEOUT_MILLISECONDS = 12_000
 const EXIT_CHECK_INTERVAL_MILLISECONDS = 50
 
-/** Killed and started again. */
+/** Kills an instance and starts it again. */
 export class KillInstance extends SoakFault {
   override readonly kind = 'kill-instance'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    if (found === undefined) return
-    await this.recordWhile(site, found.instance.name, async () => {
-      site.signal(found.instance, 'SIGKILL')
-      await site.wait(300, 2_000)
-      await site.relaunch(found.index, found.instance)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    if (picked === undefined) return
+    await this.recordWhile(environment, picked.instance.name, async () => {
+      environment.signal(picked.instance, 'SIGKILL')
+      await environment.wait(300, 2_000)
+      await environment.relaunch(picked.index, picked.instance)
     })
   }
 }
 
-/** All killed at once and started again: only the store remembers. */
+/** Kills all instances at once and starts them again: only the state in the store survives. */
 export class KillAllInstances extends SoakFault {
   override readonly kind = 'kill-all-instances'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    await this.recordWhile(site, undefined, async () => {
-      const killed = [...site.instances]
-      for (const instance of killed) site.signal(instance, 'SIGKILL')
-      await site.wait(300, 1_500)
-      await Promise.all(killed.map(async (instance, index) => await site.relaunch(index, instance)))
+  override async run (environment: SoakEnvironment): Promise<void> {
+    await this.recordWhile(environment, undefined, async () => {
+      const killed = [...environment.instances]
+      for (const instance of killed) environment.signal(instance, 'SIGKILL')
+      await environment.wait(300, 1_500)
+      await Promise.all(killed.map(async (instance, index) => await environment.relaunch(index, instance)))
     })
   }
 }
 
-/** Asked to stop, waited for, and started again. Callers go on using their connections until it is gone. */
+/** Stops an instance with SIGTERM, waits for its end and starts it again. Callers keep using their connections until the process ends. */
 export class StopInstance extends SoakFault {
   override readonly kind = 'stop-instance'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    if (found === undefined) return
-    const { instance, index } = found
-    await this.recordWhile(site, instance.name, async () => {
-      site.signal(instance, 'SIGTERM')
-      const end = performance.now() + STOP_TIMEOUT_MILLISECONDS
-      while (!instance.process.hasEnded && performance.now() < end) await site.wait(EXIT_CHECK_INTERVAL_MILLISECONDS, EXIT_CHECK_INTERVAL_MILLISECONDS)
-      if (!instance.process.hasEnded) site.record.addLostInstance(instance.name, `it did not end within ${STOP_TIMEOUT_MILLISECONDS} ms of SIGTERM`)
-      site.signal(instance, 'SIGKILL')
-      await site.relaunch(index, instance)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    if (picked === undefined) return
+    const { instance, index } = picked
+    await this.recordWhile(environment, instance.name, async () => {
+      environment.signal(instance, 'SIGTERM')
+      const deadline = performance.now() + STOP_TIMEOUT_MILLISECONDS
+      while (!instance.process.hasEnded && performance.now() < deadline) await environment.wait(EXIT_CHECK_INTERVAL_MILLISECONDS, EXIT_CHECK_INTERVAL_MILLISECONDS)
+      if (!instance.process.hasEnded) environment.record.addLostInstance(instance.name, `it did not end within ${STOP_TIMEOUT_MILLISECONDS} ms of SIGTERM`)
+      environment.signal(instance, 'SIGKILL')
+      await environment.relaunch(index, instance)
     })
   }
 }
 
-/** Paused as a whole, and woken. */
+/** Pauses the process of an instance and resumes it. */
 export class PauseInstance extends SoakFault {
   override readonly kind = 'pause-instance'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    if (found === undefined) return
-    await this.recordWhile(site, found.instance.name, async () => {
-      site.signal(found.instance, 'SIGSTOP')
-      await site.wait(300, 4_000)
-      site.signal(found.instance, 'SIGCONT')
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    if (picked === undefined) return
+    await this.recordWhile(environment, picked.instance.name, async () => {
+      environment.signal(picked.instance, 'SIGSTOP')
+      await environment.wait(300, 4_000)
+      environment.signal(picked.instance, 'SIGCONT')
     })
   }
 }
 
-/** The settings file is said to have changed. */
+/** Makes an instance reload its settings file, with SIGHUP. */
 export class ReloadInstance extends SoakFault {
   override readonly kind = 'reload-instance'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    if (found === undefined) return
-    const { processId } = found.instance.process
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    if (picked === undefined) return
+    const { processId } = picked.instance.process
     if (processId !== undefined) process.kill(processId, 'SIGHUP')
-    await site.wait(100, 500)
+    await environment.wait(100, 500)
   }
 }
 
-/** Its connections to the store fall silent; later they are reset and new ones work. */
+/** Stops all traffic between an instance and the store; later the open connections are closed and new ones work. */
 export class StallStoreLink extends SoakFault {
   override readonly kind = 'cut-from-store'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    const link = found === undefined ? undefined : site.linkOf(found.index)
-    if (found === undefined || link === undefined) return
-    await this.recordWhile(site, found.instance.name, async () => {
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    const link = picked === undefined ? undefined : environment.linkOf(picked.index)
+    if (picked === undefined || link === undefined) return
+    await this.recordWhile(environment, picked.instance.name, async () => {
       link.cut()
-      await site.wait(500, 5_000)
+      await environment.wait(500, 5_000)
       link.restore()
     })
   }
 }
 
-/** Its connections to the store are reset. */
+/** Resets the connections of an instance to the store. */
 export class ResetStoreLink extends SoakFault {
   override readonly kind = 'reset-from-store'
 
-  override async run (site: SoakEnvironment): Promise<void> {
-    const found = this.pickRunningInstance(site)
-    if (found === undefined) return
-    await this.recordWhile(site, found.instance.name, async () => {
-      site.linkOf(found.index)?.reset()
-      await site.wait(50, 300)
+  override async run (environment: SoakEnvironment): Promise<void> {
+    const picked = this.pickRunningInstance(environment)
+    if (picked === undefined) return
+    await this.recordWhile(environment, picked.instance.name, async () => {
+      environment.linkOf(picked.index)?.reset()
+      await environment.wait(50, 300)
     })
   }
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,4 +1,4 @@
-/** Randomized faults against real processes, checked from what callers and endpoints see. */
+/** Soak tests: random faults on deployments of real processes, checked against what callers and endpoints observe. */
 export * from './soak-run.js'
 export * from './soak-record.js'
 export * from './soak-environment.js'
--- a/packages/soak/src/observation/host-monitor.ts
+++ b/packages/soak/src/observation/host-monitor.ts
@@ -1,47 +1,47 @@
-/** What the host was short of: processors, memory, disks, and processors taken away by whoever runs the host as a machine of its own. */
+/** Samples resource shortage of the host: pressure on processors, memory and disks, and processor time that the hypervisor took (steal time). */
 import { readFileSync } from 'node:fs'
 
 const SAMPLE_INTERVAL_MILLISECONDS = 100
 const MICROSECONDS_PER_MILLISECOND = 1_000
-/** The system counts times of processors in hundredths of a second. */
+/** Unit of processor times in /proc/stat: hundredths of a second. */
 const TICK_MILLISECONDS = 10
-/** Fields of a processor's line: its name, seven other uses, then what was taken away. */
+/** Index of the steal time in a processor's line of /proc/stat: the name and seven other times precede it. */
 const STEAL_TIME_FIELD = 8
 const RESOURCES = ['cpu', 'memory', 'io'] as const
 const PROCESSOR = /^cpu\d+ /
 
-/** Sums since the host's start, milliseconds. */
+/** Cumulative times since the host's start, in milliseconds, with the Unix time of the sample. */
 interface HostTimes {
   readonly at: number
-  /** In which some task waited for the resource. */
+  /** Time in which some task waited for the resource; one value per entry of RESOURCES. */
   readonly pressure: readonly number[]
-  /** Taken away of each processor. */
+  /** Steal time of each processor. */
   readonly steal: readonly number[]
 }
 
-/** Takes samples while a run lasts; on systems that tell none of this it stays silent. */
+/** Takes samples during a run; records nothing on systems without these figures. */
 export class HostMonitor {
   private readonly samples: HostTimes[] = []
   private timer: NodeJS.Timeout | undefined
 
-  /** Begins to look. */
+  /** Starts sampling. */
   start (): void {
     this.timer = setInterval(() => this.takeSample(), SAMPLE_INTERVAL_MILLISECONDS)
   }
 
-  /** Looks no more. */
+  /** Stops sampling. */
   stop (): void {
     clearInterval(this.timer)
   }
 
-  /** @returns a sentence on the time; none where nothing is known of it */
+  /** @returns one sentence on the period; empty when no sample lies in the period */
   describe (from: number, to: number): string[] {
-    const seen = this.samples.filter(({ at }) => at >= from - SAMPLE_INTERVAL_MILLISECONDS && at <= to + SAMPLE_INTERVAL_MILLISECONDS)
-    const [first, last] = [seen[0], seen.at(-1)]
+    const samples = this.samples.filter(({ at }) => at >= from - SAMPLE_INTERVAL_MILLISECONDS && at <= to + SAMPLE_INTERVAL_MILLISECONDS)
+    const [first, last] = [samples[0], samples.at(-1)]
     if (first === undefined || last === undefined) return []
-    const short = RESOURCES.map((resource, index) => `${resource} ${increase(first.pressure, last.pressure, index)} ms`)
-    const stolen = Math.max(0, ...last.steal.map((_, index) => increase(first.steal, last.steal, index)))
-    return [`the host: tasks waited for ${short.join(', ')}; at most ${stolen} ms of one processor were taken away, in ${last.at - first.at} ms`]
+    const shortages = RESOURCES.map((resource, index) => `${resource} ${increase(first.pressure, last.pressure, index)} ms`)
+    const steal = Math.max(0, ...last.steal.map((_, index) => increase(first.steal, last.steal, index)))
+    return [`the host: tasks waited for ${shortages.join(', ')}; at most ${steal} ms steal time of one processor, in ${last.at - first.at} ms`]
   }
 
   private takeSample (): void {
--- a/packages/soak/src/observation/instance-logs.ts
+++ b/packages/soak/src/observation/instance-logs.ts
@@ -1,6 +1,6 @@
-/** What the instances logged, for the account of a violation. */
+/** Log lines of the instances, for the report of a violation. */
 
-/** Kept of each instance: more than a usual run writes, and a bound for large ones. */
+/** Maximum number of lines kept of each instance: more than a usual run writes, so that only large runs lose lines. */
 const MAXIMUM_LINES = 20_000
 const DEBUG = '"level":"debug"'
 
@@ -9,11 +9,11 @@
   readonly text: string
 }
 
-/** The newest lines of each instance. Times are those of this process, at which it read the line. */
+/** The latest log lines of each instance. The time of a line is the Unix time in milliseconds at which this process read it. */
 export class InstanceLogs {
   private readonly lines = new Map<string, InstanceLogLine[]>()
 
-  /** Keeps a line. */
+  /** Adds a line. */
   add (instance: string, text: string): void {
     const lines = this.lines.get(instance) ?? []
     this.lines.set(instance, lines)
@@ -21,23 +21,23 @@
     if (lines.length > MAXIMUM_LINES) lines.splice(0, MAXIMUM_LINES / 2)
   }
 
-  /** @returns lines that name the request, whenever they came */
+  /** @returns the lines of all instances and times that contain the request id */
   linesMentioning (request: string): string[] {
-    const name = JSON.stringify(request)
-    return [...this.lines].flatMap(([instance, lines]) => lines.filter(({ text }) => text.includes(name)).map((line) => formatLine(instance, line)))
+    const quotedId = JSON.stringify(request)
+    return [...this.lines].flatMap(([instance, lines]) => lines.filter(({ text }) => text.includes(quotedId)).map((line) => formatLine(instance, line)))
   }
 
-  /** @returns lines of an instance in the time that tell of more than single requests */
+  /** @returns lines of an instance in a period that concern more than a single request: no debug lines, none of the relay */
   instanceWideLines (instance: string, from: number, to: number): string[] {
-    const isTelling = ({ at, text }: InstanceLogLine): boolean => at >= from && at <= to && !text.includes(DEBUG) && !text.includes('"label":"relay"')
-    return (this.lines.get(instance) ?? []).filter(isTelling).map((line) => formatLine(instance, line))
+    const isInstanceWide = ({ at, text }: InstanceLogLine): boolean => at >= from && at <= to && !text.includes(DEBUG) && !text.includes('"label":"relay"')
+    return (this.lines.get(instance) ?? []).filter(isInstanceWide).map((line) => formatLine(instance, line))
   }
 
-  /** @returns the longest time in which an instance said nothing, milliseconds */
+  /** @returns the longest time in milliseconds in which an instance logged nothing */
   longestGap (instance: string, from: number, to: number): number {
-    const within = (this.lines.get(instance) ?? []).map(({ at }) => at).filter((at) => at >= from && at <= to)
-    const moments = [from, ...within, to]
-    return Math.max(...moments.slice(1).map((at, index) => at - (moments[index] ?? at)))
+    const times = (this.lines.get(instance) ?? []).map(({ at }) => at).filter((at) => at >= from && at <= to)
+    const boundaries = [from, ...times, to]
+    return Math.max(...boundaries.slice(1).map((at, index) => at - (boundaries[index] ?? at)))
   }
 }
 
--- a/packages/soak/src/observation/processor-monitor.ts
+++ b/packages/soak/src/observation/processor-monitor.ts
@@ -1,10 +1,10 @@
-/** Who had a processor: how late this process's own timers were, and how long each process ran and waited to run. */
+/** Samples use of the processors: the delay of this process's own timers, and how long each process ran and waited to run. */
 import { readFileSync } from 'node:fs'
 
 const SAMPLE_INTERVAL_MILLISECONDS = 100
 const NANOSECONDS_PER_MILLISECOND = 1_000_000
 
-/** What the system tells of a process's main thread since its start, milliseconds. */
+/** Cumulative times of a process's main thread since its start, in milliseconds. */
 interface ProcessorTimes {
   readonly ran: number
   readonly waited: number
@@ -19,13 +19,13 @@
   readonly milliseconds: number
 }
 
-/** A process to look at. */
+/** A process to sample. */
 export interface MonitoredProcess {
   readonly name: string
   readonly processId: number | undefined
 }
 
-/** Takes samples while a run lasts. */
+/** Takes samples during a run. */
 export class ProcessorMonitor {
   private readonly processes: () => readonly MonitoredProcess[]
   private readonly samples = new Map<string, Sample[]>()
@@ -33,28 +33,28 @@
   private timer: NodeJS.Timeout | undefined
   private plannedAt = 0
 
-  /** @param processes - those to look at now */
+  /** @param processes - returns the processes to sample at present */
   constructor (processes: () => readonly MonitoredProcess[]) {
     this.processes = processes
   }
 
-  /** Begins to look. */
+  /** Starts sampling. */
   start (): void {
     this.plannedAt = performance.now() + SAMPLE_INTERVAL_MILLISECONDS
     this.timer = setInterval(() => this.takeSample(), SAMPLE_INTERVAL_MILLISECONDS)
   }
 
-  /** Looks no more. */
+  /** Stops sampling. */
   stop (): void {
     clearInterval(this.timer)
   }
 
-  /** @returns how late this process's own timers were at most, milliseconds */
+  /** @returns the maximum delay of this process's own timers in a period, in milliseconds */
   maximumTimerDelay (from: number, to: number): number {
-    return Math.round(Math.max(0, ...this.lateness.filter((takeSample) => isWithin(takeSample, from, to)).map(({ milliseconds }) => milliseconds)))
+    return Math.round(Math.max(0, ...this.lateness.filter((delay) => isWithin(delay, from, to)).map(({ milliseconds }) => milliseconds)))
   }
 
-  /** @returns a sentence on this process's timers, and one for each process that was seen in the time */
+  /** @returns a sentence on this process's timers, and one for each process that was sampled in the period */
   describe (from: number, to: number): string[] {
     const sentences = [...this.samples].flatMap(([process, samples]) => describeProcess(process, samples.filter((sample) => isWithin(sample, from, to))))
     return [`timers of the soak were late by up to ${this.maximumTimerDelay(from, to)} ms`, ...sentences]
@@ -78,12 +78,12 @@
   }
 }
 
-/** @returns whether a look belongs to a time; one just before and after tell what passed in it */
+/** @returns whether a sample belongs to a period; the samples just before and after it are included, to cover it whole */
 function isWithin ({ at }: { readonly at: number }, from: number, to: number): boolean {
   return at >= from - SAMPLE_INTERVAL_MILLISECONDS && at <= to + SAMPLE_INTERVAL_MILLISECONDS
 }
 
-/** @returns the times; undefined where the process has ended, or on systems that do not tell them */
+/** @returns the times of a process; undefined when the process has ended or the system does not report them */
 function timesOf (processId: number): ProcessorTimes | undefined {
   try {
     const [ran, waited] = readFileSync(`/proc/${processId}/schedstat`, 'utf8').split(' ').map((nanoseconds) => Number(nanoseconds) / NANOSECONDS_PER_MILLISECOND)
--- a/packages/soak/src/observation/request-monitor.ts
+++ b/packages/soak/src/observation/request-monitor.ts
@@ -1,8 +1,8 @@
-/** What this process did with each request: on which connection it was written, how often, and when the answer began. */
+/** Records how this process sent each request: on which connection, how often, and when the response started. */
 import { subscribe, unsubscribe } from 'node:diagnostics_channel'
 import type { Socket } from 'node:net'
 
-/** One thing that happened to a request. */
+/** One event of a request, with its Unix time in milliseconds. */
 export interface RequestStep {
   readonly at: number
   readonly what: string
@@ -16,36 +16,36 @@
 
 const CONNECTED = 'undici:client:connected'
 const WRITTEN = 'undici:client:sendHeaders'
-const ANSWERED = 'undici:request:headers'
+const RESPONSE_STARTED = 'undici:request:headers'
 const REQUEST_ID = /^x-request-id: (\S+)/im
 
-/** Hears of the HTTP client's steps; a client that sends a request again by itself shows as a second one. */
+/** Listens to the diagnostics channels of the HTTP client. A request that the client retries by itself is recorded as written twice. */
 export class RequestMonitor {
   private readonly prefix: string
   private readonly steps = new Map<string, RequestStep[]>()
   private readonly connectedAt = new WeakMap<object, number>()
   private readonly ids = new WeakMap<object, string>()
 
-  /** @param prefix - of the ids of this run's requests; other runs may share the process */
+  /** @param prefix - prefix of the ids of this run's requests; other runs can share the process */
   constructor (prefix: string) {
     this.prefix = prefix
   }
 
-  /** Begins to listen. */
+  /** Starts listening. */
   start (): void {
     subscribe(CONNECTED, this.onConnected)
-    subscribe(WRITTEN, this.onWritten)
-    subscribe(ANSWERED, this.onAnswered)
+    subscribe(WRITTEN, this.onRequestWritten)
+    subscribe(RESPONSE_STARTED, this.onResponseStarted)
   }
 
-  /** Listens no more. */
+  /** Stops listening. */
   stop (): void {
     unsubscribe(CONNECTED, this.onConnected)
-    unsubscribe(WRITTEN, this.onWritten)
-    unsubscribe(ANSWERED, this.onAnswered)
+    unsubscribe(WRITTEN, this.onRequestWritten)
+    unsubscribe(RESPONSE_STARTED, this.onResponseStarted)
   }
 
-  /** @returns what happened to a request, in order */
+  /** @returns the recorded events of a request, in order */
   stepsOf (id: string): readonly RequestStep[] {
     return this.steps.get(id) ?? []
   }
@@ -54,7 +54,7 @@
     this.connectedAt.set((message as ClientMessage).socket, Date.now())
   }
 
-  private readonly onWritten = (message: unknown): void => {
+  private readonly onRequestWritten = (message: unknown): void => {
     const { request, headers, socket } = message as ClientMessage
     const id = REQUEST_ID.exec(headers)?.[1]
     if (id === undefined || !id.startsWith(this.prefix)) return
@@ -62,7 +62,7 @@
     this.addStep(id, `written on port ${socket.localPort}, connected at ${this.connectedAt.get(socket) ?? 'an unknown time'}`)
   }
 
-  private readonly onAnswered = (message: unknown): void => {
+  private readonly onResponseStarted = (message: unknown): void => {
     const id = this.ids.get((message as ClientMessage).request)
     if (id !== undefined) this.addStep(id, 'the answer began')
   }
--- a/packages/soak/src/soak-environment.ts
+++ b/packages/soak/src/soak-environment.ts
@@ -1,4 +1,4 @@
-/** The deployment under test and what a fault may do to it, from outside only: signals, links, the stand-ins' own faults. */
+/** The deployment under test, and the operations of faults on it. All act from outside: signals, network links and faults of the stand-ins. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { CuttableLink } from '@limpetwinch/load'
 import type { SeededRandom } from '@limpetwinch/load'
@@ -11,7 +11,7 @@
 
 const HANGUP_REASON = 'signal SIGHUP'
 
-/** How large a run is. */
+/** Size of the deployment of a run. */
 export interface SoakSize {
   readonly instances: number
   readonly engines: number
@@ -19,14 +19,14 @@
   readonly adapterSlots: number
 }
 
-/** One deployment in one run. */
+/** The deployment of one run. */
 export class SoakEnvironment {
   readonly record = new SoakRecord()
   readonly deployment: PlatformDeployment
   readonly random: SeededRandom
   private readonly links = new Map<number, CuttableLink>()
   private readonly intentionallyEnded = new Set<string>()
-  /** Instances that have written a line in their present life. */
+  /** Instances that have written a line in their current incarnation. */
   private readonly instancesWithOutput = new Set<string>()
   private readonly relaunches = new Map<number, Promise<void>>()
   private readonly seed: number
@@ -34,10 +34,10 @@
   private asked = 0
 
   /**
-   * @param size - how large
-   * @param seed - of the run
-   * @param random - of the faults
-   * @param onLog - gets each line of each instance
+   * @param size - size of the deployment
+   * @param seed - seed of the run
+   * @param random - random numbers of the faults
+   * @param onLog - receives each log line of each instance
    */
   constructor (size: SoakSize, seed: number, random: SeededRandom, onLog: (instance: string, line: string) => void) {
     this.seed = seed
@@ -59,7 +59,7 @@
     })
   }
 
-  /** @returns instances that callers are sent to now */
+  /** @returns the current instances, by index */
   get instances (): readonly LaunchedInstance[] {
     return this.deployment.instances
   }
@@ -77,27 +77,27 @@
   }
 
   /**
-   * Starts an instance again under its name and waits until it is ready. Faults overlap: one that finds the instance
-   * replaced already has nothing to start.
+   * Starts an instance again under its name and waits until the instance is ready. Does nothing if the instance has already been
+   * replaced, because faults can overlap.
    */
   async relaunch (index: number, ended: LaunchedInstance): Promise<void> {
-    const before = this.relaunches.get(index) ?? Promise.resolve()
-    const relaunched = before.then(async () => {
+    const previous = this.relaunches.get(index) ?? Promise.resolve()
+    const relaunched = previous.then(async () => {
       if (this.instances[index] !== ended) return
-      // Every way here has sent SIGKILL, or the process has ended: the wait is the kernel's own.
+      // Every caller has sent SIGKILL or seen the process end, so this waits for the kernel only.
       await ended.process.untilEnded()
       this.intentionallyEnded.delete(ended.name)
       this.instancesWithOutput.delete(ended.name)
       const launched = await this.deployment.launch(index)
       this.deployment.instances[index] = launched
-      // The next fault may end it before it is ready, and starts it again.
+      // Not a lost instance if another fault kills the process before it is ready: that fault starts it again.
       await this.deployment.untilReady(launched).catch((cause: unknown) => { if (!this.intentionallyEnded.has(ended.name)) this.record.addLostInstance(ended.name, String(cause)) })
     })
     this.relaunches.set(index, relaunched)
     await relaunched
   }
 
-  /** Sends a request to some instance on a connection of its own, and notes what came of it. */
+  /** Sends a request to a random instance on a new connection and records the response. */
   async sendRequest (request: Omit<SampleRequest, 'id'>): Promise<void> {
     const instance = this.random.pick(this.instances)
     const caller = new SampleCaller(instance.url)
@@ -108,13 +108,13 @@
     await caller.close()
   }
 
-  /** Writes a newer configuration. */
+  /** Writes a new configuration version. */
   changeConfiguration (): void {
     this.version += this.random.between(1, 3)
     this.deployment.configure(this.version)
   }
 
-  /** Ends all that this run started. @returns names of instances that had to be killed */
+  /** Stops all processes and links of this run. @returns names of instances that had to be killed */
   async stop (): Promise<string[]> {
     for (const instance of this.instances) this.signal(instance, 'SIGCONT')
     for (const { name } of this.instances) this.intentionallyEnded.add(name)
@@ -124,8 +124,8 @@
   }
 
   /**
-   * SIGHUP ends a process that has not run a line of the program yet; no program can help that, and the platform starts it
-   * again, as it does here. From the program's first line on it is a loss.
+   * Handles an unexpected end of an instance. SIGHUP ends a process that has not yet installed its signal handler, which no program
+   * can prevent; such an instance is started again, as the platform does. After the first output of the program, the end is recorded as a loss.
    */
   private lost (name: string, reason: string): void {
     if (this.intentionallyEnded.has(name)) return
@@ -139,8 +139,8 @@
     void this.relaunch(index, ended)
   }
 
-  /** Waits for a time between the two, milliseconds. */
-  async wait (least: number, most: number): Promise<void> {
-    await sleep(this.random.between(least, most))
+  /** Waits for a random time between two limits, in milliseconds. */
+  async wait (minimum: number, maximum: number): Promise<void> {
+    await sleep(this.random.between(minimum, maximum))
   }
 }
--- a/packages/soak/src/soak-record.ts
+++ b/packages/soak/src/soak-record.ts
@@ -1,17 +1,17 @@
-/** What a run saw: the faults it made, and the requests as callers saw them. Times are Unix milliseconds of this host. */
+/** Record of a run: the injected faults, and the requests as callers observed them. Times are Unix milliseconds of this host. */
 import type { SampleAnswer, SampleRequest } from '@limpetwinch/platform'
 
-/** A fault from its start to its end. */
+/** The period of a fault. */
 export interface FaultSpan {
   readonly kind: string
-  /** The instance or endpoint; undefined for the store. */
+  /** Instance or endpoint hit by the fault; undefined for the store, for all instances and for crashing requests. */
   readonly target: string | undefined
   readonly from: number
-  /** Infinity while it lasts. */
+  /** End of the fault; Infinity while the fault lasts. */
   to: number
 }
 
-/** A request and its answer. */
+/** A request and its response. */
 export interface ObservedRequest {
   readonly instance: string
   readonly request: SampleRequest
@@ -20,51 +20,51 @@
   readonly endedAt: number
 }
 
-/** An endpoint that began to leave. */
+/** An endpoint that started to leave. */
 export interface ObservedLeaving {
   readonly endpoint: string
   readonly at: number
 }
 
-/** A path whose requests crash the servers that run them, where their bodies say so. */
+/** A path whose requests crash the servers that run them, if the body of the request says so. */
 export interface CrashingPath {
-  /** Part of the path after the route's. */
+  /** Part of the path after the route's prefix. */
   readonly path: string
-  /** Into a run. */
+  /** Time from the start of a run to the crash. */
   readonly crashesAfterMilliseconds: number
 }
 
-/** An instance that ended though nothing ended it, or not when it was ended. */
+/** An instance that ended unexpectedly, did not end when told to, or did not get ready. */
 export interface LostInstance {
   readonly instance: string
   readonly reason: string
   readonly at: number
 }
 
-/** One run's record. */
+/** Record of one run. */
 export class SoakRecord {
   readonly faults: FaultSpan[] = []
   readonly requests: ObservedRequest[] = []
   readonly leavings: ObservedLeaving[] = []
   readonly crashingPaths: CrashingPath[] = []
-  /** Instances that ended though nothing ended them, or not when they were ended. */
+  /** Instances that ended unexpectedly, did not end when told to, or did not get ready. */
   readonly lost: LostInstance[] = []
-  /** Answers to requests sent when all faults were long over. */
+  /** Requests that were sent after recovery from all faults, with their responses. */
   readonly probes: ObservedRequest[] = []
 
-  /** Notes the start of a fault. @returns the span, to be ended */
+  /** Records the start of a fault. @returns its period, whose end the caller sets */
   beginFault (kind: string, target?: string): FaultSpan {
     const span: FaultSpan = { kind, target, from: Date.now(), to: Infinity }
     this.faults.push(span)
     return span
   }
 
-  /** Notes an instance that was lost. */
+  /** Records an instance as lost. */
   addLostInstance (instance: string, reason: string): void {
     this.lost.push({ instance, reason, at: Date.now() })
   }
 
-  /** @returns faults that overlap a time, widened by a margin on both sides */
+  /** @returns faults that overlap a period extended by a margin on both sides */
   faultsDuring (from: number, to: number, marginMilliseconds: number): FaultSpan[] {
     return this.faults.filter((fault) => fault.from <= to + marginMilliseconds && fault.to >= from - marginMilliseconds)
   }
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -1,4 +1,4 @@
-/** One run: a deployment, callers, faults in series and overlapping, and the checks. */
+/** One soak run: starts a deployment and callers, injects faults, which may overlap, and runs the checks. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { SeededRandom } from '@limpetwinch/load'
 import { SampleCaller } from '@limpetwinch/platform'
@@ -10,57 +10,58 @@
 import { SoakEnvironment } from './soak-environment.js'
 import type { SoakSize } from './soak-environment.js'
 
-/** Callers, each with a connection that it keeps. */
+/** Number of callers per instance; each caller keeps one connection open. */
 const CALLERS_PER_INSTANCE = 4
-/** Engines have somebody to order them, and instances have found each other. */
+/** Time after the start in which load owners are elected and instances discover each other. */
 const SETTLE_MILLISECONDS = 3_000
-/** After the last fault: leases pass, entries lapse, connections are made anew. */
+/** Time after the last fault in which leases and entries expire and connections are re-established. */
 const RECOVERY_MILLISECONDS = 9_000
-/** Enough that one in ten may fail by chance and a lost instance still shows. */
+/** Large enough to detect a lost instance although one request in ten may fail by chance. */
 const PROBE_COUNT = 24
-/** A cold adapter's load and a stream of the most events fit in several times. */
+/** Several times the duration of the load of a cold adapter and a stream of maximum length. */
 const PROBE_DEADLINE_MILLISECONDS = 6_000
-/** More adapters than slots, so that some must make way. */
+/** Above 1, so that there are more adapters than slots and some must be evicted. */
 const ADAPTERS_PER_SLOT = 1.3
 const MINIMUM_EVENTS = 4
 const MAXIMUM_EVENTS = 30
-/** Some end while their stream still runs, some while their adapter is loaded, some never; milliseconds. */
+/** The deadlines pass during a stream, during an adapter load, or not at all. */
 const DEADLINES_MILLISECONDS = [1_500, 4_000, 8_000] as const
-/** Between two requests of a caller, milliseconds: about ten a second reach each instance. */
+/** Pause between two requests of a caller; gives about ten requests per second at each instance. */
 const THINK_TIME_MILLISECONDS = { minimum: 20, maximum: 250 }
 
-/** What is run. */
+/** Parameters of a run. */
 export interface SoakPlan {
   readonly seed: number
+  /** Length of the period in which faults start. */
   readonly seconds: number
   readonly size: SoakSize
-  /** Faults to choose from; none for a run in which nothing goes wrong. */
+  /** Faults to choose from; empty for a run without faults. */
   readonly faults: readonly SoakFault[]
-  /** How many happen. */
+  /** Number of faults to inject. */
   readonly faultCount: number
   readonly onLog: (instance: string, line: string) => void
 }
 
-/** A broken promise. */
+/** A violation of a guarantee. */
 export interface SoakViolation {
   readonly promise: string
   readonly message: string
-  /** What was seen around it, in sentences. */
+  /** Observations around the violation, in sentences. */
   readonly account: readonly string[]
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface SoakOutcome {
   readonly seed: number
   readonly requests: number
   readonly served: number
   readonly faults: readonly string[]
-  /** How late the soak's own timers were at most, milliseconds: how far times of this run can be off. */
+  /** Maximum delay of the soak's own timers: the possible error of all times of this run. */
   readonly lateMilliseconds: number
   readonly violations: readonly SoakViolation[]
 }
 
-/** Runs one plan. */
+/** Executes one plan. */
 export class SoakRun {
   private readonly plan: SoakPlan
   private readonly random: SeededRandom
@@ -79,7 +80,7 @@
     this.monitor = new RunMonitor(`s${plan.seed}-`, () => this.environment.instances.map(({ name, process }) => ({ name, processId: process.processId })))
   }
 
-  /** @returns what it came to; everything that it started has ended then */
+  /** @returns the result; all processes that the run started have ended by then */
   async run (): Promise<SoakOutcome> {
     const { record, deployment } = this.environment
     this.monitor.start()
@@ -112,15 +113,15 @@
 
   private async makeFaults (): Promise<void> {
     const { faults, faultCount, seconds } = this.plan
-    const length = seconds * 1_000
-    const planned = faults.length === 0 ? [] : Array.from({ length: faultCount }, () => ({ after: this.random.between(0, length), fault: this.random.pick(faults) }))
-    await Promise.all([sleep(length), ...planned.map(async ({ after, fault }) => {
+    const periodMilliseconds = seconds * 1_000
+    const planned = faults.length === 0 ? [] : Array.from({ length: faultCount }, () => ({ after: this.random.between(0, periodMilliseconds), fault: this.random.pick(faults) }))
+    await Promise.all([sleep(periodMilliseconds), ...planned.map(async ({ after, fault }) => {
       await sleep(after)
       await fault.run(this.environment)
     })])
   }
 
-  /** One caller: keeps its connection as long as it holds, then goes to some other instance. */
+  /** Runs one caller: it keeps its connection until the connection fails, then picks a random instance. */
   private async call (): Promise<void> {
     const random = new SeededRandom(this.random.between(1, 2 ** 30))
     while (!this.over) {
@@ -128,9 +129,9 @@
       const caller = new SampleCaller(instance.url)
       let usable = true
       while (usable && !this.over) {
-        const seen = await this.send(caller, instance.name, this.request(random))
-        this.environment.record.requests.push(seen)
-        usable = seen.answer.failure === undefined
+        const observed = await this.send(caller, instance.name, this.request(random))
+        this.environment.record.requests.push(observed)
+        usable = observed.answer.failure === undefined
         await sleep(random.between(THINK_TIME_MILLISECONDS.minimum, THINK_TIME_MILLISECONDS.maximum))
       }
       await caller.close()
@@ -159,9 +160,9 @@
     const id = `s${this.plan.seed}-${this.sent++}`
     const deadlineMilliseconds = random.pick(DEADLINES_MILLISECONDS)
     if (route === 'list' || route === 'enter') return { id, route, deadlineMilliseconds }
-    const adapters = Math.ceil(engines * adapterSlots * ADAPTERS_PER_SLOT)
-    // The smaller of two choices: low numbers are asked for more often.
-    const adapter = `a${Math.min(random.between(1, adapters), random.between(1, adapters))}`
+    const adapterCount = Math.ceil(engines * adapterSlots * ADAPTERS_PER_SLOT)
+    // The smaller of two random numbers, so that adapters with low numbers are requested more often.
+    const adapter = `a${Math.min(random.between(1, adapterCount), random.between(1, adapterCount))}`
     return { id, route, adapter, events: random.between(MINIMUM_EVENTS, MAXIMUM_EVENTS), deadlineMilliseconds }
   }
 }
--- a/packages/soak/test/checks.test.ts
+++ b/packages/soak/test/checks.test.ts
@@ -1,5 +1,5 @@
-// Each check is shown evidence in which just its own promise is broken, and evidence in which it is kept or excused. A check
-// that finds nothing in a soak is worth only as much as this shows.
+// Guards against a check that never finds a violation. Each check gets evidence in which only its own guarantee is violated, and evidence
+// in which the guarantee holds or a fault excuses the violation.
 import { describe, expect, it } from 'vitest'
 import type { SampleAnswer, SampleRequest, StandInRun } from '@limpetwinch/platform'
 import { SOAK_CHECKS } from '../src/checks/index.js'
@@ -24,14 +24,14 @@
   return { request: 'r', at: AT, path: '/', adapter: undefined, version: undefined, after: 0, outcome: 'finished', ...change }
 }
 
-interface Made {
+interface EvidenceOptions {
   readonly record?: SoakRecord
   readonly runs?: readonly StandInRun[]
   readonly orders?: readonly { at: number, holder: string, status: number }[]
   readonly mostOccupied?: number
 }
 
-function evidence ({ record = new SoakRecord(), runs = [], orders = [], mostOccupied = SLOTS }: Made): SoakEvidence {
+function evidence ({ record = new SoakRecord(), runs = [], orders = [], mostOccupied = SLOTS }: EvidenceOptions): SoakEvidence {
   const engine = { options: { id: 'engine' }, runs, orders, mostOccupied }
   return { record, deployment: { engines: [engine], webServers: [] } as unknown as SoakEvidence['deployment'], adapterSlots: SLOTS }
 }
@@ -42,13 +42,13 @@
   return record
 }
 
-/** @returns the promises that the checks find broken */
-function broken (made: Made): string[] {
+/** @returns names of the guarantees that the checks find violated */
+function violated (made: EvidenceOptions): string[] {
   return SOAK_CHECKS.filter((check) => check.violations(evidence(made)).length > 0).map(({ promise }) => promise)
 }
 
-/** A request that crashes servers: three runs in the first seconds, and so many more long after. */
-function crashing (late: number, target?: string): Made {
+/** @returns evidence of a request that crashes servers: three runs within the first second, and a number of late runs after ten seconds */
+function crashing (late: number, target?: string): EvidenceOptions {
   const begins = [0, 500, 1_000, ...Array.from({ length: late }, (_, index) => 10_000 + index * 10)]
   const record = recordOf((made) => {
     made.crashingPaths.push({ path: 'crashing', crashesAfterMilliseconds: 80 })
@@ -60,33 +60,33 @@
 
 const EVENTS = [{ id: 1, adapter: 'a1', version: 1 }, { id: 2, adapter: 'a1', version: 1 }]
 
-function stream (change: Partial<SampleAnswer>): Made {
+function stream (change: Partial<SampleAnswer>): EvidenceOptions {
   return { record: recordOf((record) => record.requests.push(seen({ route: 'draft', adapter: 'a1', events: 2 }, { events: EVENTS, ...change }))) }
 }
 
 describe('the checks of the soak', () => {
-  it('find nothing in a run that kept every promise', () => {
-    expect(broken(stream({}))).toEqual([])
-    expect(broken({ ...stream({}), runs: [run({ adapter: 'a1' })] })).toEqual([])
+  it('find nothing in a run without violations', () => {
+    expect(violated(stream({}))).toEqual([])
+    expect(violated({ ...stream({}), runs: [run({ adapter: 'a1' })] })).toEqual([])
   })
 
-  it.each<[string, string, Made]>([
+  it.each<[string, string, EvidenceOptions]>([
     ['an event that is missing', 'whole-answer', stream({ events: [EVENTS[0]!, { ...EVENTS[1]!, id: 3 }] })],
-    ['an event that comes twice', 'whole-answer', stream({ events: [EVENTS[0]!, EVENTS[0]!] })],
+    ['an event that is received twice', 'whole-answer', stream({ events: [EVENTS[0]!, EVENTS[0]!] })],
     ['an event of another adapter', 'whole-answer', stream({ events: [EVENTS[0]!, { ...EVENTS[1]!, adapter: 'a2' }] })],
-    ['a stream that ends early as if whole', 'whole-answer', stream({ events: [EVENTS[0]!] })],
-    ['an answer long after the deadline', 'every-request-ended', { record: recordOf((record) => record.requests.push(seen({}, { milliseconds: 2_100 }))) }],
-    ['a request that a planned stop cut off', 'planned-stop', {
+    ['a truncated stream that ends as if complete', 'whole-answer', stream({ events: [EVENTS[0]!] })],
+    ['a response long after the deadline', 'every-request-ended', { record: recordOf((record) => record.requests.push(seen({}, { milliseconds: 2_100 }))) }],
+    ['a request that a planned stop truncated', 'planned-stop', {
       record: recordOf((record) => {
         record.requests.push(seen({}, { status: undefined, whole: false, failure: 'other side closed', milliseconds: 900 }))
         record.faults.push({ kind: 'stop-instance', target: 'one', from: AT + 400, to: AT + 3_000 })
       })
     }],
-    ['callers that are not served when all is over', 'recovery', { record: recordOf((record) => record.probes.push(seen({}, { status: 503, saysNotRun: true }))) }],
+    ['requests that are not served after all faults', 'recovery', { record: recordOf((record) => record.probes.push(seen({}, { status: 503, saysNotRun: true }))) }],
     ['an instance that ended by itself', 'no-lost-instance', { record: recordOf((record) => record.addLostInstance('one', 'exit code 1')) }],
-    ['a second run of what may run once', 'at-most-once', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }))), runs: [run(), run()] }],
-    ['a run of what was said not to have run', 'not-run', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }, { status: 503, saysNotRun: true }))), runs: [run()] }],
-    ['a run that nobody sent', 'right-adapter', { runs: [run({ request: 'unknown' })] }],
+    ['a second run of a request that may run once', 'at-most-once', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }))), runs: [run(), run()] }],
+    ['a run of a request whose response says that it has not run', 'not-run', { record: recordOf((record) => record.requests.push(seen({ route: 'enter' }, { status: 503, saysNotRun: true }))), runs: [run()] }],
+    ['a run without a request', 'right-adapter', { runs: [run({ request: 'unknown' })] }],
     ['a run by another adapter', 'right-adapter', { ...stream({}), runs: [run({ adapter: 'a2' })] }],
     ['new work on a leaving endpoint', 'leaving-endpoint', {
       record: recordOf((record) => {
@@ -96,17 +96,17 @@
       runs: [run({ at: AT + 2_001 })]
     }],
     ['more adapters than slots', 'slots', { mostOccupied: SLOTS + 1 }],
-    ['a request that goes on crashing servers', 'crash-budget', crashing(4)],
-    ['a request that is held back and crashes nothing', 'no-false-blame', {
+    ['a request that keeps crashing servers', 'crash-budget', crashing(4)],
+    ['a harmless request that is quarantined', 'no-false-blame', {
       record: recordOf((record) => record.requests.push(seen({ body: 'harmless' }, { status: 429, saysNotRun: true, text: '{"error":{"code":"request_quarantined"}}' })))
     }],
-    ['two holders within a lease', 'one-holder', { orders: [{ at: AT, holder: 'one', status: 202 }, { at: AT + 2_999, holder: 'two', status: 200 }] }]
+    ['two load owners within a lease', 'one-holder', { orders: [{ at: AT, holder: 'one', status: 202 }, { at: AT + 2_999, holder: 'two', status: 200 }] }]
   ])('find %s', (_what, promise, made) => {
-    expect(broken(made)).toEqual([promise])
+    expect(violated(made)).toEqual([promise])
   })
 
-  it('excuse work on a leaving endpoint only beside a fault of something else', () => {
-    const made = (target: string): Made => ({
+  it('excuse new work on a leaving endpoint only during a fault of another target', () => {
+    const made = (target: string): EvidenceOptions => ({
       record: recordOf((record) => {
         record.leavings.push({ endpoint: 'engine', at: AT })
         record.requests.push(seen({}))
@@ -114,24 +114,24 @@
       }),
       runs: [run({ at: AT + 2_001 })]
     })
-    expect([broken(made('engine')), broken(made('one'))]).toEqual([['leaving-endpoint'], []])
+    expect([violated(made('engine')), violated(made('one'))]).toEqual([['leaving-endpoint'], []])
   })
 
-  it('allow three late runs of a request that crashes servers, and those of an instance that was disturbed', () => {
-    expect([broken(crashing(3)), broken(crashing(4, 'one')), broken(crashing(4, 'two'))]).toEqual([[], [], ['crash-budget']])
+  it('allow three late runs of a request that crashes servers, and more when a fault hit the sending instance', () => {
+    expect([violated(crashing(3)), violated(crashing(4, 'one')), violated(crashing(4, 'two'))]).toEqual([[], [], ['crash-budget']])
   })
 
-  it('count orders that the engine refused by their token for nothing', () => {
-    expect(broken({ orders: [{ at: AT, holder: 'one', status: 202 }, { at: AT + 100, holder: 'two', status: 412 }, { at: AT + 200, holder: 'one', status: 200 }] })).toEqual([])
+  it('ignore orders that the engine refused because of a stale token', () => {
+    expect(violated({ orders: [{ at: AT, holder: 'one', status: 202 }, { at: AT + 100, holder: 'two', status: 412 }, { at: AT + 200, holder: 'one', status: 200 }] })).toEqual([])
   })
 
-  it('excuse a late answer of an instance that was itself disturbed, and of no other', () => {
-    const made = (target: string): Made => ({
+  it('excuse a late response only during a fault of the instance that sent it', () => {
+    const made = (target: string): EvidenceOptions => ({
       record: recordOf((record) => {
         record.requests.push(seen({}, { milliseconds: 2_100 }))
         record.faults.push({ kind: 'pause-instance', target, from: AT + 100, to: AT + 2_000 })
       })
     })
-    expect([broken(made('one')), broken(made('two'))]).toEqual([[], ['every-request-ended']])
+    expect([violated(made('one')), violated(made('two'))]).toEqual([[], ['every-request-ended']])
   })
 })
--- a/packages/soak/test/soak.failure.test.ts
+++ b/packages/soak/test/soak.failure.test.ts
@@ -1,28 +1,28 @@
-// Callers keep their connections while instances are killed, stopped and paused and the store goes away. The seeds are those
-// of a short run and those that ever failed; each must keep every promise.
+// Guards against violations of any guarantee while instances are killed, stopped and paused and the store fails, with callers that keep
+// their connections open. The seeds are that of a short run and those that have failed before.
 import { describe, expect, it } from 'vitest'
 import { SOAK_FAULTS, SoakRun } from '../src/index.js'
 
-const SMALL = { seconds: 6, size: { instances: 2, engines: 2, webServers: 1, adapterSlots: 3 }, faultCount: 4 }
-const USUAL = { seconds: 15, size: { instances: 3, engines: 4, webServers: 2, adapterSlots: 4 }, faultCount: 6 }
+const SMALL_RUN = { seconds: 6, size: { instances: 2, engines: 2, webServers: 1, adapterSlots: 3 }, faultCount: 4 }
+const USUAL_RUN = { seconds: 15, size: { instances: 3, engines: 4, webServers: 2, adapterSlots: 4 }, faultCount: 6 }
 
-/** The plan of a seed follows from the faults that there were when it failed. */
-const FIRST_FAULTS = SOAK_FAULTS.filter(({ kind }) => kind !== 'crashing-request')
-const CRASHING = SOAK_FAULTS.filter(({ kind }) => kind === 'crashing-request')
+/** The faults that existed when the seeds failed: which faults a seed selects depends on this list. */
+const EARLIER_FAULTS = SOAK_FAULTS.filter(({ kind }) => kind !== 'crashing-request')
+const CRASHING_REQUESTS = SOAK_FAULTS.filter(({ kind }) => kind === 'crashing-request')
 
 describe('a short soak', () => {
   it.each([
-    // An instance that a second fault killed while it started was taken for lost: the soak's own fault.
-    { seed: 7, ...SMALL, faults: FIRST_FAULTS },
-    // SIGHUP ended an instance that was starting: within the program, where it is handled from the first line on now, or
-    // before it, where the platform's restart makes it good.
-    { seed: 110, ...USUAL, faults: FIRST_FAULTS },
-    // An instance that was told to stop a second time ended at once, under the requests that it let run on.
-    { seed: 940_003, ...USUAL, faults: FIRST_FAULTS },
-    // A request crashed each server that it came to, and was sent to the next one, by all instances.
-    { seed: 3_001, ...USUAL, faultCount: 2, faults: CRASHING },
-    // A harmless request was held back for two tries on endpoints that had crashed: neither had reached one.
-    { seed: 3_006, ...USUAL, faultCount: 2, faults: CRASHING }
+    // The soak itself recorded an instance as lost that a second fault killed during its start.
+    { seed: 7, ...SMALL_RUN, faults: EARLIER_FAULTS },
+    // SIGHUP ended an instance that was starting. The program now handles the signal from its first line on; an instance that the
+    // signal ends earlier is restarted by the platform.
+    { seed: 110, ...USUAL_RUN, faults: EARLIER_FAULTS },
+    // An instance that received a second stop signal ended at once and truncated the requests that were still running.
+    { seed: 940_003, ...USUAL_RUN, faults: EARLIER_FAULTS },
+    // A request crashed each server that ran it, and all instances retried it on the next server.
+    { seed: 3_001, ...USUAL_RUN, faultCount: 2, faults: CRASHING_REQUESTS },
+    // A harmless request was quarantined after two attempts on crashed endpoints, although neither attempt had reached an endpoint.
+    { seed: 3_006, ...USUAL_RUN, faultCount: 2, faults: CRASHING_REQUESTS }
   ])('keeps every promise with seed $seed', async (plan) => {
     const outcome = await new SoakRun({ ...plan, onLog: () => {} }).run()
     expect(outcome.violations).toEqual([])
