--- a/packages/stand-ins/src/bin/limpetwinch-develop.ts
+++ b/packages/stand-ins/src/bin/limpetwinch-develop.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts a whole deployment for development and sends it sample requests; the only program that starts processes. */
+/** Command that starts a complete deployment of local processes for development and sends sample requests to it. */
 import { Command, Flags } from '@oclif/core'
 import { createLogger } from '@limpetwinch/core'
 import { Deployment } from '../develop/deployment.js'
@@ -7,32 +7,32 @@
 import { sendSamples } from '../develop/sample-requests.js'
 import { runBinary } from './serve-stand-in.js'
 
-/** How far the demonstration came. */
+/** Outcome of the demonstration with sample requests. */
 type Demonstration = 'answered' | 'not answered' | 'not started' | 'interrupted'
 
 class DevelopCommand extends Command {
-  static override description = 'Starts stand-ins and two entry instances, puts sample settings in and sends sample requests.'
+  static override description = 'Starts stand-ins and two entry instances, writes sample settings and sends sample requests.'
 
   static override flags = {
-    once: Flags.boolean({ default: false, description: 'end after the sample requests: 0 when all were answered as expected' }),
-    logs: Flags.boolean({ default: false, description: 'pass on what the processes log' })
+    once: Flags.boolean({ default: false, description: 'exit after the sample requests, with code 0 if all responses were as expected' }),
+    logs: Flags.boolean({ default: false, description: 'print the log lines of the processes' })
   }
 
   override async run (): Promise<void> {
     const { flags } = await this.parse(DevelopCommand)
     const deployment = new Deployment(createLogger('text', 'info').part('develop'), flags.logs)
     const interruption = new Interruption()
-    const shown = await Promise.race([this.demonstrate(deployment, !flags.once), interruption.happened.then((): Demonstration => 'interrupted')])
-    const stays = !flags.once && shown !== 'not started'
-    if (stays) await interruption.happened
+    const demonstration = await Promise.race([this.demonstrate(deployment, !flags.once), interruption.happened.then((): Demonstration => 'interrupted')])
+    const keepsRunning = !flags.once && demonstration !== 'not started'
+    if (keepsRunning) await interruption.happened
     await deployment.stop()
-    process.exitCode = (stays || shown === 'answered') && deployment.lost.length === 0 ? 0 : 1
+    process.exitCode = (keepsRunning || demonstration === 'answered') && deployment.lost.length === 0 ? 0 : 1
   }
 
-  private async demonstrate (deployment: Deployment, stays: boolean): Promise<Demonstration> {
+  private async demonstrate (deployment: Deployment, keepsRunning: boolean): Promise<Demonstration> {
     const started = await deployment.start()
     if (started.isErr()) {
-      this.explain(started.error.message, deployment)
+      this.printFailure(started.error.message, deployment)
       return 'not started'
     }
     let failed = 0
@@ -41,24 +41,24 @@
       for (const outcome of outcomes) this.log(outcome.line)
       failed += outcomes.filter((outcome) => !outcome.passed).length
     }
-    if (failed > 0) this.explain(`${failed} sample requests were not answered as expected.`, deployment)
-    if (stays) this.log(this.directions(started.value, deployment))
+    if (failed > 0) this.printFailure(`${failed} sample requests did not get the expected response.`, deployment)
+    if (keepsRunning) this.log(this.instructions(started.value, deployment))
     return failed === 0 ? 'answered' : 'not answered'
   }
 
-  private explain (problem: string, deployment: Deployment): void {
+  private printFailure (problem: string, deployment: Deployment): void {
     this.logToStderr(problem)
     for (const line of deployment.recentLines()) this.logToStderr(line)
   }
 
-  private directions ({ platform, engines, services, entries }: RunningDeployment, deployment: Deployment): string {
+  private instructions ({ platform, engines, services, entries }: RunningDeployment, deployment: Deployment): string {
     const body = '{"model": "athletics/justification", "stream": true, "messages": [{"role": "user", "content": "Hello"}]}'
     return [
       '',
-      'Send a request (each run makes new keys):',
+      'Send a request (each run creates new keys):',
       `  curl -N ${entries[0]?.caller ?? ''}/v1/chat/completions -H 'Authorization: Bearer ${deployment.callerKey.key}' \\`,
       `    -H 'Content-Type: application/json' -d '${body}'`,
-      'Where to look:',
+      'URLs and keys:',
       ...entries.map((entry) => `  ${entry.name}: callers ${entry.caller}, operators ${entry.admin}`),
       `  operators' key: ${deployment.administratorKey.key}`,
       `  platform: ${platform}/objects?prefix=/settings, ${platform}/instances, ${platform}/control/calls`,
@@ -68,8 +68,9 @@
   }
 }
 
-/** The reader's wish to end. */
+/** Waits for the signal that ends the program. */
 class Interruption {
+  /** Resolves on SIGINT or SIGTERM. */
   readonly happened = new Promise<void>((resolve) => {
     process.once('SIGINT', resolve)
     process.once('SIGTERM', resolve)
--- a/packages/stand-ins/src/bin/limpetwinch-stand-in-platform.ts
+++ b/packages/stand-ins/src/bin/limpetwinch-stand-in-platform.ts
@@ -1,19 +1,19 @@
 #!/usr/bin/env node
-/** The stand-in platform as a process. */
+/** Command that runs the stand-in platform as a process. */
 import { Flags } from '@oclif/core'
 import { platformFaultsSchema } from '../platform/platform-bodies.js'
 import { PLATFORM_DEFAULTS, StandInPlatform } from '../platform/stand-in-platform.js'
 import { commonFlags, runBinary, StandInCommand } from './serve-stand-in.js'
 
 class PlatformCommand extends StandInCommand {
-  static override description = 'Serves the stand-in platform: object API, instance list and weight store.'
+  static override description = 'Serves the stand-in platform, with an object API, an instance list and a weight store.'
 
   static override flags = {
     ...commonFlags,
-    'reads-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.readsPerSecond, min: 1, description: 'reads and watches allowed a second' }),
-    'writes-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.writesPerSecond, min: 1, description: 'writes allowed a second' }),
-    'loads-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.loadsPerSecond, min: 1, description: 'transfers of weights a second, one at a time' }),
-    'list-lag': Flags.integer({ default: PLATFORM_DEFAULTS.listLag, min: 0, description: 'milliseconds by which the instance list is late' })
+    'reads-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.readsPerSecond, min: 1, description: 'maximum number of reads and watches per second' }),
+    'writes-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.writesPerSecond, min: 1, description: 'maximum number of writes per second' }),
+    'loads-per-second': Flags.integer({ default: PLATFORM_DEFAULTS.loadsPerSecond, min: 1, description: 'number of weight transfers per second when one runs at a time' }),
+    'list-lag': Flags.integer({ default: PLATFORM_DEFAULTS.listLag, min: 0, description: 'delay of the instance list, in milliseconds' })
   }
 
   override async run (): Promise<void> {
--- a/packages/stand-ins/src/bin/limpetwinch-stand-in-service.ts
+++ b/packages/stand-ins/src/bin/limpetwinch-stand-in-service.ts
@@ -1,11 +1,11 @@
 #!/usr/bin/env node
-/** The stand-in plain service as a process. */
+/** Command that runs the stand-in plain service as a process. */
 import { Flags } from '@oclif/core'
 import { serviceFaultsSchema, StandInService } from '../service/stand-in-service.js'
 import { commonFlags, runBinary, StandInCommand } from './serve-stand-in.js'
 
 class ServiceCommand extends StandInCommand {
-  static override description = 'Serves the stand-in plain service, which echoes and counts what it ran.'
+  static override description = 'Serves the stand-in plain service, which echoes requests and records those it ran.'
 
   static override flags = {
     ...commonFlags,
--- a/packages/stand-ins/src/bin/serve-stand-in.ts
+++ b/packages/stand-ins/src/bin/serve-stand-in.ts
@@ -1,24 +1,24 @@
-/** What the binaries of the stand-ins share. */
+/** Flags and functions shared by the commands of the stand-ins. */
 import { Command, Flags } from '@oclif/core'
 import { LimpetwinchError } from '@limpetwinch/core'
 import { z } from 'zod'
 import type { StandInServer } from '../http/stand-in-server.js'
 
-/** Flags of every stand-in. */
+/** Flags that all stand-ins have. */
 export const commonFlags = {
-  host: Flags.string({ default: '127.0.0.1', description: 'IP number to listen on' }),
-  port: Flags.integer({ default: 0, min: 0, max: 65_535, description: 'port to listen on; 0 picks a free one' }),
+  host: Flags.string({ default: '127.0.0.1', description: 'IP address to listen on' }),
+  port: Flags.integer({ default: 0, min: 0, max: 65_535, description: 'port to listen on; 0 selects a free port' }),
   history: Flags.string({ description: 'file to append history lines to' }),
-  faults: Flags.string({ default: '{}', description: 'faults from the start: a JSON object as for POST /control/faults' })
+  faults: Flags.string({ default: '{}', description: 'initial faults, as a JSON object in the format of POST /control/faults' })
 }
 
-/** A binary that serves one stand-in until it is told to end. */
+/** A command that serves one stand-in until SIGTERM or SIGINT. */
 export abstract class StandInCommand extends Command {
   /**
-   * Listens, says so on standard output, and ends cleanly on SIGTERM and SIGINT.
+   * Starts the server, writes its URL to standard output, and closes the server on SIGTERM or SIGINT.
    *
    * @param server - the stand-in
-   * @param address - where to listen
+   * @param address - port and IP address to listen on
    */
   protected async serve (server: StandInServer, address: { port: number, host: string }): Promise<void> {
     if (process.env['UV_USE_IO_URING'] !== undefined && process.env['UV_USE_IO_URING'] !== '0') {
@@ -33,7 +33,7 @@
     await server.close()
   }
 
-  /** @returns the faults given by flag */
+  /** @returns the faults of the `--faults` flag; ends the program with exit code 2 if the flag is invalid */
   protected parseFaults<Faults> (text: string, schema: z.ZodType<Faults>): Faults {
     let body: unknown
     try {
@@ -47,14 +47,14 @@
   }
 }
 
-/** A command class of oclif, as far as it is needed here. */
+/** The members of an oclif command class that are used here. */
 interface BinaryCommand {
   readonly description?: string | undefined
   readonly flags: Readonly<Record<string, { readonly description?: string | undefined, readonly default?: unknown }>>
   run: (argv: string[], root: string) => Promise<unknown>
 }
 
-/** Runs a single command of oclif as the whole binary. */
+/** Runs an oclif command as a program of its own. */
 export async function runBinary (command: BinaryCommand, root: string): Promise<void> {
   if (process.argv.includes('--help')) {
     process.stdout.write(helpOf(command))
@@ -69,11 +69,11 @@
   }
 }
 
-/** oclif's own help needs a command that was found by name, which the one command of a binary is not. */
+/** @returns the help text. oclif's own help works only for commands that are found by name, not for the only command of a program. */
 function helpOf (command: BinaryCommand): string {
   const lines = Object.entries(command.flags).map(([name, flag]) => {
-    const standard = flag.default === undefined ? '' : ` [default: ${String(flag.default)}]`
-    return `  --${name.padEnd(24)} ${flag.description ?? ''}${standard}`
+    const defaultText = flag.default === undefined ? '' : ` [default: ${String(flag.default)}]`
+    return `  --${name.padEnd(24)} ${flag.description ?? ''}${defaultText}`
   })
   return `${command.description ?? ''}\n\n${lines.join('\n')}\n`
 }
--- a/packages/stand-ins/src/develop/deployment.ts
+++ b/packages/stand-ins/src/develop/deployment.ts
@@ -1,4 +1,4 @@
-/** The development deployment: which processes there are, and how they learn of each other. */
+/** The development deployment: its processes, and the settings and registrations by which they find each other. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -15,14 +15,14 @@
 import type { DevelopmentKey, SampleEngine, SampleService, SettingsFile } from './sample-settings.js'
 import { untilSettingsInForce, untilReady } from './until-ready.js'
 
-/** An entry instance that listens. */
+/** An entry instance that is listening, with its URLs for callers and operators. */
 export interface RunningEntry {
   readonly name: string
   readonly caller: string
   readonly admin: string
 }
 
-/** Everything that runs, for the reader. */
+/** URLs and endpoints of a running deployment. */
 export interface RunningDeployment {
   readonly platform: string
   readonly engines: readonly SampleEngine[]
@@ -45,11 +45,11 @@
   instance: z.string()
 })
 
-/** Starts and ends the processes of one deployment. */
+/** Starts and stops the processes of one deployment. */
 export class Deployment {
   readonly callerKey: DevelopmentKey = makeKey()
   readonly administratorKey: DevelopmentKey = makeKey()
-  /** Processes that ended though nobody stopped them, or had to be killed. */
+  /** Names of processes that ended unexpectedly or had to be killed. */
   readonly lost: string[] = []
   private readonly processes: LaunchedProcess[] = []
   private readonly logger: Logger
@@ -58,15 +58,15 @@
   private stopping = false
 
   /**
-   * @param logger - where to report
-   * @param forwardsLines - whether to pass on what the processes write
+   * @param logger - logger for processes that fail
+   * @param forwardsLines - whether to print the log lines of the processes
    */
   constructor (logger: Logger, forwardsLines: boolean) {
     this.logger = logger
     this.forwardsLines = forwardsLines
   }
 
-  /** @returns what runs, or the first failure; {@link Deployment.stop} is needed in both cases */
+  /** @returns the running deployment, or the first failure; {@link Deployment.stop} must be called in both cases */
   async start (): Promise<Result<RunningDeployment, LimpetwinchError>> {
     this.folder = await mkdtemp(join(tmpdir(), 'limpetwinch-develop-'))
     const platform = await this.startStandIn('platform', 'platform', [])
@@ -81,12 +81,12 @@
     const entries = await this.startEntries(platform.value)
     if (entries.isErr()) return err(entries.error)
     const files = sampleSettings(this.callerKey, engines.value, services.value)
-    const settled = await this.putSettings(entries.value, files)
-    if (settled.isErr()) return err(settled.error)
+    const written = await this.putSettings(entries.value, files)
+    if (written.isErr()) return err(written.error)
     return ok({ platform: platform.value, engines: engines.value, services: services.value, entries: entries.value })
   }
 
-  /** Ends all processes, entry instances first, so that they can say goodbye. */
+  /** Stops all processes. Entry instances are stopped first, so that the platform and the endpoints are still available during their shutdown. */
   async stop (): Promise<void> {
     this.stopping = true
     const entries = this.processes.filter((launched) => launched.name.startsWith('entry'))
@@ -96,23 +96,23 @@
     if (this.folder !== undefined) await rm(this.folder, { recursive: true, force: true })
   }
 
-  /** @returns the newest lines of all processes, each with the process's name */
+  /** @returns the latest log lines of all processes, each prefixed with the name of its process */
   recentLines (): string[] {
     return this.processes.flatMap((launched) => launched.recentLines.map((line) => `[${launched.name}] ${line}`))
   }
 
-  /** Puts settings in at one instance and waits until they are in force at all. */
+  /** Writes settings through the first entry instance and waits until they are in force at all instances. */
   private async putSettings (entries: readonly RunningEntry[], files: readonly SettingsFile[]): Promise<Result<void, LimpetwinchError>> {
-    const hopeless = (): boolean => this.lost.length > 0
+    const isAborted = (): boolean => this.lost.length > 0
     for (const entry of entries) {
-      const ready = await untilReady(entry.name, entry.admin, hopeless)
+      const ready = await untilReady(entry.name, entry.admin, isAborted)
       if (ready.isErr()) return err(ready.error)
     }
     const { key } = this.administratorKey
     const put = await putSettingsByCommandLine({ server: entries[0]?.admin ?? '', key }, this.folder ?? tmpdir(), files)
     if (put.isErr()) return err(put.error)
     for (const entry of entries) {
-      const inForce = await untilSettingsInForce(entry.name, entry.admin, key, files.length, hopeless)
+      const inForce = await untilSettingsInForce(entry.name, entry.admin, key, files.length, isAborted)
       if (inForce.isErr()) return err(inForce.error)
     }
     return ok()
@@ -174,7 +174,7 @@
   }
 
   private async startProcess<Line> (name: string, script: string, scriptArguments: readonly string[], schema: z.ZodType<Line>): Promise<Result<Line, LimpetwinchError>> {
-    // A start that is still under way when the deployment is stopped would leave its process behind.
+    // A process that is started while the deployment is being stopped would never be stopped.
     if (this.stopping) return err(new LimpetwinchError('process-failed', { name, reason: 'the deployment is being stopped' }))
     const launch = { name, script: fileURLToPath(new URL(script, import.meta.url)), scriptArguments }
     const launched = new LaunchedProcess(launch, (reason) => this.reportLost(name, reason), (line) => this.forwardLine(name, line))
@@ -183,13 +183,13 @@
     if (line.isErr()) return err(line.error)
     const parsed = schema.safeParse(line.value)
     if (parsed.success) return ok(parsed.data)
-    return err(new LimpetwinchError('process-failed', { name, reason: `its first line has another form: ${z.prettifyError(parsed.error)}` }))
+    return err(new LimpetwinchError('process-failed', { name, reason: `its first line on standard output has an unexpected format: ${z.prettifyError(parsed.error)}` }))
   }
 
   private async stopOne (launched: LaunchedProcess): Promise<void> {
     if (await launched.stop()) return
     this.lost.push(launched.name)
-    this.logger.error(`Process '${launched.name}' did not end when it was asked to, and was killed.`)
+    this.logger.error(`Process '${launched.name}' did not end after SIGTERM and was killed.`)
   }
 
   private reportLost (name: string, reason: string): void {
--- a/packages/stand-ins/src/develop/launched-process.ts
+++ b/packages/stand-ins/src/develop/launched-process.ts
@@ -1,4 +1,4 @@
-/** One process that the launcher started. */
+/** A child process of a launcher. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { createInterface } from 'node:readline'
@@ -7,14 +7,14 @@
 import type { Result } from 'neverthrow'
 import { LimpetwinchError } from '@limpetwinch/core'
 
-/** What to start. */
+/** Script and environment of a process to start. */
 export interface LaunchOptions {
-  /** The name in reports. */
+  /** Name of the process in errors and log lines. */
   readonly name: string
   /** Path of the script that Node.js runs. */
   readonly script: string
   readonly scriptArguments: readonly string[]
-  /** Variables beside those of this process. */
+  /** Environment variables in addition to those of this process. */
   readonly environment?: Readonly<Record<string, string>>
 }
 
@@ -22,24 +22,24 @@
 const STOP_TIMEOUT_MILLISECONDS = 30_000
 const MAXIMUM_KEPT_LINES = 40
 
-/** A running process; its first line on standard output is JSON and tells where it listens. */
+/** A child process whose first line on standard output is JSON with the addresses on which the process listens. */
 export class LaunchedProcess {
   readonly name: string
-  /** What the first line said; undefined before that. */
+  /** Parsed first line; undefined until the line has arrived. */
   ready: unknown
   private readonly child: ChildProcess
   private readonly keptLines: string[] = []
   private readonly ended: Promise<void>
   private readonly output: Promise<string | undefined>
   private stopping = false
-  /** Whether it has ended, for whatever reason. */
+  /** Whether the process has ended, for any reason. */
   hasEnded = false
 
   /**
-   * @param launch - what to start
-   * @param onUnexpectedEnd - called when it ends though nobody stopped it
-   * @param onLine - gets what it writes on standard error
-   * @param onOutput - gets what it writes on standard output, its first line included
+   * @param launch - script and environment of the process
+   * @param onUnexpectedEnd - called with the exit code or signal when the process ends before {@link LaunchedProcess.stop} is called
+   * @param onLine - receives each line of standard error
+   * @param onOutput - receives each line of standard output, including the first one
    */
   constructor (launch: LaunchOptions, onUnexpectedEnd: (reason: string) => void, onLine: (line: string) => void, onOutput: (line: string) => void = () => {}) {
     this.name = launch.name
@@ -56,21 +56,21 @@
     this.output = this.readOutput(onOutput)
   }
 
-  /** @returns its process id */
+  /** @returns the process id; undefined when the process could not be started */
   get processId (): number | undefined {
     return this.child.pid
   }
 
-  /** @returns the newest lines that it wrote on standard error */
+  /** @returns the latest lines of standard error */
   get recentLines (): readonly string[] {
     return this.keptLines
   }
 
   /**
-   * Waits for the first line.
+   * Waits for the first line on standard output.
    *
-   * @param milliseconds - how long it may take
-   * @returns what it says, or `process-failed`
+   * @param milliseconds - maximum time to wait
+   * @returns the parsed first line, or `process-failed`
    */
   async untilReady (milliseconds = START_TIMEOUT_MILLISECONDS): Promise<Result<unknown, LimpetwinchError>> {
     const timeout = new AbortController()
@@ -80,7 +80,7 @@
       sleep(milliseconds, undefined, { signal: timeout.signal }).catch(() => undefined)
     ])
     timeout.abort()
-    if (line === undefined) return err(this.failure(this.hasEnded ? 'it ended before it listened' : 'its first line does not come'))
+    if (line === undefined) return err(this.failure(this.hasEnded ? 'it ended before it listened' : 'it wrote no line on standard output in time'))
     try {
       this.ready = JSON.parse(line)
       return ok(this.ready)
@@ -89,15 +89,15 @@
     }
   }
 
-  /** Waits until it has ended, for whatever reason. */
+  /** Waits until the process has ended, for any reason. */
   async untilEnded (): Promise<void> {
     await this.ended
   }
 
   /**
-   * Ends it: asks first, and kills it when it does not end.
+   * Stops the process with SIGTERM, and kills it if it does not end in time.
    *
-   * @returns whether it ended by itself
+   * @returns whether the process ended without being killed
    */
   async stop (): Promise<boolean> {
     this.stopping = true
@@ -106,13 +106,13 @@
     const timeout = new AbortController()
     await Promise.race([this.ended, sleep(STOP_TIMEOUT_MILLISECONDS, undefined, { signal: timeout.signal }).catch(() => undefined)])
     timeout.abort()
-    const endedItself = this.hasEnded
-    if (!endedItself) this.child.kill('SIGKILL')
+    const endedInTime = this.hasEnded
+    if (!endedInTime) this.child.kill('SIGKILL')
     await this.ended
-    return endedItself
+    return endedInTime
   }
 
-  /** Later lines are read as well, or a full pipe would stop the process. @returns the first line */
+  /** Reads all lines of standard output, because a full pipe would block the process. @returns the first line */
   private async readOutput (onOutput: (line: string) => void): Promise<string | undefined> {
     const { stdout } = this.child
     if (stdout === null) return undefined
--- a/packages/stand-ins/src/develop/put-settings.ts
+++ b/packages/stand-ins/src/develop/put-settings.ts
@@ -1,4 +1,4 @@
-/** Puts sample settings into the platform in the form in which instances keep them. */
+/** Writes sample settings to the platform in the format in which instances store them. */
 import { randomUUID } from 'node:crypto'
 import { HttpObjectStore, SETTINGS_PREFIX } from '@limpetwinch/core'
 import type { LimpetwinchError, Revision, SettingsDocument, SettingsPath } from '@limpetwinch/core'
@@ -7,7 +7,7 @@
 import type { SettingsFile } from './sample-settings.js'
 
 /**
- * Writes first revisions.
+ * Writes the first revision of settings documents.
  *
  * @param platform - URL of the platform
  * @param files - settings by path
--- a/packages/stand-ins/src/develop/register-instance.ts
+++ b/packages/stand-ins/src/develop/register-instance.ts
@@ -1,7 +1,7 @@
-/** Puts instances on the stand-in platform's list. */
+/** Registers instances in the instance list of the stand-in platform. */
 import { request } from 'undici'
 
-/** One line of the list. */
+/** One entry of the instance list. */
 export interface InstanceRegistration {
   readonly id: string
   readonly kind: 'entry' | 'endpoint'
@@ -9,8 +9,8 @@
   readonly dataCentre: string
 }
 
-/** Does what a real platform does by itself: puts one line, as live, on the list of instances. */
-export async function registerInstance (platform: string, line: InstanceRegistration): Promise<void> {
-  const answer = await request(`${platform}/control/instances`, { method: 'PUT', body: JSON.stringify({ ...line, state: 'live' }) })
+/** Adds an instance to the instance list with the state `live`; a real platform does this by itself. */
+export async function registerInstance (platform: string, registration: InstanceRegistration): Promise<void> {
+  const answer = await request(`${platform}/control/instances`, { method: 'PUT', body: JSON.stringify({ ...registration, state: 'live' }) })
   await answer.body.dump()
 }
--- a/packages/stand-ins/src/develop/sample-requests.ts
+++ b/packages/stand-ins/src/develop/sample-requests.ts
@@ -1,19 +1,19 @@
-/** Sample requests of the launcher, each with the answer that must come back. */
+/** Sample requests of the development deployment, each with its expected response. */
 import { request } from 'undici'
 import { expectedAnswer } from '../engine/answer-text.js'
 import { SERVICE_NAME } from './sample-settings.js'
 
-/** An entry instance to ask. */
+/** An entry instance that receives sample requests. */
 export interface SampleTarget {
   readonly name: string
   readonly url: string
   readonly key: string
 }
 
-/** How one sample request went. */
+/** Result of one sample request. */
 export interface SampleOutcome {
   readonly passed: boolean
-  /** One line for the reader. */
+  /** One line to print. */
   readonly line: string
 }
 
@@ -21,7 +21,7 @@
   readonly form: 'chat' | 'text'
   readonly stream: boolean
   readonly model: string
-  /** `team/adapter@version` that must serve it. */
+  /** Adapter that must serve the request, as `team/adapter@version`. */
   readonly servedBy: string
   readonly prompt: string
 }
@@ -30,13 +30,13 @@
   readonly status: number
   readonly servedBy: string
   readonly text: string
-  /** Whether a stream was ended as such. */
+  /** Whether the complete response was received; a stream must end with its end mark. */
   readonly whole: boolean
   readonly problem: string
 }
 
 const MAXIMUM_TOKENS = 8
-/** Without a seed in the request its answer would be another one each time. */
+/** Seed of all sample requests; without a seed the response text differs each time. */
 const SEED = 7
 const RESPONSE_TIMEOUT_MILLISECONDS = 30_000
 
@@ -50,8 +50,8 @@
 /**
  * Sends the sample requests to one instance, one after another.
  *
- * @param instance - where to send them
- * @returns how each went
+ * @param instance - instance that receives the requests
+ * @returns the result of each request
  */
 export async function sendSamples (instance: SampleTarget): Promise<SampleOutcome[]> {
   const outcomes: SampleOutcome[] = []
@@ -97,7 +97,7 @@
   return { status: 200, servedBy, text: documents.map(textOf).join(''), whole: !stream || body.endsWith('data: [DONE]\n\n'), problem: '' }
 }
 
-/** @returns the JSON documents of a stream without its end mark */
+/** @returns the JSON documents of a stream, without the end mark */
 function streamDocuments (body: string): string[] {
   return body.split('\n\n')
     .filter((event) => event.startsWith('data: {'))
--- a/packages/stand-ins/src/develop/sample-settings.ts
+++ b/packages/stand-ins/src/develop/sample-settings.ts
@@ -1,7 +1,7 @@
-/** Operator settings of the development deployment, as an operator would write them. */
+/** Settings of the development deployment, as an operator would write them. */
 import { createHash, randomBytes } from 'node:crypto'
 
-/** An engine of the deployment, once it listens. */
+/** A listening engine of the deployment. */
 export interface SampleEngine {
   readonly id: string
   readonly url: string
@@ -9,32 +9,32 @@
   readonly fencing: 'refuses' | 'ignores'
 }
 
-/** A plain service's endpoint of the deployment, once it listens. */
+/** A listening endpoint of the plain service. */
 export interface SampleService {
   readonly id: string
   readonly url: string
   readonly dataCentre: string
 }
 
-/** One file of settings. */
+/** The settings of one path, as JSON with comments. */
 export interface SettingsFile {
   readonly path: string
   readonly text: string
 }
 
-/** A key made for one run of the launcher; only its hash goes into settings. */
+/** A key created for one run; only its hash is written to the settings. */
 export interface DevelopmentKey {
   readonly key: string
   readonly sha256: string
 }
 
-/** Slots of each engine. */
+/** Adapter slots of each engine. */
 export const ENGINE_SLOTS = 4
-/** Sequences in a step of each engine. */
+/** Maximum number of sequences in a batch step of each engine. */
 export const ENGINE_BATCH_CAPACITY = 16
-/** The one base model. */
+/** Base model of all engines. */
 export const BASE_MODEL = 'base-1'
-/** The plain service's name. */
+/** Name of the plain service. */
 export const SERVICE_NAME = 'echo'
 
 /** @returns a new random key */
@@ -44,10 +44,10 @@
 }
 
 /**
- * @param key - the callers' key of both teams
- * @param engines - where the engines listen
- * @param services - where the plain service listens
- * @returns the settings by path, in the order in which they are put in
+ * @param key - caller key of both teams
+ * @param engines - engines with their URLs
+ * @param services - endpoints of the plain service with their URLs
+ * @returns the settings by path, in the order in which they must be written
  */
 export function sampleSettings (key: DevelopmentKey, engines: readonly SampleEngine[], services: readonly SampleService[]): SettingsFile[] {
   return [
--- a/packages/stand-ins/src/develop/until-ready.ts
+++ b/packages/stand-ins/src/develop/until-ready.ts
@@ -1,4 +1,4 @@
-/** Waits until an entry instance is ready, and until settings are in force there. */
+/** Polls an entry instance until it is ready, or until settings are in force there. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { LimpetwinchError } from '@limpetwinch/core'
 import { err, ok } from 'neverthrow'
@@ -19,40 +19,44 @@
 }
 
 /**
- * @param name - the instance's name, for errors
- * @param admin - its admin URL
- * @param hopeless - whether waiting on makes no sense
- * @returns nothing, or `process-failed` with what it said last
+ * Waits until an instance is ready.
+ *
+ * @param name - name of the instance, for errors
+ * @param admin - admin URL of the instance
+ * @param isAborted - whether to stop polling, for example after a process ended
+ * @returns nothing, or `process-failed` with the last response
  */
-export async function untilReady (name: string, admin: string, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
-  return await until(name, 'it is not ready', async () => await ask(admin + READY_PATH), (said) => said.status === 200, hopeless)
+export async function untilReady (name: string, admin: string, isAborted: () => boolean): Promise<Result<void, LimpetwinchError>> {
+  return await until(name, 'it is not ready', async () => await ask(admin + READY_PATH), (response) => response.status === 200, isAborted)
 }
 
 /**
- * @param name - the instance's name, for errors
- * @param admin - its admin URL
+ * Waits until settings are in force at an instance.
+ *
+ * @param name - name of the instance, for errors
+ * @param admin - admin URL of the instance
  * @param key - administrators' key
- * @param paths - how many paths are set
- * @param hopeless - whether waiting on makes no sense
- * @returns nothing, or `process-failed` with what it said last
+ * @param paths - number of settings paths that must be in force
+ * @param isAborted - whether to stop polling, for example after a process ended
+ * @returns nothing, or `process-failed` with the last response
  */
-export async function untilSettingsInForce (name: string, admin: string, key: string, paths: number, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
-  const inForce = (said: PolledResponse): boolean => {
-    const status = statusSchema.safeParse(said.status === 200 ? JSON.parse(said.text) : undefined)
+export async function untilSettingsInForce (name: string, admin: string, key: string, paths: number, isAborted: () => boolean): Promise<Result<void, LimpetwinchError>> {
+  const inForce = (response: PolledResponse): boolean => {
+    const status = statusSchema.safeParse(response.status === 200 ? JSON.parse(response.text) : undefined)
     return status.success && status.data.settings.paths >= paths
   }
-  return await until(name, 'the settings are not in force', async () => await ask(admin + STATUS_PATH, key), inForce, hopeless)
+  return await until(name, 'the settings are not in force', async () => await ask(admin + STATUS_PATH, key), inForce, isAborted)
 }
 
-async function until (name: string, complaint: string, look: () => Promise<PolledResponse>, enough: (said: PolledResponse) => boolean, hopeless: () => boolean): Promise<Result<void, LimpetwinchError>> {
+async function until (name: string, failure: string, poll: () => Promise<PolledResponse>, isDone: (response: PolledResponse) => boolean, isAborted: () => boolean): Promise<Result<void, LimpetwinchError>> {
   const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS
-  let said: PolledResponse = { status: 0, text: 'no answer' }
-  while (performance.now() < deadline && !hopeless()) {
-    said = await look()
-    if (enough(said)) return ok()
+  let response: PolledResponse = { status: 0, text: 'no answer' }
+  while (performance.now() < deadline && !isAborted()) {
+    response = await poll()
+    if (isDone(response)) return ok()
     await sleep(POLL_INTERVAL_MILLISECONDS)
   }
-  return err(new LimpetwinchError('process-failed', { name, reason: `${complaint}: status ${said.status} ${said.text.slice(0, 300)}` }))
+  return err(new LimpetwinchError('process-failed', { name, reason: `${failure}: status ${response.status} ${response.text.slice(0, 300)}` }))
 }
 
 async function ask (url: string, key = ''): Promise<PolledResponse> {
--- a/packages/stand-ins/src/engine/adapter-slots.ts
+++ b/packages/stand-ins/src/engine/adapter-slots.ts
@@ -1,20 +1,23 @@
-/** The few adapter slots of an engine, and the loads into them. */
+/** Adapter slots of an engine, and the adapter loads into them. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { request } from 'undici'
 import type { LoadBody } from './engine-bodies.js'
 
-/** Why an order was not carried out. */
+/** Reason why a load order was not carried out. */
 export interface SlotRefusal {
   readonly status: 409 | 502
   readonly code: 'no-free-slot' | 'load-failed'
   readonly message: string
 }
 
-/** Faults of loads. */
+/** Active faults of adapter loads. */
 export interface LoadFaults {
+  /** Number of loads that still fail. */
   failLoads: number
+  /** Adapters `team/adapter@version` whose loads fail. */
   failLoadsOf: readonly string[]
+  /** Delay added to each load, in milliseconds. */
   slowLoads: number
 }
 
@@ -25,13 +28,13 @@
   readonly abandon: AbortController
 }
 
-/** Where weights come from: the platform's weight store, or a fixed time when there is no platform. */
+/** Source of weights: the weight store of a platform, or a fixed load duration when there is no platform. */
 export interface WeightSource {
   readonly platform: string | undefined
   readonly loadMilliseconds: number
 }
 
-/** The adapters that one engine holds. */
+/** The loaded adapters of one engine. */
 export class AdapterSlots {
   readonly faults: LoadFaults = { failLoads: 0, failLoadsOf: [], slowLoads: 0 }
   readonly size: number
@@ -41,28 +44,28 @@
 
   /**
    * @param size - number of slots
-   * @param source - where weights come from
+   * @param source - source of the weights
    */
   constructor (size: number, source: WeightSource) {
     this.size = size
     this.source = source
   }
 
-  /** @returns names of the adapters that can be used */
+  /** @returns names of the loaded adapters */
   get loaded (): readonly string[] {
     return [...this.held]
   }
 
-  /** @returns whether an adapter can be used */
+  /** @returns whether an adapter is loaded */
   holds (name: string): boolean {
     return this.held.has(name)
   }
 
-  /** Loads an adapter; a second order for the same name waits for the first. */
+  /** Loads an adapter. A second order for the same name waits for the load in progress and gets the same result. */
   async load (order: LoadBody): Promise<LoadResult> {
     if (this.held.has(order.name)) return ok()
-    const underWay = this.loadsInProgress.get(order.name)
-    if (underWay !== undefined) return await underWay.result
+    const inProgress = this.loadsInProgress.get(order.name)
+    if (inProgress !== undefined) return await inProgress.result
     if (this.held.size + this.loadsInProgress.size >= this.size) return err(refusal(409, 'no-free-slot', `All ${this.size} slots are taken.`))
     const abandon = new AbortController()
     const result = this.transfer(order, abandon.signal)
@@ -70,13 +73,13 @@
     return await result
   }
 
-  /** Takes an adapter out, also one that is still loading. */
+  /** Unloads an adapter, and aborts its load if one is in progress. */
   unload (name: string): void {
     this.held.delete(name)
     this.loadsInProgress.get(name)?.abandon.abort()
   }
 
-  /** Empties all slots. */
+  /** Unloads all adapters and aborts all loads in progress. */
   clear (): void {
     this.held.clear()
     for (const { abandon } of this.loadsInProgress.values()) abandon.abort()
@@ -101,7 +104,7 @@
     return true
   }
 
-  /** @returns what went wrong, or undefined */
+  /** @returns an error message; undefined when the weights were transferred */
   private async fetchWeights (adapter: string, signal: AbortSignal): Promise<string | undefined> {
     await pause(this.faults.slowLoads, signal)
     if (this.source.platform === undefined) {
--- a/packages/stand-ins/src/engine/answer-text.ts
+++ b/packages/stand-ins/src/engine/answer-text.ts
@@ -1,9 +1,9 @@
-/** The text of an answer is a pure function of its question, so that a checker can tell a wrong adapter from the text alone. */
+/** Generates response texts as a pure function of the request, so that a checker can detect a wrong adapter by the text alone. */
 import { createHash } from 'node:crypto'
 
-/** What an answer follows from. */
+/** Input that determines a response text. */
 export interface AnswerQuestion {
-  /** `team/adapter@version`, with or without `~token`; undefined for the base model alone. */
+  /** Adapter as `team/adapter@version`, with or without `~token`, which is ignored; undefined for the base model without an adapter. */
   readonly adapter?: string | undefined
   readonly prompt: string
   readonly seed?: number | undefined
@@ -14,7 +14,7 @@
 const SYLLABLES_PER_TOKEN = 3
 const CHARACTERS_PER_PROMPT_TOKEN = 4
 
-/** The words of one answer, computed from its question. */
+/** The text of one response. */
 export class AnswerText {
   private readonly base: number
   private readonly salt: number
@@ -28,8 +28,8 @@
   }
 
   /**
-   * @param position - the token's position, from 0
-   * @returns the token's text
+   * @param position - position of the token, from 0
+   * @returns text of the token
    */
   token (position: number): string {
     let state = mix(this.base ^ mix((position + this.salt) >>> 0))
@@ -41,7 +41,7 @@
     return word
   }
 
-  /** @returns the whole answer of so many tokens */
+  /** @returns the complete text of a response with a number of tokens */
   whole (tokens: number): string {
     let text = ''
     for (let position = 0; position < tokens; position += 1) text += this.token(position)
@@ -50,22 +50,22 @@
 }
 
 /**
- * Recomputes an answer.
+ * Computes the text of a response, for checks.
  *
  * @param question - adapter, prompt and seed
- * @param tokens - how many tokens the answer has
- * @returns its text
+ * @param tokens - number of tokens of the response
+ * @returns the expected text
  */
 export function expectedAnswer (question: AnswerQuestion, tokens: number): string {
   return new AnswerText(question).whole(tokens)
 }
 
-/** @returns how many tokens the stand-in engine counts in a prompt */
+/** @returns the number of tokens of a prompt, as the stand-in engine counts them */
 export function countPromptTokens (prompt: string): number {
   return Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_PROMPT_TOKEN))
 }
 
-/** Spreads 32 bits. */
+/** Hashes a 32-bit integer. */
 function mix (value: number): number {
   let mixed = value >>> 0
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b) >>> 0
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -1,26 +1,27 @@
-/** Continuous batching: a step every few milliseconds, in which each running sequence gets one token. */
+/** Continuous batching: in each step of a few milliseconds, every running sequence produces one token. */
 import type { Sequence, SequenceResult } from './sequence.js'
 
-/** How the batch behaves. */
+/** Options of the batch. */
 export interface BatchOptions {
-  /** Duration of a step, milliseconds. */
+  /** Duration of a step, in milliseconds. */
   readonly stepMilliseconds: number
-  /** Sequences in one step. */
+  /** Maximum number of sequences in one step. */
   readonly batchCapacity: number
-  /** Sequences that may wait. */
+  /** Maximum number of waiting sequences. */
   readonly queueLimit: number
-  /** Prompt tokens that a step takes in. */
+  /** Number of prompt tokens that one step processes for a sequence. */
   readonly prefillTokensPerStep: number
 }
 
-/** What the batch tells as sequences go. */
+/** Listener for starts and ends of sequences. */
 export interface BatchListener {
-  /** @returns the share of the prompt that is cached, 0 to 1 */
+  /** Called when a sequence starts. @returns the fraction of its prompt that is cached, 0 to 1 */
   started: (sequence: Sequence) => number
+  /** Called when a sequence has ended, also one that never started. */
   ended: (sequence: Sequence, result: SequenceResult) => void
 }
 
-/** The running sequences of one engine and those that wait. */
+/** The running and waiting sequences of one engine. */
 export class Batch {
   stepMilliseconds: number
   readonly capacity: number
@@ -33,8 +34,8 @@
   private usedPlaces = 0
 
   /**
-   * @param options - step, capacity, queue
-   * @param listener - is told of starts and ends
+   * @param options - step duration, capacity and queue limit
+   * @param listener - listener for starts and ends of sequences
    */
   constructor (options: BatchOptions, listener: BatchListener) {
     this.options = options
@@ -43,43 +44,43 @@
     this.listener = listener
   }
 
-  /** @returns sequences that get a token in each step */
+  /** @returns the running sequences, including those whose prompt is still being processed */
   get running (): ReadonlySet<Sequence> {
     return this.active
   }
 
-  /** @returns how many sequences wait */
+  /** @returns number of waiting sequences */
   get queued (): number {
     return this.waiting.length
   }
 
-  /** @returns whether the sequence was taken; the queue is bounded */
+  /** Queues a sequence by priority. @returns false when the queue is full */
   submit (sequence: Sequence): boolean {
-    const room = this.active.size + this.waiting.length < this.capacity + this.options.queueLimit
-    if (!room) return false
-    const place = this.waiting.findIndex((other) => other.request.priority < sequence.request.priority)
-    this.waiting.splice(place < 0 ? this.waiting.length : place, 0, sequence)
+    const hasCapacity = this.active.size + this.waiting.length < this.capacity + this.options.queueLimit
+    if (!hasCapacity) return false
+    const position = this.waiting.findIndex((other) => other.request.priority < sequence.request.priority)
+    this.waiting.splice(position < 0 ? this.waiting.length : position, 0, sequence)
     this.timer ??= setTimeout(() => this.step(), this.stepMilliseconds)
     return true
   }
 
-  /** Ends a sequence early. */
+  /** Ends a running or waiting sequence early. */
   end (sequence: Sequence, result: SequenceResult, reason: string): void {
-    const place = this.waiting.indexOf(sequence)
-    if (place >= 0) this.waiting.splice(place, 1)
-    if (place < 0 && !this.active.delete(sequence)) return
+    const position = this.waiting.indexOf(sequence)
+    if (position >= 0) this.waiting.splice(position, 1)
+    if (position < 0 && !this.active.delete(sequence)) return
     sequence.finish(result, reason)
     this.listener.ended(sequence, result)
   }
 
-  /** Ends all sequences of which the condition holds. */
+  /** Ends all sequences that match a condition, as lost. @returns their number */
   endAll (reason: string, condition: (sequence: Sequence) => boolean): number {
     const ending = [...this.active, ...this.waiting].filter(condition)
     for (const sequence of ending) this.end(sequence, 'lost', reason)
     return ending.length
   }
 
-  /** @returns the mean share of a step that was used since the last call, 0 to 1 */
+  /** @returns the mean fraction of the capacity that steps used since the last call, 0 to 1 */
   takeFill (): number {
     const fill = this.steps === 0 ? 0 : this.usedPlaces / (this.steps * this.capacity)
     this.steps = 0
@@ -87,7 +88,7 @@
     return fill
   }
 
-  /** Stops stepping. */
+  /** Stops the steps. */
   stop (): void {
     clearTimeout(this.timer)
     this.timer = undefined
--- a/packages/stand-ins/src/engine/engine-bodies.ts
+++ b/packages/stand-ins/src/engine/engine-bodies.ts
@@ -1,7 +1,7 @@
-/** Bodies that the stand-in engine takes. */
+/** Schemas of the request bodies of the stand-in engine. */
 import { z } from 'zod'
 
-/** `POST /generate`. */
+/** Body of `POST /generate`. */
 export const generateSchema = z.object({
   requestId: z.string().min(1),
   adapter: z.string().optional(),
@@ -12,62 +12,62 @@
   seed: z.number().optional()
 })
 
-/** `POST /adapters/load`. */
+/** Body of `POST /adapters/load`. */
 export const loadSchema = z.object({
   name: z.string().min(1),
   token: z.number(),
   source: z.object({ team: z.string(), adapter: z.string(), version: z.string() })
 })
 
-/** `POST /adapters/unload`. */
+/** Body of `POST /adapters/unload`. */
 export const unloadSchema = z.object({ name: z.string().min(1), token: z.number() })
 
-/** `POST /configure`. */
+/** Body of `POST /configure`. */
 export const configureSchema = z.object({
   baseModel: z.string().optional(),
   role: z.string().optional(),
   token: z.number()
 })
 
-/** `POST /control/restart`. */
+/** Body of `POST /control/restart`. */
 export const restartSchema = z.object({
-  /** How long the engine refuses requests while it starts, milliseconds. */
+  /** Time for which the engine refuses requests and load orders after the restart, in milliseconds. */
   startMilliseconds: z.number().min(0).default(0)
 })
 
-/** `POST /control/faults`. */
+/** Body of `POST /control/faults`. */
 export const engineFaultsSchema = z.strictObject({
-  /** So many of the next loads fail. */
+  /** Number of next loads that fail. */
   failLoads: z.int().min(0).optional(),
-  /** Loads of these adapters `team/adapter@version` fail. */
+  /** Adapters `team/adapter@version` whose loads fail. */
   failLoadsOf: z.array(z.string()).optional(),
-  /** Added to each load, milliseconds. */
+  /** Delay added to each load, in milliseconds. */
   slowLoads: z.number().min(0).optional(),
-  /** New requests are refused. */
+  /** Whether new requests are refused. */
   refuse: z.boolean().optional(),
-  /** So many of the next streams are cut after `dropAfterTokens`; the requests run on. */
+  /** Number of next streams that are closed after `dropAfterTokens`; their requests keep running. */
   dropStreams: z.int().min(0).optional(),
-  /** Tokens that a stream to be cut still carries. */
+  /** Number of tokens that a stream sends before it is closed. */
   dropAfterTokens: z.int().min(0).optional(),
-  /** Every so manyth part is sent twice; 0 for none. */
+  /** Every part whose number is a multiple of this is sent twice; 0 for none. */
   duplicateEvery: z.int().min(0).optional(),
-  /** Every so manyth part is sent after the one that follows it; 0 for none. */
+  /** Every part whose number is a multiple of this is sent after the next part; 0 for none. */
   lateEvery: z.int().min(0).optional(),
-  /** Cancellations are answered and not carried out. */
+  /** Whether cancellations are acknowledged but not carried out. */
   ignoreCancel: z.boolean().optional(),
-  /** Lag of the report, milliseconds. */
+  /** Delay of the report, in milliseconds. */
   reportLag: z.number().min(0).optional(),
-  /** Duration of a step, milliseconds. */
+  /** Duration of a batch step, in milliseconds. */
   stepMilliseconds: z.number().min(1).optional(),
-  /** Nothing passes any more on the connections that are open. */
+  /** Makes all open connections unresponsive; new connections work. */
   silenceConnections: z.boolean().optional(),
-  /** So many of the next connections are accepted, and nothing is said on them. */
+  /** Number of next connections that are accepted but stay unresponsive. */
   silentConnections: z.int().min(0).optional()
 })
 
-/** A request for text. */
+/** A generation request. */
 export type GenerateBody = z.infer<typeof generateSchema>
-/** An order to load. */
+/** A load order. */
 export type LoadBody = z.infer<typeof loadSchema>
-/** Faults of the stand-in engine; those not named stay as they are. */
+/** Faults of the stand-in engine; faults that are not given stay unchanged. */
 export type EngineFaults = z.infer<typeof engineFaultsSchema>
--- a/packages/stand-ins/src/engine/engine-options.ts
+++ b/packages/stand-ins/src/engine/engine-options.ts
@@ -1,33 +1,33 @@
-/** How a stand-in engine behaves. */
+/** Options of the stand-in engine and their defaults. */
 import type { BatchOptions } from './batch.js'
 import type { EngineFaults } from './engine-bodies.js'
 import type { PrefixCacheOptions } from './prefix-cache.js'
 
-/** Everything that can be set when an engine is started. */
+/** Options of a stand-in engine. */
 export interface StandInEngineOptions extends BatchOptions, PrefixCacheOptions {
-  /** Endpoint id, for history lines. */
+  /** Endpoint id in history lines. */
   readonly name: string
-  /** URL of the platform whose weight store loads go through; without it a load takes `loadMilliseconds`. */
+  /** URL of the platform whose weight store provides the weights; undefined to let each load take `loadMilliseconds`. */
   readonly platform: string | undefined
   readonly loadMilliseconds: number
-  /** Adapters held at once. */
+  /** Number of adapters that can be loaded at once. */
   readonly slots: number
   readonly baseModel: string
   readonly role: string
-  /** Whether an order with an old fencing token is refused. */
+  /** Whether orders with a stale fencing token are refused or carried out. */
   readonly fencing: 'refuses' | 'ignores'
-  /** Milliseconds by which the report is late. */
+  /** Delay of the published report, in milliseconds. */
   readonly reportLag: number
-  /** Milliseconds between reports. */
+  /** Interval between reports, in milliseconds. */
   readonly reportInterval: number
-  /** Milliseconds for which an ended answer can still be resumed. */
+  /** Time for which an ended request can still be resumed, in milliseconds. */
   readonly keepEndedMilliseconds: number
-  /** A file for history lines. */
+  /** Path of a file to which history lines are appended. */
   readonly history: string | undefined
   readonly faults: EngineFaults
 }
 
-/** An engine of today's size, on a small scale. */
+/** Defaults that model a present-day engine on a small scale. */
 export const ENGINE_DEFAULTS: StandInEngineOptions = {
   name: 'engine',
   platform: undefined,
--- a/packages/stand-ins/src/engine/event-stream.ts
+++ b/packages/stand-ins/src/engine/event-stream.ts
@@ -1,16 +1,18 @@
-/** A stream of server-sent events, with the faults of streams. */
+/** A stream of server-sent events, with injected faults. */
 import type { ServerResponse } from 'node:http'
 import type { SequenceEnd, SequenceReader } from './sequence.js'
 
-/** Faults of streams in force when a stream begins. */
+/** Faults of a stream, fixed when the stream starts. */
 export interface StreamFaults {
-  /** The stream is cut after so many tokens; undefined leaves it whole. */
+  /** Number of tokens after which the connection of the stream is closed; undefined for never. */
   readonly dropAfterTokens: number | undefined
+  /** Every part whose number is a multiple of this is sent twice; 0 for none. */
   readonly duplicateEvery: number
+  /** Every part whose number is a multiple of this is sent after the next part; 0 for none. */
   readonly lateEvery: number
 }
 
-/** Writes one sequence's events to one response. */
+/** Writes the events of one sequence to one response. */
 export class EventStream implements SequenceReader {
   private readonly response: ServerResponse
   private readonly faults: StreamFaults
@@ -19,9 +21,9 @@
   private late: string | undefined
 
   /**
-   * @param response - where to write
-   * @param faults - what goes wrong on this stream
-   * @param silent - whether nothing passes on the connection any more
+   * @param response - HTTP response to write to
+   * @param faults - faults of this stream
+   * @param silent - whether the connection is currently unresponsive
    */
   constructor (response: ServerResponse, faults: StreamFaults, silent: () => boolean) {
     this.response = response
--- a/packages/stand-ins/src/engine/lagging-report.ts
+++ b/packages/stand-ins/src/engine/lagging-report.ts
@@ -1,20 +1,20 @@
-/** An engine's report, published later than it was true. */
+/** Publishes reports of an engine with a delay. */
 
 interface Snapshot<Report> {
   readonly at: number
   readonly report: Report
 }
 
-/** Takes a report at each interval and shows the newest one that is older than the lag. */
+/** Creates a report at each interval and publishes the latest report that is older than the lag. */
 export class LaggingReport<Report> {
   private snapshots: Snapshot<Report>[]
   private readonly timer: NodeJS.Timeout
   private readonly make: () => Report
 
   /**
-   * @param make - takes a report of the present moment
-   * @param lag - milliseconds; may be changed at any time
-   * @param interval - milliseconds between reports
+   * @param make - creates a report of the current state
+   * @param lag - delay of published reports, in milliseconds; can be changed at any time
+   * @param interval - interval between reports, in milliseconds
    */
   constructor (make: () => Report, public lag: number, interval: number) {
     this.make = make
@@ -23,21 +23,21 @@
     this.timer.unref()
   }
 
-  /** @returns the newest published report */
+  /** @returns the latest published report */
   read (): Report {
-    const visible = performance.now() - this.lag
-    const found = this.snapshots.findLast((snapshot) => snapshot.at <= visible) ?? this.snapshots[0]
+    const visibleUntil = performance.now() - this.lag
+    const found = this.snapshots.findLast((snapshot) => snapshot.at <= visibleUntil) ?? this.snapshots[0]
     return found?.report ?? this.make()
   }
 
-  /** Ends the reports. */
+  /** Stops creating reports. */
   stop (): void {
     clearInterval(this.timer)
   }
 
   private add (): void {
     const now = performance.now()
-    const seen = this.snapshots.findLastIndex((snapshot) => snapshot.at <= now - this.lag)
-    this.snapshots = [...this.snapshots.slice(Math.max(seen, 0)), { at: now, report: this.make() }]
+    const firstKept = this.snapshots.findLastIndex((snapshot) => snapshot.at <= now - this.lag)
+    this.snapshots = [...this.snapshots.slice(Math.max(firstKept, 0)), { at: now, report: this.make() }]
   }
 }
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -1,14 +1,14 @@
-/** A prompt-prefix cache in limited memory, whose events come late and with gaps. */
+/** A cache of prompt prefixes with limited capacity, whose events are published with a delay and with gaps. */
 import { createHash } from 'node:crypto'
 import type { CacheEvent } from '@limpetwinch/core'
 
-/** How the cache behaves. */
+/** Options of the cache. */
 export interface PrefixCacheOptions {
-  /** Prefixes kept; the least recently used one goes first. */
+  /** Maximum number of cached prefixes; the least recently used prefix is evicted first. */
   readonly cacheEntries: number
-  /** Milliseconds after which an event is published. */
+  /** Delay until an event is published, in milliseconds. */
   readonly cacheEventLag: number
-  /** Of so many events one is never published; 0 publishes all. */
+  /** One out of this many events is never published; 0 publishes all. */
   readonly cacheGapEvery: number
 }
 
@@ -16,14 +16,14 @@
   readonly at: number
 }
 
-/** Characters in one step of a prefix. */
+/** Number of characters in a block; prefixes consist of whole blocks. */
 export const PREFIX_BLOCK_CHARACTERS = 256
 const MAXIMUM_KEPT_EVENTS = 4096
 const MAXIMUM_EVENTS_PER_RESPONSE = 1024
 const HASH_CHARACTERS = 16
 
 /**
- * @param adapter - the adapter's name on the engine; a cached prefix belongs to one adapter
+ * @param adapter - name of the adapter on the engine; a cached prefix belongs to one adapter
  * @param prefix - whole blocks of a prompt
  * @returns the hash under which the prefix is published
  */
@@ -31,24 +31,24 @@
   return createHash('sha256').update(`${adapter ?? ''}\n${prefix}`).digest('hex').slice(0, HASH_CHARACTERS)
 }
 
-/** The prefixes held by one engine. */
+/** The cached prefixes of one engine. */
 export class PrefixCache {
   private readonly options: PrefixCacheOptions
   private readonly held = new Set<string>()
   private events: DatedEvent[] = []
   private sequence = 0
 
-  /** @param options - size, lag and gaps */
+  /** @param options - capacity, delay and gaps of events */
   constructor (options: PrefixCacheOptions) {
     this.options = options
   }
 
   /**
-   * Uses a prompt: what is cached of it counts as used, the rest is stored.
+   * Marks the cached prefixes of a prompt as used and stores the others.
    *
-   * @param adapter - the adapter's name on the engine
+   * @param adapter - name of the adapter on the engine
    * @param prompt - the whole prompt
-   * @returns the share that was cached, 0 to 1
+   * @returns the fraction of the prompt that was cached, 0 to 1
    */
   use (adapter: string | undefined, prompt: string): number {
     const prefixes = prefixesOf(adapter, prompt)
@@ -58,16 +58,16 @@
     return Math.min(1, cached * PREFIX_BLOCK_CHARACTERS / Math.max(1, prompt.length))
   }
 
-  /** @returns published events after a sequence number */
+  /** @returns the published events after a sequence number, limited in number */
   eventsAfter (sequence: number): readonly CacheEvent[] {
-    const visible = performance.now() - this.options.cacheEventLag
+    const visibleUntil = performance.now() - this.options.cacheEventLag
     return this.events
-      .filter((event) => event.sequence > sequence && event.at <= visible)
+      .filter((event) => event.sequence > sequence && event.at <= visibleUntil)
       .slice(0, MAXIMUM_EVENTS_PER_RESPONSE)
       .map(({ at, ...event }) => event)
   }
 
-  /** Forgets all, as a cold restart does; sequence numbers go on. */
+  /** Clears the cache, as a cold restart does; sequence numbers continue. */
   clear (): void {
     this.held.clear()
     this.events = []
@@ -95,7 +95,7 @@
   }
 }
 
-/** @returns hashes of the prefixes of 1, 2, 3 … whole blocks */
+/** @returns hashes of the prefixes that consist of 1, 2, 3 and so on whole blocks */
 function prefixesOf (adapter: string | undefined, prompt: string): string[] {
   const blocks = Math.floor(prompt.length / PREFIX_BLOCK_CHARACTERS)
   return Array.from({ length: blocks }, (_, index) => prefixHash(adapter, prompt.slice(0, (index + 1) * PREFIX_BLOCK_CHARACTERS)))
--- a/packages/stand-ins/src/engine/sequence.ts
+++ b/packages/stand-ins/src/engine/sequence.ts
@@ -1,18 +1,18 @@
-/** One request on the engine, with the streams that read it. */
+/** One generation request on the engine, with the streams that read its output. */
 import type { GenerateBody } from './engine-bodies.js'
 import { AnswerText, countPromptTokens } from './answer-text.js'
 
-/** How a request left the engine. */
+/** Result of a sequence. */
 export type SequenceResult = 'finished' | 'cancelled' | 'lost'
 
-/** One stream that reads a sequence. */
+/** A stream that reads the output of a sequence. */
 export interface SequenceReader {
   part: (position: number, text: string) => void
   end: (end: SequenceEnd) => void
   fail: (reason: string) => void
 }
 
-/** What the last event of a stream tells. */
+/** Content of the last event of a stream. */
 export interface SequenceEnd {
   readonly finishReason: 'length' | 'cancelled'
   readonly promptTokens: number
@@ -20,14 +20,14 @@
   readonly adapter: string | undefined
 }
 
-/** A request that waits, runs or has ended. */
+/** A waiting, running or ended request. */
 export class Sequence {
   readonly request: GenerateBody
   readonly run: string
   readonly promptTokens: number
   started = false
   produced = 0
-  /** Steps until the first token. */
+  /** Number of steps until the first token. */
   prefillSteps = 1
   result: SequenceResult | undefined
   endedAt = 0
@@ -36,7 +36,7 @@
   private readonly readers = new Set<SequenceReader>()
 
   /**
-   * @param request - what is asked
+   * @param request - the generation request
    * @param run - id of this run
    */
   constructor (request: GenerateBody, run: string) {
@@ -46,7 +46,7 @@
     this.text = new AnswerText(request)
   }
 
-  /** Adds a stream, which gets all tokens from a position on. */
+  /** Adds a stream, which receives all tokens from a position on. */
   read (reader: SequenceReader, from: number): void {
     for (let position = from; position < this.produced; position += 1) reader.part(position, this.text.token(position))
     if (this.result === undefined) {
@@ -56,7 +56,7 @@
     this.notifyEnd(reader)
   }
 
-  /** Takes a stream away. */
+  /** Removes a stream. */
   removeReader (reader: SequenceReader): void {
     this.readers.delete(reader)
   }
@@ -69,7 +69,7 @@
     for (const reader of this.readers) reader.part(position, text)
   }
 
-  /** Ends the sequence and tells its streams. */
+  /** Ends the sequence and notifies its streams. */
   finish (result: SequenceResult, reason = ''): void {
     this.result = result
     this.reason = reason
--- a/packages/stand-ins/src/engine/stand-in-engine.ts
+++ b/packages/stand-ins/src/engine/stand-in-engine.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine over HTTP. */
+/** HTTP server of the stand-in engine. */
 import { randomUUID } from 'node:crypto'
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response'
 import type { Context } from 'hono'
@@ -23,14 +23,14 @@
 
 type Answer = Response | Promise<Response>
 
-/** Calls that came, by kind. */
+/** Number of received calls, by kind. */
 export interface EngineCalls {
   generate: number
   resume: number
   cancel: number
 }
 
-/** One model engine. */
+/** A stand-in for one model engine. */
 export class StandInEngine extends StandInServer {
   readonly history: HistoryRecorder
   readonly calls: EngineCalls = { generate: 0, resume: 0, cancel: 0 }
@@ -48,7 +48,7 @@
   private runs = 0
   private startsUntil = 0
 
-  /** @param options - what differs from the defaults */
+  /** @param options - options that differ from the defaults */
   constructor (options: Partial<StandInEngineOptions> = {}) {
     super()
     this.options = { ...ENGINE_DEFAULTS, ...options }
@@ -66,10 +66,10 @@
     this.setFaults(this.options.faults)
   }
 
-  /** Sets the faults that are named; others stay as they are. */
+  /** Sets the given faults; other faults stay unchanged. */
   setFaults (faults: EngineFaults): void {
-    const { failLoads, failLoadsOf, slowLoads, reportLag, stepMilliseconds, silenceConnections, silentConnections, ...own } = faults
-    Object.assign(this.faults, own)
+    const { failLoads, failLoadsOf, slowLoads, reportLag, stepMilliseconds, silenceConnections, silentConnections, ...requestFaults } = faults
+    Object.assign(this.faults, requestFaults)
     if (failLoads !== undefined) this.slots.faults.failLoads = failLoads
     if (failLoadsOf !== undefined) this.slots.faults.failLoadsOf = failLoadsOf
     if (slowLoads !== undefined) this.slots.faults.slowLoads = slowLoads
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Restarts cold: running requests are lost, nothing is loaded, fencing tokens and answers are forgotten.
+   * Simulates a cold restart: running requests are lost, no adapter is loaded, and fencing tokens and ended requests are forgotten.
    *
-   * @param startMilliseconds - how long requests and orders are refused while it starts
+   * @param startMilliseconds - time for which requests and load orders are refused after the restart
    */
   restart (startMilliseconds = 0): void {
     this.startsUntil = performance.now() + startMilliseconds
@@ -195,7 +195,7 @@
     if (this.isStale(token)) return this.refuseStale(context, 'unload', name, token)
     this.slots.unload(name)
     this.recordOrder('unload', name, token, 'done')
-    // Carried out as ordered, also when it is in use: an owner that evicts wrongly is to be seen.
+    // The unload is carried out also while the adapter is in use, so that a checker can detect a load owner that evicts wrongly.
     this.batch.endAll(`adapter '${name}' was unloaded while in use`, (sequence) => sequence.request.adapter === name)
     return context.json({})
   }
@@ -211,7 +211,7 @@
     return context.json({})
   }
 
-  /** Another base model leaves nothing of what is loaded, cached or running. */
+  /** Changes the base model: adapters and cached prefixes are cleared, and running requests are lost. */
   private changeBaseModel (baseModel: string): void {
     this.baseModel = baseModel
     this.batch.endAll('the base model was changed', () => true)
@@ -223,7 +223,7 @@
     return performance.now() < this.startsUntil
   }
 
-  /** Takes note of an order's token. */
+  /** Records the fencing token of an order. @returns whether the token is stale and must be refused */
   private isStale (token: number): boolean {
     if (this.options.fencing === 'ignores') return false
     if (token < this.highestToken) return true
--- a/packages/stand-ins/src/http/read-body.ts
+++ b/packages/stand-ins/src/http/read-body.ts
@@ -1,4 +1,4 @@
-/** Bodies of requests, checked. */
+/** Reads and validates request bodies. */
 import type { Context } from 'hono'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -10,8 +10,8 @@
  * Reads a JSON body.
  *
  * @param context - the request
- * @param schema - what the body must be
- * @returns the body, or the answer that refuses it
+ * @param schema - schema of the body
+ * @returns the body, or the response that refuses the request
  */
 export async function readBody<Body> (context: Context<StandInEnvironment>, schema: z.ZodType<Body>): Promise<Result<Body, Response>> {
   let body: unknown
--- a/packages/stand-ins/src/http/stand-in-server.ts
+++ b/packages/stand-ins/src/http/stand-in-server.ts
@@ -1,4 +1,4 @@
-/** What all stand-ins share: an HTTP server with connections that can be made to fall silent. */
+/** Base class of the stand-ins: an HTTP server whose connections can be made unresponsive. */
 import type { Server } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import { createAdaptorServer } from '@hono/node-server'
@@ -7,38 +7,38 @@
 import { Hono } from 'hono'
 import type { Context, MiddlewareHandler } from 'hono'
 
-/** The environment of a stand-in's handlers: the connection underneath can be reached. */
+/** Hono environment of the handlers of a stand-in; gives access to the underlying connection. */
 export interface StandInEnvironment {
   Bindings: HttpBindings
 }
 
-/** The application of a stand-in. */
+/** Hono application of a stand-in. */
 export type StandInApplication = Hono<StandInEnvironment>
 
-/** One request to a stand-in. */
+/** Hono context of one request to a stand-in. */
 export type StandInContext = Context<StandInEnvironment>
 
 export { RESPONSE_ALREADY_SENT }
 
-/** A stand-in for an outside system, served over HTTP in this process. */
+/** A stand-in for an external system, served over HTTP by this process. */
 export abstract class StandInServer {
   private server: Server | undefined
   private readonly sockets = new Set<Socket>()
   private readonly silent = new WeakSet<Socket>()
   private remainingSilentConnections = 0
 
-  /** @returns the URL, once it listens */
+  /** @returns the URL; throws before {@link StandInServer.listen} has resolved */
   get url (): string {
-    if (this.server === undefined) throw new Error('The stand-in does not listen yet; call listen first.')
+    if (this.server === undefined) throw new Error('The stand-in is not listening yet; call listen first.')
     const address = this.server.address() as AddressInfo
     return `http://${address.address}:${address.port}`
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
-   * @param port - 0 picks a free one
-   * @param host - the IP number to listen on
+   * @param port - port to listen on; 0 selects a free port
+   * @param host - IP address to listen on
    * @returns the URL
    */
   async listen (port = 0, host = '127.0.0.1'): Promise<string> {
@@ -55,7 +55,7 @@
     return this.url
   }
 
-  /** Ends everything, open streams included. */
+  /** Stops the server and closes all connections, including open streams. */
   async close (): Promise<void> {
     const server = this.server
     if (server === undefined) return
@@ -65,20 +65,20 @@
     })
   }
 
-  /** Adds the stand-in's own paths. */
+  /** Adds the routes of the stand-in. */
   protected abstract routes (application: StandInApplication): void
 
-  /** Lets nothing pass any more on the connections that are open; new ones work. */
+  /** Makes all open connections unresponsive; new connections work. */
   protected silenceOpenConnections (): void {
     for (const socket of this.sockets) this.silent.add(socket)
   }
 
-  /** Accepts so many of the next connections and says nothing on them. */
+  /** Makes a number of next connections unresponsive; they are accepted but never answered. */
   protected silenceNextConnections (count: number): void {
     this.remainingSilentConnections = count
   }
 
-  /** @returns whether nothing passes on a connection */
+  /** @returns whether a connection was made unresponsive */
   protected isSilent (socket: Socket | null): boolean {
     return socket !== null && this.silent.has(socket)
   }
@@ -92,24 +92,25 @@
     this.silent.add(socket)
   }
 
+  /** @returns middleware that sends no response on unresponsive connections, except for control requests */
   private silenceMiddleware (): MiddlewareHandler<StandInEnvironment> {
     return async (context, next) => {
-      const control = context.req.path.startsWith('/control/')
+      const isControl = context.req.path.startsWith('/control/')
       const socket = context.env.incoming.socket
-      if (!control && this.isSilent(socket)) return RESPONSE_ALREADY_SENT
+      if (!isControl && this.isSilent(socket)) return RESPONSE_ALREADY_SENT
       await next()
-      if (!control && this.isSilent(socket)) context.res = RESPONSE_ALREADY_SENT
+      if (!isControl && this.isSilent(socket)) context.res = RESPONSE_ALREADY_SENT
     }
   }
 }
 
-/** Cuts a connection without an answer. */
+/** Closes the connection of a request without a response. */
 export function cut (context: Context<StandInEnvironment>): Response {
   context.env.incoming.socket.destroy()
   return RESPONSE_ALREADY_SENT
 }
 
-/** Answers with the error form of the stand-ins. */
+/** Responds with an error in the format of the stand-ins. */
 export function refuse (context: Context<StandInEnvironment>, status: 400 | 404 | 409 | 413 | 429 | 502 | 503, code: string, message: string): Response {
   return context.json({ error: { code, message } }, status)
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what stands around limpetwinch: engine, plain service and platform, in this process or as binaries. */
+/** Stand-ins for the external systems that limpetwinch uses: engine, plain service and platform, in this process or as programs. */
 export * from './platform/memory-object-store.js'
 export * from './platform/stand-in-platform.js'
 export type { PlatformFaults } from './platform/platform-bodies.js'
--- a/packages/stand-ins/src/platform/call-rate-limiter.ts
+++ b/packages/stand-ins/src/platform/call-rate-limiter.ts
@@ -1,19 +1,21 @@
-/** The platform's rates, counted by call. */
+/** Limits the rate of calls to the platform. */
 
-/** Allows so many calls in each second. */
+/** Allows a number of calls in each window of one second. */
 export class CallRateLimiter {
   private readonly perSecond: number
   private windowStart = 0
   private used = 0
 
-  /** @param perSecond - calls allowed in one second */
+  /** @param perSecond - maximum number of calls per second */
   constructor (perSecond: number) {
     this.perSecond = perSecond
   }
 
   /**
-   * @param now - monotonic milliseconds
-   * @returns whether this call is within the rate
+   * Counts one call.
+   *
+   * @param now - monotonic time in milliseconds
+   * @returns whether the call is within the limit
    */
   take (now: number): boolean {
     if (now - this.windowStart >= 1000) {
--- a/packages/stand-ins/src/platform/lagging-list.ts
+++ b/packages/stand-ins/src/platform/lagging-list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of instances, which shows what was true a while ago. */
+/** The platform's list of instances, published with a delay. */
 import type { ListedInstance } from '@limpetwinch/core'
 
 interface Snapshot {
@@ -6,41 +6,41 @@
   readonly instances: readonly ListedInstance[]
 }
 
-/** A list whose readers see each change only after the lag. */
+/** An instance list whose readers see each change only after the lag. */
 export class LaggingList {
   private snapshots: Snapshot[] = [{ at: -Infinity, instances: [] }]
 
-  /** @param lag - milliseconds; may be changed at any time */
+  /** @param lag - delay until a change is visibleUntil, in milliseconds; can be changed at any time */
   constructor (public lag: number) {}
 
-  /** Adds or replaces one line. */
-  set (line: ListedInstance): void {
-    this.add([...this.newest().filter((other) => other.id !== line.id), line])
+  /** Adds or replaces an instance. */
+  set (instance: ListedInstance): void {
+    this.add([...this.current().filter((other) => other.id !== instance.id), instance])
   }
 
-  /** @returns a line as it is now, without the lag */
+  /** @returns the current entry of an instance, without the lag */
   find (id: string): ListedInstance | undefined {
-    return this.newest().find((line) => line.id === id)
+    return this.current().find((instance) => instance.id === id)
   }
 
-  /** Takes one line off the list. */
+  /** Removes an instance. */
   remove (id: string): void {
-    this.add(this.newest().filter((other) => other.id !== id))
+    this.add(this.current().filter((other) => other.id !== id))
   }
 
-  /** @returns the list as it was before the lag */
+  /** @returns the list as it was one lag ago */
   read (): readonly ListedInstance[] {
-    const visible = performance.now() - this.lag
-    return this.snapshots.findLast((snapshot) => snapshot.at <= visible)?.instances ?? []
+    const visibleUntil = performance.now() - this.lag
+    return this.snapshots.findLast((snapshot) => snapshot.at <= visibleUntil)?.instances ?? []
   }
 
-  private newest (): readonly ListedInstance[] {
+  private current (): readonly ListedInstance[] {
     return this.snapshots.at(-1)?.instances ?? []
   }
 
   private add (instances: readonly ListedInstance[]): void {
     const now = performance.now()
-    const seen = this.snapshots.findLastIndex((snapshot) => snapshot.at <= now - this.lag)
-    this.snapshots = [...this.snapshots.slice(Math.max(seen, 0)), { at: now, instances }]
+    const firstKept = this.snapshots.findLastIndex((snapshot) => snapshot.at <= now - this.lag)
+    this.snapshots = [...this.snapshots.slice(Math.max(firstKept, 0)), { at: now, instances }]
   }
 }
--- a/packages/stand-ins/src/platform/memory-object-store.ts
+++ b/packages/stand-ins/src/platform/memory-object-store.ts
@@ -1,25 +1,25 @@
-/** The object API in memory, with the faults that the real one shows; the stand-in platform serves it over HTTP. */
+/** An in-memory object store with the faults of a real one; the stand-in platform serves it over HTTP. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { err, errAsync, ok, okAsync, ResultAsync } from 'neverthrow'
 import { LimpetwinchError, ObjectStore } from '@limpetwinch/core'
 import type { ConditionalWrite, StoredObject, WatchStep } from '@limpetwinch/core'
 
-/** Calls seen, by kind; each call counts as one, also a waiting watch and a refused one. */
+/** Number of calls, by kind; each call counts once, including waiting watches and refused calls. */
 export interface StoreCalls {
   reads: number
   writes: number
   watches: number
 }
 
-/** Faults that can be set at any time. */
+/** Faults of the store; can be set at any time. */
 export interface StoreFaults {
-  /** Every call fails. */
+  /** Whether every call fails. */
   outage: boolean
-  /** Added to each call, milliseconds. */
+  /** Delay added to each call, in milliseconds. */
   slowness: number
-  /** So many of the next writes take effect, but their answers are lost. */
+  /** Number of next writes that take effect but whose responses are lost. */
   loseAnswers: number
-  /** Gets and lists show what was true so many milliseconds ago; watches and conditional writes do not. */
+  /** Age of the state that gets and lists return, in milliseconds; watches and conditional writes use the current state. */
   staleReads: number
 }
 
@@ -27,13 +27,13 @@
   readonly object: StoredObject
   readonly cursor: number
   readonly writtenAt: number
-  /** The state before, for stale reads. */
+  /** Previous state of the object, for stale reads. */
   readonly before: Entry | undefined
 }
 
 const MAXIMUM_EARLIER_STATES = 8
 
-/** Objects with versions; one instance stands for the whole platform service. */
+/** Versioned objects; one store represents the whole platform service. */
 export class MemoryObjectStore extends ObjectStore {
   readonly calls: StoreCalls = { reads: 0, writes: 0, watches: 0 }
   readonly faults: StoreFaults = { outage: false, slowness: 0, loseAnswers: 0, staleReads: 0 }
@@ -73,13 +73,13 @@
     return this.applyCallFaults().andThen(() => ResultAsync.fromSafePromise<WatchStep, LimpetwinchError>(this.waitForChanges(prefix, cursor, waitMilliseconds, signal)))
   }
 
-  /** Puts back an earlier state, as a store restored from a copy would; versions go back with it. */
+  /** Restores earlier objects with their earlier versions, like a store that is restored from a backup. */
   restore (objects: readonly StoredObject[]): void {
     this.entries.clear()
     for (const object of objects) this.set(object.path, object.version, object.value)
   }
 
-  /** @returns all objects as they are, without a counted call */
+  /** @returns all current objects; not counted as a call */
   snapshot (): readonly StoredObject[] {
     return structuredClone(this.changedSince('', 0))
   }
@@ -92,12 +92,12 @@
     for (const wake of this.waiting) wake()
   }
 
-  /** @returns the state of an entry that reads see */
+  /** @returns the state of an entry that reads return */
   private visible (entry: Entry | undefined): Entry | undefined {
     if (this.faults.staleReads === 0) return entry
-    const seenUntil = performance.now() - this.faults.staleReads
+    const visibleUntil = performance.now() - this.faults.staleReads
     let state = entry
-    while (state !== undefined && state.writtenAt > seenUntil) state = state.before
+    while (state !== undefined && state.writtenAt > visibleUntil) state = state.before
     return state
   }
 
@@ -107,7 +107,7 @@
       .map((entry) => this.visible(entry))
       .filter((state): state is Entry => state !== undefined)
     const objects = states.map((state) => state.object).filter((object) => object.path.startsWith(prefix))
-    // The cursor belongs to the stale state: a watch from it shows what the list did not.
+    // The cursor belongs to the stale state, so that a watch from this cursor returns the changes that the list left out.
     return { objects, cursor: Math.max(0, ...states.map((state) => state.cursor)) }
   }
 
@@ -141,6 +141,7 @@
     })
   }
 
+  /** Applies the outage and the delay to a call. */
   private applyCallFaults (): ResultAsync<void, LimpetwinchError> {
     if (this.faults.outage) return errAsync(new LimpetwinchError('store-unavailable', { reason: 'outage' }))
     if (this.faults.slowness === 0) return okAsync(undefined)
--- a/packages/stand-ins/src/platform/platform-bodies.ts
+++ b/packages/stand-ins/src/platform/platform-bodies.ts
@@ -1,15 +1,15 @@
-/** Bodies that the stand-in platform takes. */
+/** Schemas of the request bodies of the stand-in platform. */
 import type { DataCentreId } from '@limpetwinch/core'
 import { z } from 'zod'
 
-/** `PUT /objects`. */
+/** Body of `PUT /objects`. */
 export const writeSchema = z.object({
   path: z.string().min(1),
   ifVersion: z.int().min(0),
   value: z.unknown()
 })
 
-/** `PUT /control/instances`. */
+/** Body of `PUT /control/instances`. */
 export const instanceSchema = z.object({
   id: z.string().min(1),
   kind: z.enum(['entry', 'endpoint']),
@@ -18,29 +18,29 @@
   state: z.enum(['live', 'leaving'])
 })
 
-/** `POST /control/faults`. */
+/** Body of `POST /control/faults`. */
 export const platformFaultsSchema = z.strictObject({
-  /** Every call to the object API and the list answers 503. */
+  /** Whether every call to the object API and the instance list fails with status 503. */
   outage: z.boolean().optional(),
-  /** Added to each call of the object API, milliseconds. */
+  /** Delay added to each call of the object API, in milliseconds. */
   slowness: z.number().min(0).optional(),
-  /** So many of the next writes take effect, and their connection is cut without an answer. */
+  /** Number of next writes that take effect but whose connection is closed without a response. */
   loseAnswers: z.int().min(0).optional(),
-  /** Reads show what was true so many milliseconds ago. */
+  /** Age of the state that reads return, in milliseconds. */
   staleReads: z.number().min(0).optional(),
-  /** No weights can be had. */
+  /** Whether all transfers of weights fail. */
   weightsOutage: z.boolean().optional(),
-  /** Multiplies the time of each transfer of weights. */
+  /** Factor on the duration of each transfer of weights. */
   weightsSlowness: z.number().positive().optional(),
   /** Adapters `team/adapter@version` without weights. */
   missingWeights: z.array(z.string()).optional(),
-  /** Lag of the instance list, milliseconds. */
+  /** Delay of the instance list, in milliseconds. */
   listLag: z.number().min(0).optional(),
-  /** Nothing passes any more on the connections that are open. */
+  /** Makes all open connections unresponsive; new connections work. */
   silenceConnections: z.boolean().optional(),
-  /** So many of the next connections are accepted, and nothing is said on them. */
+  /** Number of next connections that are accepted but stay unresponsive. */
   silentConnections: z.int().min(0).optional()
 })
 
-/** Faults of the stand-in platform; those not named stay as they are. */
+/** Faults of the stand-in platform; faults that are not given stay unchanged. */
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>
--- a/packages/stand-ins/src/platform/stand-in-platform.ts
+++ b/packages/stand-ins/src/platform/stand-in-platform.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform: object API, instance list and weight store over HTTP. */
+/** HTTP server of the stand-in platform: object API, instance list and weight store. */
 import type { Context } from 'hono'
 import type { LimpetwinchError } from '@limpetwinch/core'
 import { HistoryRecorder } from '../history/history-recorder.js'
@@ -12,20 +12,20 @@
 import { CallRateLimiter } from './call-rate-limiter.js'
 import { WeightStore } from './weight-store.js'
 
-/** How the stand-in platform behaves. */
+/** Options of the stand-in platform. */
 export interface StandInPlatformOptions {
   readonly readsPerSecond: number
   readonly writesPerSecond: number
   readonly loadsPerSecond: number
   readonly sharingPenalty: number
-  /** Milliseconds after which the instance list shows a change. */
+  /** Delay until the instance list shows a change, in milliseconds. */
   readonly listLag: number
-  /** A file for history lines. */
+  /** Path of a file to which history lines are appended. */
   readonly history?: string | undefined
   readonly faults?: PlatformFaults | undefined
 }
 
-/** The rates that the users state. */
+/** Defaults, with the rates that users state for their platform. */
 export const PLATFORM_DEFAULTS: StandInPlatformOptions = {
   readsPerSecond: 2000,
   writesPerSecond: 400,
@@ -37,7 +37,7 @@
 const MAXIMUM_VALUE_BYTES = 1024 * 1024
 const MAXIMUM_WATCH_MILLISECONDS = 60_000
 
-/** The platform of a whole deployment. */
+/** A stand-in for the platform of a deployment. */
 export class StandInPlatform extends StandInServer {
   readonly store = new MemoryObjectStore()
   readonly history: HistoryRecorder
@@ -50,19 +50,19 @@
   private weightsOutage = false
   private missingWeights: ReadonlySet<string> = new Set()
 
-  /** @param options - rates, lag, first faults */
+  /** @param options - rates, delay of the instance list and initial faults */
   constructor (options: Partial<StandInPlatformOptions> = {}) {
     super()
-    const all = { ...PLATFORM_DEFAULTS, ...options }
-    this.history = new HistoryRecorder(all.history)
-    this.list = new LaggingList(all.listLag)
-    this.weights = new WeightStore(all)
-    this.reads = new CallRateLimiter(all.readsPerSecond)
-    this.writes = new CallRateLimiter(all.writesPerSecond)
-    if (all.faults !== undefined) this.setFaults(all.faults)
+    const allOptions = { ...PLATFORM_DEFAULTS, ...options }
+    this.history = new HistoryRecorder(allOptions.history)
+    this.list = new LaggingList(allOptions.listLag)
+    this.weights = new WeightStore(allOptions)
+    this.reads = new CallRateLimiter(allOptions.readsPerSecond)
+    this.writes = new CallRateLimiter(allOptions.writesPerSecond)
+    if (allOptions.faults !== undefined) this.setFaults(allOptions.faults)
   }
 
-  /** Sets the faults that are named; others stay as they are. */
+  /** Sets the given faults; other faults stay unchanged. */
   setFaults (faults: PlatformFaults): void {
     const { weightsOutage, weightsSlowness, missingWeights, listLag, silenceConnections, silentConnections, ...storeFaults } = faults
     Object.assign(this.store.faults, storeFaults)
@@ -172,7 +172,7 @@
   return refuse(context, 503, 'outage', error.message)
 }
 
-/** @returns a signal that ends when the caller has gone */
+/** @returns a signal that is aborted when the response is closed, also when the caller disconnects */
 function disconnectSignal (context: Context<StandInEnvironment>): AbortSignal {
   const controller = new AbortController()
   context.env.outgoing.once('close', () => controller.abort())
--- a/packages/stand-ins/src/platform/weight-store.ts
+++ b/packages/stand-ins/src/platform/weight-store.ts
@@ -1,34 +1,34 @@
-/** The weight store: transfers share it, and together they get less through than one after another. */
+/** The weight store. Concurrent transfers share its bandwidth, and their total throughput is lower than that of consecutive transfers. */
 
-/** How the store behaves. */
+/** Options of the weight store. */
 export interface WeightStoreOptions {
-  /** Loads a second when one runs at a time. */
+  /** Number of transfers per second when one runs at a time. */
   readonly loadsPerSecond: number
-  /** With k transfers at once the whole store slows down by 1 + penalty * (k - 1). */
+  /** Penalty for sharing: k concurrent transfers slow the whole store down by the factor 1 + penalty * (k - 1). */
   readonly sharingPenalty: number
 }
 
 interface Transfer {
-  /** Work left, milliseconds at full speed. */
+  /** Remaining duration at full speed, in milliseconds. */
   left: number
   readonly finish: () => void
 }
 
-/** Transfers under processor sharing. */
+/** Simulates transfers that share the bandwidth equally (processor sharing). */
 export class WeightStore {
-  /** Multiplies the time of each transfer. */
+  /** Factor on the duration of each new transfer. */
   slowness = 1
   private readonly options: WeightStoreOptions
   private readonly transfers = new Set<Transfer>()
   private advancedAt = performance.now()
   private timer: NodeJS.Timeout | undefined
 
-  /** @param options - its speed */
+  /** @param options - speed and sharing penalty */
   constructor (options: WeightStoreOptions) {
     this.options = options
   }
 
-  /** @returns transfers under way */
+  /** @returns number of transfers in progress */
   get active (): number {
     return this.transfers.size
   }
@@ -36,7 +36,7 @@
   /**
    * Transfers the weights of one adapter.
    *
-   * @param signal - gives the transfer up
+   * @param signal - cancels the transfer; the promise then resolves early
    */
   async transfer (signal: AbortSignal): Promise<void> {
     this.advance()
@@ -61,7 +61,7 @@
     this.plan()
   }
 
-  /** @returns milliseconds of work that one transfer gets done in a millisecond */
+  /** @returns progress of each transfer per millisecond, in milliseconds at full speed */
   private speed (): number {
     const count = this.transfers.size
     return 1 / (count * (1 + this.options.sharingPenalty * (count - 1)))
--- a/packages/stand-ins/src/service/stand-in-service.ts
+++ b/packages/stand-ins/src/service/stand-in-service.ts
@@ -1,4 +1,4 @@
-/** The stand-in plain service: it echoes and counts what it ran. */
+/** The stand-in plain service, which echoes requests and records those it ran. */
 import { randomUUID } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Context } from 'hono'
@@ -9,42 +9,42 @@
 import type { StandInApplication, StandInEnvironment } from '../http/stand-in-server.js'
 
 const serviceFaultsSchema = z.strictObject({
-  /** So many of the next requests are refused with 503 and not run. */
+  /** Number of next requests that are refused with status 503 and not run. */
   refuseBefore: z.int().min(0).optional(),
-  /** So many of the next connections are cut before anything is run. */
+  /** Number of next requests whose connection is closed before the request is run. */
   failBefore: z.int().min(0).optional(),
-  /** So many of the next requests are run, and their connection is cut without an answer. */
+  /** Number of next requests that are run but whose connection is closed without a response. */
   failAfter: z.int().min(0).optional(),
-  /** Added before each run, milliseconds. */
+  /** Delay before each run, in milliseconds. */
   slowness: z.number().min(0).optional(),
-  /** Nothing passes any more on the connections that are open. */
+  /** Makes all open connections unresponsive; new connections work. */
   silenceConnections: z.boolean().optional(),
-  /** So many of the next connections are accepted, and nothing is said on them. */
+  /** Number of next connections that are accepted but stay unresponsive. */
   silentConnections: z.int().min(0).optional()
 })
 
-/** Faults of the stand-in service; those not named stay as they are. */
+/** Faults of the stand-in service; faults that are not given stay unchanged. */
 export type ServiceFaults = z.infer<typeof serviceFaultsSchema>
 
-/** How the stand-in service behaves. */
+/** Options of the stand-in service. */
 export interface StandInServiceOptions {
-  /** Endpoint id, for history lines. */
+  /** Endpoint id in history lines. */
   readonly name: string
-  /** A file for history lines. */
+  /** Path of a file to which history lines are appended. */
   readonly history?: string | undefined
   readonly faults?: ServiceFaults | undefined
 }
 
-/** The header that names the request in history lines. */
+/** Header with the request id that history lines contain. */
 export const REQUEST_ID_HEADER = 'x-request-id'
 
-/** One plain service. */
+/** A stand-in for one endpoint of a plain service. */
 export class StandInService extends StandInServer {
   readonly history: HistoryRecorder
   private readonly name: string
   private readonly faults = { refuseBefore: 0, failBefore: 0, failAfter: 0, slowness: 0 }
 
-  /** @param options - name, history file, first faults */
+  /** @param options - name, history file and initial faults */
   constructor (options: Partial<StandInServiceOptions> = {}) {
     super()
     this.name = options.name ?? 'service'
@@ -52,10 +52,10 @@
     this.setFaults(options.faults ?? {})
   }
 
-  /** Sets the faults that are named; others stay as they are. */
+  /** Sets the given faults; other faults stay unchanged. */
   setFaults (faults: ServiceFaults): void {
-    const { silenceConnections, silentConnections, ...own } = faults
-    Object.assign(this.faults, own)
+    const { silenceConnections, silentConnections, ...requestFaults } = faults
+    Object.assign(this.faults, requestFaults)
     if (silenceConnections === true) this.silenceOpenConnections()
     if (silentConnections !== undefined) this.silenceNextConnections(silentConnections)
   }
@@ -97,5 +97,5 @@
   }
 }
 
-/** Checks faults that come as text. */
+/** Schema of the body of `POST /control/faults` and of the `--faults` flag. */
 export { serviceFaultsSchema }
--- a/packages/stand-ins/test/binaries.test.ts
+++ b/packages/stand-ins/test/binaries.test.ts
@@ -15,12 +15,12 @@
   return { launched: new LaunchedProcess({ name: kind, script, scriptArguments }, (reason) => ends.push(reason), () => undefined), ends }
 }
 
-describe('binaries of the stand-ins', () => {
+describe('programs of the stand-ins', () => {
   it.each([
     ['platform', '/instances', '{"instances":[]}'],
     ['engine', '/cache-events', '{"events":[]}'],
     ['service', '/control/history', '{"events":[]}']
-  ])('%s says where it listens, serves and ends when asked', async (kind, path, body) => {
+  ])('%s reports its URL, serves requests and ends on SIGTERM', async (kind, path, body) => {
     const { launched, ends } = launch(kind, ['--history', join(folder, `${kind}.jsonl`)])
     const line = (await launched.untilReady())._unsafeUnwrap() as { listening: string }
     expect(await (await fetch(line.listening + path)).text()).toBe(body)
@@ -28,7 +28,7 @@
     expect(ends).toEqual([])
   })
 
-  it('takes faults by flag and writes history to a file', async () => {
+  it('accepts faults by flag and writes its history to a file', async () => {
     const history = join(folder, 'service-faults.jsonl')
     const { launched } = launch('service', ['--name', 'echo-1', '--history', history, '--faults', '{"refuseBefore": 1}'])
     const { listening } = (await launched.untilReady())._unsafeUnwrap() as { listening: string }
@@ -39,7 +39,7 @@
     expect(lines).toMatchObject([{ event: 'run-started', endpoint: 'echo-1' }, { event: 'run-ended' }])
   })
 
-  // A process that the launcher started ends by itself. The launcher has to hear of it, also before the first line.
+  // Guards against a child process that ends unexpectedly without notice: the end must be reported also before the first line of output.
   it('reports an unexpected end', async () => {
     const { launched, ends } = launch('service', ['--faults', '{"unknown": 1}'])
     expect((await launched.untilReady())._unsafeUnwrapErr().message).toContain('ended before it listened')
--- a/packages/stand-ins/test/develop.test.ts
+++ b/packages/stand-ins/test/develop.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest'
 
 const SCRIPT = fileURLToPath(new URL('../dist/bin/limpetwinch-develop.js', import.meta.url))
-const LONGEST_MILLISECONDS = 180_000
+const TIMEOUT_MILLISECONDS = 180_000
 
 async function develop (scriptArguments: string[]): Promise<{ code: number | null, output: string }> {
   expect(existsSync(SCRIPT), 'run npm run build first').toBe(true)
@@ -15,13 +15,13 @@
   return { code, output }
 }
 
-describe('launcher', () => {
-  it('brings the whole deployment up, has every sample answered by the right adapter, and exits 0', async () => {
+describe('development deployment', () => {
+  it('starts completely, serves every sample request with the expected adapter and exits with code 0', async () => {
     const { code, output } = await develop(['--once'])
     const lines = output.split('\n').filter((line) => line.startsWith('ok') || line.startsWith('FAILED'))
     expect(output).not.toContain('FAILED')
     expect(lines).toHaveLength(10)
     expect(lines.filter((line) => line.includes('served by athletics/justification@2'))).toHaveLength(2)
     expect(code, output).toBe(0)
-  }, LONGEST_MILLISECONDS)
+  }, TIMEOUT_MILLISECONDS)
 })
--- a/packages/stand-ins/test/engine-faults.test.ts
+++ b/packages/stand-ins/test/engine-faults.test.ts
@@ -5,12 +5,12 @@
 const LONG = { adapter: undefined, maximumTokens: 100_000 }
 
 describe('faults of the stand-in engine', () => {
-  it('refuses a fault that it does not know', async () => {
+  it('rejects unknown faults', async () => {
     const { engine } = await startEngine()
     expect(await setFaults(engine.url, { refused: true } as never)).toBe(400)
   })
 
-  it('fails so many loads, or those of one adapter', async () => {
+  it('fails a number of loads, or the loads of one adapter', async () => {
     const { engine, client } = await startEngine()
     await setFaults(engine.url, { failLoads: 1, failLoadsOf: ['team/bad@1'] })
     expect((await client.load(order(ADAPTER), sourceOf(ADAPTER)))._unsafeUnwrapErr().kind).toBe('load-failed')
@@ -18,7 +18,7 @@
     expect((await client.load(order('team/bad@1'), sourceOf('team/bad@1')))._unsafeUnwrapErr().kind).toBe('load-failed')
   })
 
-  it('fails loads of weights that the platform does not have, and slows others', async () => {
+  it('fails loads of weights that the platform does not have, and delays others', async () => {
     const platform = new StandInPlatform({ loadsPerSecond: 1000, faults: { missingWeights: ['team/none@1'] } })
     onTestFinished(async () => { await platform.close() })
     const { engine, client } = await startEngine({ platform: await platform.listen() })
@@ -26,7 +26,7 @@
     expect((await client.load(order(ADAPTER), sourceOf(ADAPTER))).isOk()).toBe(true)
     await setFaults(engine.url, { slowLoads: 3_600_000 })
     const slow = client.load(order('team/slow@1'), sourceOf('team/slow@1'))
-    // A restart ends the load, however long it would take; the order may still be on its way at the first one.
+    // A restart aborts a load of any duration. The restart is repeated, because the load order may not have arrived at the first one.
     const restarts = setInterval(() => engine.restart(), 20)
     expect((await slow).isErr()).toBe(true)
     clearInterval(restarts)
@@ -39,9 +39,9 @@
     expect(engine.history.all()).toEqual([])
   })
 
-  // An owner evicts wrongly: it orders the unload of an adapter that a running request uses. The caller's stream ends
-  // with an error, and the history shows the order inside the run, which is how a checker convicts the owner.
-  it('carries out an unload of an adapter in use, and the run is lost', async () => {
+  // Guards against a load owner that evicts an adapter in use without being noticed. The caller's stream ends with an error, and the
+  // history contains the unload order between start and end of the run, by which a checker detects the wrong eviction.
+  it('unloads an adapter in use, and the run is lost', async () => {
     const { engine, client } = await startEngine()
     await client.load(order(ADAPTER), sourceOf(ADAPTER))
     const stream = receive(client.generate(question('r1', { maximumTokens: 100_000 }), forever()))
@@ -52,9 +52,9 @@
     expect(engine.history.all().at(-1)).toMatchObject({ result: 'lost' })
   })
 
-  // The stream breaks after three tokens while the request runs on. The caller's instance takes the rest up from the
-  // next position; nothing is lost and nothing runs twice.
-  it('drops a stream midway, and the rest can be resumed', async () => {
+  // The connection of the stream is closed after three tokens while the request keeps running. The rest can be resumed from the next
+  // position; no token is lost and the request does not run twice.
+  it('closes a stream early, and the rest can be resumed', async () => {
     const { engine, client } = await startEngine({ faults: { dropStreams: 1, dropAfterTokens: 3 } })
     const asked = question('r1', { adapter: undefined })
     const cut = await receive(client.generate(asked, forever()))
@@ -64,16 +64,16 @@
     expect(engine.history.all().filter((line) => line.event === 'run-started')).toHaveLength(1)
   })
 
-  it('sends parts twice and late', async () => {
+  it('sends parts twice and out of order', async () => {
     const { engine, client } = await startEngine()
     await setFaults(engine.url, { duplicateEvery: 2, lateEvery: 3 })
     const { parts } = await receive(client.generate(question('r1', { adapter: undefined, maximumTokens: 4 }), forever()))
     expect(parts.map((part) => part.position)).toEqual([0, 1, 1, 3, 3, 2])
   })
 
-  // Something between the two ends forgets an open connection in the middle of a stream. The reader sees neither
-  // parts nor an end; a new connection gets the rest at once.
-  it('falls silent on open connections while new ones work', async () => {
+  // Simulates a network device that drops the state of an open connection in the middle of a stream. The reader receives neither parts
+  // nor an end; a new connection receives the rest at once.
+  it('makes open connections unresponsive while new ones work', async () => {
     const { engine, client } = await startEngine({ stepMilliseconds: 3 })
     const asked = question('r1', { adapter: undefined, maximumTokens: 30 })
     const waiting = new AbortController()
@@ -88,7 +88,7 @@
     expect(seen.parts.length).toBeLessThan(30)
   })
 
-  it('accepts a connection and says nothing on it', async () => {
+  it('accepts a connection and never responds on it', async () => {
     const { engine, client } = await startEngine({ faults: { silentConnections: 1 } })
     const waiting = new AbortController()
     const silent = receive(client.generate(question('r1', LONG), waiting.signal))
@@ -107,8 +107,8 @@
     expect((await stream).end?.outputTokens).toBe(50)
   })
 
-  // The engine restarts cold under a running request. The caller's stream ends with an error, nothing is loaded any
-  // more, and the report names another run of the engine, by which its owner sees what happened.
+  // The engine restarts cold during a running request. The caller's stream ends with an error, no adapter is loaded any more, and the
+  // report contains another run id of the engine, by which the load owner detects the restart.
   it('restarts cold', async () => {
     const { engine, client } = await startEngine()
     await client.load(order(ADAPTER, 9), sourceOf(ADAPTER))
@@ -124,13 +124,13 @@
     expect(engine.history.all().map((line) => line.event)).toContain('endpoint-restarted')
   })
 
-  it('refuses requests while it starts again', async () => {
+  it('refuses requests while it restarts', async () => {
     const { engine, client } = await startEngine()
     engine.restart(3_600_000)
     expect((await receive(client.generate(question('r1', LONG), forever()))).error?.outcome).toBe('not_run')
   })
 
-  it('loses everything with another base model', async () => {
+  it('unloads all adapters when the base model changes', async () => {
     const { client } = await startEngine()
     await client.load(order(ADAPTER), sourceOf(ADAPTER))
     await client.configure({ baseModel: 'base-2', role: 'drafts' }, order(ADAPTER).token)
--- a/packages/stand-ins/test/engine-fixture.ts
+++ b/packages/stand-ins/test/engine-fixture.ts
@@ -1,4 +1,4 @@
-/** What the tests of the stand-in engine share. */
+/** Helpers for the tests of the stand-in engine. */
 import { HttpEngineClient } from '@limpetwinch/core'
 import type { AdapterOrder, AdapterName, AdapterReference, AdapterVersion, EndpointId, FencingToken, GeneratedPart, GenerateRequest, GenerationEnd, GenerationEventResult, LimpetwinchError, LoadedName, RequestId, TeamId } from '@limpetwinch/core'
 import { StandInEngine } from '@limpetwinch/stand-ins'
@@ -7,7 +7,7 @@
 
 export const ADAPTER = 'team/poet@1' as LoadedName
 
-/** What came over one stream. */
+/** The events received from one stream. */
 export interface Received {
   readonly parts: GeneratedPart[]
   end: GenerationEnd | undefined
--- a/packages/stand-ins/test/engine.test.ts
+++ b/packages/stand-ins/test/engine.test.ts
@@ -4,7 +4,7 @@
 import { ADAPTER, forever, order, question, receive, sourceOf, startEngine, textOf } from './engine-fixture.js'
 
 describe('stand-in engine', () => {
-  it('answers with the text that follows from adapter, prompt and seed, and another adapter with another', async () => {
+  it('generates a text determined by adapter, prompt and seed, and a different text with another adapter', async () => {
     const { client } = await startEngine()
     await client.load(order('team/poet@1~7'), sourceOf('team/poet@1'))
     await client.load(order('team/poet@2'), sourceOf('team/poet@2'))
@@ -23,7 +23,7 @@
     expect(engine.history.all()).toEqual([])
   })
 
-  it('has only its slots, and a second load of one name waits for the first', async () => {
+  it('refuses loads when all slots are in use, and a second load of one name waits for the first', async () => {
     const { client } = await startEngine({ slots: 1 })
     const both = await Promise.all([client.load(order(ADAPTER), sourceOf(ADAPTER)), client.load(order(ADAPTER), sourceOf(ADAPTER))])
     expect(both.map((result) => result.isOk())).toEqual([true, true])
@@ -33,7 +33,7 @@
     expect((await client.load(order('team/other@1'), sourceOf('team/other@1'))).isOk()).toBe(true)
   })
 
-  it('refuses old fencing tokens, or ignores all of them', async () => {
+  it('refuses stale fencing tokens, or ignores all tokens', async () => {
     const strict = await startEngine({ fencing: 'refuses' })
     await strict.client.load(order(ADAPTER, 5), sourceOf(ADAPTER))
     expect((await strict.client.unload(order(ADAPTER, 4)))._unsafeUnwrapErr().kind).toBe('stale-fencing-token')
@@ -42,7 +42,7 @@
     expect((await lax.client.unload(order(ADAPTER, 4))).isOk()).toBe(true)
   })
 
-  it('serves higher priorities first and bounds its queue', async () => {
+  it('serves higher priorities first and limits its queue', async () => {
     const { client, engine } = await startEngine({ batchCapacity: 1, queueLimit: 2 })
     const base = { adapter: undefined, maximumTokens: 20 }
     const running = receive(client.generate(question('running', { ...base, maximumTokens: 100_000 }), forever()))
@@ -58,7 +58,7 @@
     expect(started).toEqual(['running', 'high', 'low'])
   })
 
-  it('cancels', async () => {
+  it('cancels a running request', async () => {
     const { client, engine } = await startEngine()
     const stream = receive(client.generate(question('r1', { adapter: undefined, maximumTokens: 100_000 }), forever()))
     await vi.waitFor(() => expect(engine.history.all()).toHaveLength(1))
@@ -67,7 +67,7 @@
     expect(engine.history.all().at(-1)).toMatchObject({ event: 'run-ended', result: 'cancelled' })
   })
 
-  it('resumes running and ended requests from a position, and knows no others', async () => {
+  it('resumes running and ended requests from a position, and refuses unknown ones', async () => {
     const { client } = await startEngine()
     const asked = question('r1', { adapter: undefined })
     const away = new AbortController()
@@ -82,7 +82,7 @@
     expect((await receive(client.resume('other' as RequestId, 0, forever()))).error).toBeDefined()
   })
 
-  it('reports late what was true', async () => {
+  it('publishes its report with a delay', async () => {
     const { client } = await startEngine({ reportLag: 3_600_000 })
     await client.load(order(ADAPTER), sourceOf(ADAPTER))
     expect((await client.report())._unsafeUnwrap().loaded).toEqual([])
@@ -91,7 +91,7 @@
     await vi.waitFor(async () => expect((await prompt.client.report())._unsafeUnwrap().loaded).toEqual([ADAPTER]))
   })
 
-  it('publishes cache events with gaps, evicts the oldest prefixes and keeps late events back', async () => {
+  it('publishes cache events with gaps, evicts the oldest prefixes and delays events', async () => {
     const ask = question('r1', { adapter: undefined, prompt: 'p'.repeat(256 * 4) })
     const { client } = await startEngine({ cacheEventLag: 0, cacheGapEvery: 3, cacheEntries: 2 })
     await receive(client.generate(ask, forever()))
--- a/packages/stand-ins/test/memory-object-store.test.ts
+++ b/packages/stand-ins/test/memory-object-store.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import { MemoryObjectStore } from '@limpetwinch/stand-ins'
 
-describe('object store in memory', () => {
-  it('lets one of two racing writers win and shows the other what won', async () => {
+describe('in-memory object store', () => {
+  it('accepts one of two concurrent writes and returns the stored value to the other writer', async () => {
     const store = new MemoryObjectStore()
     const first = await store.put({ path: '/a', ifVersion: 0, value: 'first' })
     const second = await store.put({ path: '/a', ifVersion: 0, value: 'second' })
@@ -10,7 +10,7 @@
     expect(second._unsafeUnwrapErr()).toMatchObject({ kind: 'version-conflict', details: { version: 1, value: 'first' } })
   })
 
-  it('wakes a waiting watch with the change', async () => {
+  it('resolves a waiting watch with the change', async () => {
     const store = new MemoryObjectStore()
     const waiting = store.watch('/a', 0, 5_000)
     await store.put({ path: '/b', ifVersion: 0, value: 1 })
--- a/packages/stand-ins/test/platform.test.ts
+++ b/packages/stand-ins/test/platform.test.ts
@@ -21,13 +21,13 @@
   expect(answer.status).toBe(200)
 }
 
-async function putLine (platform: StandInPlatform, state: 'live' | 'leaving'): Promise<void> {
-  const line = { id: 'engine-1', kind: 'endpoint', address: 'http://127.0.0.1:1', dataCentre: 'north', state }
-  await fetch(`${platform.url}/control/instances`, { method: 'PUT', body: JSON.stringify(line) })
+async function putInstance (platform: StandInPlatform, state: 'live' | 'leaving'): Promise<void> {
+  const instance = { id: 'engine-1', kind: 'endpoint', address: 'http://127.0.0.1:1', dataCentre: 'north', state }
+  await fetch(`${platform.url}/control/instances`, { method: 'PUT', body: JSON.stringify(instance) })
 }
 
 describe('stand-in platform', () => {
-  it('holds objects with versions, and tells the loser of a race what won', async () => {
+  it('stores objects with versions, and returns the stored value to a writer that loses a race', async () => {
     const { store } = await startPlatform()
     expect((await store.put({ path: '/a', ifVersion: 0, value: 'first' }))._unsafeUnwrap()).toBe(1)
     const lost = await store.put({ path: '/a', ifVersion: 0, value: 'second' })
@@ -36,7 +36,7 @@
     expect((await store.get('/b'))._unsafeUnwrap()).toBeUndefined()
   })
 
-  it('wakes a watch with the change', async () => {
+  it('resolves a watch with the change', async () => {
     const { store } = await startPlatform()
     const { cursor } = (await store.list('/a'))._unsafeUnwrap()
     const step = store.watch('/a', cursor, 30_000)
@@ -44,7 +44,7 @@
     expect((await step)._unsafeUnwrap().changes).toEqual([{ path: '/a', version: 1, value: 1 }])
   })
 
-  it('counts calls and refuses those over the rate', async () => {
+  it('counts calls and refuses those above the rate limit', async () => {
     const { store, platform } = await startPlatform({ writesPerSecond: 1, readsPerSecond: 1 })
     const writes = await Promise.all(Array.from({ length: 20 }, (_, index) => store.put({ path: `/${index}`, ifVersion: 0, value: 1 })))
     const refused = writes.filter((write) => write.isErr()).length
@@ -53,7 +53,7 @@
     expect(calls).toMatchObject({ writes: 20 - refused, refused })
   })
 
-  it('is out, and back', async () => {
+  it('fails all calls during an outage and recovers', async () => {
     const { store, list, platform } = await startPlatform()
     await setFaults(platform, { outage: true })
     expect((await store.get('/a'))._unsafeUnwrapErr().kind).toBe('store-unavailable')
@@ -62,9 +62,9 @@
     expect((await store.get('/a')).isOk()).toBe(true)
   })
 
-  // A write takes effect and its answer is lost on the way. The writer can't tell that from a write that never
-  // arrived; only reading back shows it.
-  it('loses the answer of a write that took effect', async () => {
+  // A write takes effect and its response is lost. The writer cannot distinguish this from a write that never arrived, except by
+  // reading the object.
+  it('loses the response of a write that took effect', async () => {
     const { store, platform } = await startPlatform()
     await setFaults(platform, { loseAnswers: 1 })
     expect((await store.put({ path: '/a', ifVersion: 0, value: 1 }))._unsafeUnwrapErr().kind).toBe('store-answer-lost')
@@ -72,9 +72,9 @@
     expect((await store.put({ path: '/a', ifVersion: 1, value: 2 })).isOk()).toBe(true)
   })
 
-  // Reads lag behind writes. A reader sees the object before its change, while a conditional write is still judged by
-  // the newest version, and a watch from the stale list shows what the list did not.
-  it('reads stale', async () => {
+  // Reads lag behind writes. A reader sees the object before its change, while a conditional write is compared with the latest version,
+  // and a watch from the cursor of the stale list returns the change that the list left out.
+  it('returns stale reads', async () => {
     const { store, platform } = await startPlatform({ faults: { staleReads: 3_600_000 } })
     await store.put({ path: '/a', ifVersion: 0, value: 1 })
     const { objects, cursor } = (await store.list('/'))._unsafeUnwrap()
@@ -86,18 +86,18 @@
     expect((await store.get('/a'))._unsafeUnwrap()?.version).toBe(1)
   })
 
-  it('refuses a value over a megabyte', async () => {
+  it('refuses a value of more than a megabyte', async () => {
     const { store } = await startPlatform()
     expect((await store.put({ path: '/a', ifVersion: 0, value: 'x'.repeat(1024 * 1024) })).isErr()).toBe(true)
     expect((await store.get('/a'))._unsafeUnwrap()).toBeUndefined()
   })
 
-  it('lists instances late, and records which endpoints are leaving', async () => {
+  it('lists instances with a delay, and records which endpoints are leaving', async () => {
     const { platform, list } = await startPlatform()
-    await putLine(platform, 'live')
+    await putInstance(platform, 'live')
     expect((await list.read())._unsafeUnwrap()).toMatchObject([{ id: 'engine-1', state: 'live' }])
     await setFaults(platform, { listLag: 3_600_000 })
-    await putLine(platform, 'leaving')
+    await putInstance(platform, 'leaving')
     expect((await list.read())._unsafeUnwrap()).toMatchObject([])
     await setFaults(platform, { listLag: 0 })
     expect((await list.read())._unsafeUnwrap()).toMatchObject([{ id: 'engine-1', state: 'leaving' }])
@@ -106,7 +106,7 @@
     expect((await list.read())._unsafeUnwrap()).toEqual([])
   })
 
-  it('has no weights in an outage of the weight store', async () => {
+  it('fails transfers of weights during an outage of the weight store', async () => {
     const { platform } = await startPlatform({ loadsPerSecond: 1000, faults: { weightsOutage: true } })
     const ask = async (): Promise<number> => (await fetch(`${platform.url}/weights?adapter=team/poet@1`)).status
     expect(await ask()).toBe(503)
@@ -117,7 +117,7 @@
 })
 
 describe('weight store', () => {
-  /** @returns milliseconds of a clock that only the test moves */
+  /** @returns the duration in milliseconds, measured with fake timers */
   async function timeOf (work: (store: WeightStore) => Promise<unknown>): Promise<number> {
     vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance'] })
     try {
@@ -130,11 +130,11 @@
     }
   }
 
-  it('gets four through one after another in a second, and needs longer for four at once', async () => {
+  it('completes four consecutive transfers in a second, and takes longer for four concurrent ones', async () => {
     const signal = new AbortController().signal
-    const inTurn = await timeOf(async (store) => { for (let load = 0; load < 4; load += 1) await store.transfer(signal) })
-    const atOnce = await timeOf((store) => Promise.all([1, 2, 3, 4].map(() => store.transfer(signal))))
-    expect(Math.round(inTurn)).toBe(1000)
-    expect(Math.round(atOnce)).toBe(1900)
+    const consecutive = await timeOf(async (store) => { for (let load = 0; load < 4; load += 1) await store.transfer(signal) })
+    const concurrent = await timeOf((store) => Promise.all([1, 2, 3, 4].map(() => store.transfer(signal))))
+    expect(Math.round(consecutive)).toBe(1000)
+    expect(Math.round(concurrent)).toBe(1900)
   })
 })
--- a/packages/stand-ins/test/service.test.ts
+++ b/packages/stand-ins/test/service.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('stand-in plain service', () => {
-  it('echoes and records what it ran', async () => {
+  it('echoes requests and records those it ran', async () => {
     const service = await startService()
     expect(await ask(service)).toMatchObject({ status: 200, endpoint: 'echo-1', request: 'r1', method: 'POST', path: '/rank?day=1', body: 'body' })
     expect(service.history.all()).toMatchObject([
@@ -30,8 +30,8 @@
     ])
   })
 
-  // The connection is cut in both cases and the caller sees the same; only the service knows whether it ran.
-  it('fails before and after running', async () => {
+  // The connection is closed in both cases and the caller sees no difference; only the history of the service shows whether the request ran.
+  it('closes the connection before or after running a request', async () => {
     const service = await startService({ failBefore: 1 })
     await expect(ask(service)).rejects.toThrow()
     expect(runsOf(service)).toBe(0)
@@ -41,13 +41,13 @@
     expect(await ask(service)).toMatchObject({ status: 200 })
   })
 
-  it('refuses without running', async () => {
+  it('refuses a request without running it', async () => {
     const service = await startService({ refuseBefore: 1 })
     expect(await ask(service)).toMatchObject({ status: 503, error: { code: 'refused' } })
     expect(runsOf(service)).toBe(0)
   })
 
-  it('is slow, and silent', async () => {
+  it('delays responses, and leaves connections unresponsive', async () => {
     const service = await startService({ slowness: 1, silentConnections: 1 })
     await expect(ask(service, AbortSignal.timeout(200))).rejects.toThrow()
     expect(runsOf(service)).toBe(0)
