--- a/packages/soak/src/checks/endpoint-checks.ts
+++ b/packages/soak/src/checks/endpoint-checks.ts
@@ -36,7 +36,7 @@
   }
 }
 
-/** Checks that a request whose response says that it has not run did not run, for requests that must not be retried. */
+/** Checks that a response is true if it says that the request has not run; covers only requests that must not be retried. */
 export class NotRunClaimCheck extends SoakCheck {
   override readonly promise = 'not-run'
 
--- a/packages/soak/src/faults/request-faults.ts
+++ b/packages/soak/src/faults/request-faults.ts
@@ -15,7 +15,7 @@
 
 /**
  * Sends a request that crashes each server that starts to run it, again and again, to random instances. Harmless requests with the same
- * path, caller and adapter are sent beside it; they are in flight on the server at many of the crashes.
+ * path, caller and adapter are sent at the same times; some of them are in flight on the server at many of the crashes.
  */
 export class CrashingRequest extends SoakFault {
   override readonly kind = 'crashing-request'
